--- a/packages/decision/include/basilsill/decision/dispatch.h
+++ b/packages/decision/include/basilsill/decision/dispatch.h
@@ -55,10 +55,10 @@
 };
 
 enum class DispatchActionKind : uint8_t {
-  kStart,   ///< Send the request to `upstream` as `attempt`.
-  kRefuse,  ///< Answer with `refusal`; the request is gone.
-  kCancel,  ///< Abort `attempt` at its upstream; its slot is already freed.
-  kAsk,     ///< Ask `upstream` for its load and tell `OnAsked`.
+  kStart,      ///< Send the request to `upstream` as `attempt`.
+  kRefuse,     ///< Answer with `refusal`; the request is gone.
+  kCancel,     ///< Abort `attempt` at its upstream; its slot is already freed.
+  kQueryLoad,  ///< Ask `upstream` for its load and tell `OnAsked`.
   kCount
 };
 
@@ -103,7 +103,7 @@
 /// What an upstream says of its load.
 struct UpstreamLoad {
   bool known = false;
-  bool tells_slowness = false;
+  bool reports_slowness = false;
   uint16_t running = 0;
   uint16_t waiting = 0;
   uint16_t slots = 0;
@@ -112,7 +112,7 @@
 };
 
 /// What came of asking an upstream for its load.
-struct AskReport {
+struct LoadQueryReport {
   bool answered = false;  ///< Something that is HTTP came.
   bool foreign = false;   ///< Another upstream answers at its address.
   UpstreamLoad load;      ///< Not known if it gave no answer.
@@ -176,7 +176,7 @@
   /// one.
   std::optional<RepeatParts> repeats;
   /// Upstreams say whether they are cold when they are asked.
-  bool cold_is_told = false;
+  bool cold_is_reported = false;
   /// Shared with the EntryRouter of the same worker; null: no quarantine.
   std::shared_ptr<Quarantine> quarantine;
 };
@@ -247,9 +247,9 @@
   virtual bool MaySendAgain(TimePoint now, AttemptHandle attempt) = 0;
 
   /// The answer to a kAsk action.
-  virtual void OnAsked(TimePoint now,
-                       UpstreamHandle upstream,
-                       const AskReport& report) = 0;
+  virtual void OnLoadQueryEnd(TimePoint now,
+                              UpstreamHandle upstream,
+                              const LoadQueryReport& report) = 0;
 
   /// The caller does not want the request any more. Running attempts are
   /// cancelled by actions.
@@ -264,7 +264,7 @@
 
   /// @returns what those VMs that would dispatch in this one's place have to be
   /// told of rate limits. Call some times a second.
-  virtual std::vector<RateLimitNews> TakeRateLimitNews(TimePoint now) = 0;
+  virtual std::vector<RateLimitNews> TakeRateLimitUpdates(TimePoint now) = 0;
 
   /// Timers: deadlines, hedges, evidence from running attempts, ramps.
   /// A request whose deadline passes while it waits ends with kRefuse and
--- a/packages/decision/src/dispatch_tables.h
+++ b/packages/decision/src/dispatch_tables.h
@@ -158,9 +158,10 @@
 struct RateLimitedUpstream {
   uint32_t place = kNoRow;  ///< Among the shard's upstreams.
   RateLimitQuota quota;
-  bool is_news = false;  ///< It named its limit since others were told.
-  TimePoint told_at{};   ///< When others were told.
-  std::optional<double> told_limit;
+  bool named_since_update =
+      false;                   ///< It named its limit since others were told.
+  TimePoint last_update_at{};  ///< When others were told.
+  std::optional<double> last_update_limit;
 };
 
 struct ShardState {
@@ -169,7 +170,7 @@
   bool in_use = false;
   std::vector<UpstreamSlots> upstreams;
   /// Of `upstreams`, in their order; empty where they can't be asked.
-  std::vector<SpeedBelief> speeds;
+  std::vector<ReportedSpeed> speeds;
   /// Of `upstreams`, in their order; empty where cold ones are not bounded.
   std::vector<ColdQuota> cold_quotas;
   std::vector<RateLimitedUpstream> rate_limited;
--- a/packages/decision/src/dispatcher.cc
+++ b/packages/decision/src/dispatcher.cc
@@ -38,13 +38,13 @@
       shards(limits::kMaxShardsPerWorker,
              options.features.ramp,
              options.repeats.has_value(),
-             options.cold_is_told),
+             options.cold_is_reported),
       queue(this->requests, options.max_requests + 1),
       random(options.seed) {
   this->timers.Reserve(options.max_requests);
   this->active.reserve(limits::kMaxShardsPerWorker);
   this->pending.reserve(kActionReserve);
-  this->noticed.reserve(kActionReserve);
+  this->emitted_events.reserve(kActionReserve);
 }
 
 const std::vector<DispatchAction>& DispatcherCore::actions() const {
@@ -52,7 +52,7 @@
 }
 
 const std::vector<UpstreamEvent>& DispatcherCore::events() const {
-  return this->noticed;
+  return this->emitted_events;
 }
 
 const DispatchCounters& DispatcherCore::counters() const {
@@ -61,13 +61,13 @@
 
 void DispatcherCore::ClearActions() {
   this->pending.clear();
-  this->noticed.clear();
+  this->emitted_events.clear();
 }
 
 void DispatcherCore::ApplyView(TimePoint now, const RoutingViewPtr& view) {
   this->shards.ApplyView(now, view);
   for (uint32_t i = 0; i < this->shards.size(); ++i) {
-    this->TakeHeardLimits(now, this->shards.at(i));
+    this->ApplyReceivedLimits(now, this->shards.at(i));
   }
   for (size_t i = this->active.size(); i > 0; --i) {
     this->Pump(now, this->active[i - 1]);
@@ -85,7 +85,7 @@
   }
   ShardState& shard = this->shards.at(shard_row);
   if (is_new) {
-    this->TakeHeardLimits(now, shard);
+    this->ApplyReceivedLimits(now, shard);
   }
   const uint32_t lane = this->OpenLane(shard, request);
   Verdict verdict = this->Check(now, shard, lane, request);
@@ -253,11 +253,12 @@
   return this->pending.back();
 }
 
-void DispatcherCore::Note(UpstreamEventKind kind,
-                          const ShardState& shard,
-                          const UpstreamSlots& upstream,
-                          Fingerprint fingerprint) {
-  this->noticed.push_back({kind, shard.key, upstream.handle, fingerprint});
+void DispatcherCore::RecordEvent(UpstreamEventKind kind,
+                                 const ShardState& shard,
+                                 const UpstreamSlots& upstream,
+                                 Fingerprint fingerprint) {
+  this->emitted_events.push_back(
+      {kind, shard.key, upstream.handle, fingerprint});
 }
 
 // Each shard's dispatcher has a part of what the fleet may repeat at the
--- a/packages/decision/src/dispatcher_core.h
+++ b/packages/decision/src/dispatcher_core.h
@@ -35,11 +35,11 @@
                     AttemptHandle attempt,
                     const AttemptReport& report) override;
   bool MaySendAgain(TimePoint now, AttemptHandle attempt) override;
-  void OnAsked(TimePoint now,
-               UpstreamHandle upstream,
-               const AskReport& report) override;
+  void OnLoadQueryEnd(TimePoint now,
+                      UpstreamHandle upstream,
+                      const LoadQueryReport& report) override;
   void OnRateLimitReport(TimePoint now, const RateLimitReport& report) override;
-  std::vector<RateLimitNews> TakeRateLimitNews(TimePoint now) override;
+  std::vector<RateLimitNews> TakeRateLimitUpdates(TimePoint now) override;
   void Cancel(TimePoint now, DispatchHandle request) override;
   void OnDrainSign(TimePoint now, UpstreamHandle upstream) override;
   void Tick(TimePoint now) override;
@@ -97,10 +97,10 @@
   RequestRow& Request(uint32_t row);
   AttemptRow& Attempt(uint32_t row);
   DispatchAction& Emit(DispatchActionKind kind, uint32_t request);
-  void Note(UpstreamEventKind kind,
-            const ShardState& shard,
-            const UpstreamSlots& upstream,
-            Fingerprint fingerprint = 0);
+  void RecordEvent(UpstreamEventKind kind,
+                   const ShardState& shard,
+                   const UpstreamSlots& upstream,
+                   Fingerprint fingerprint = 0);
   void Activate(uint32_t shard);
   bool TakeRepeat(TimePoint now, ShardState& shard, double keep = 0);
 
@@ -193,16 +193,16 @@
   void JudgeUpstream(TimePoint now, ShardState& shard, uint32_t upstream);
 
   // dispatcher_rate_limit.cc
-  void LearnRateLimit(TimePoint now,
-                      TimePoint asked_at,
-                      ShardState& shard,
-                      uint32_t place,
-                      const ToldRateLimit& told);
-  void ForgetRateLimit(TimePoint now, ShardState& shard, uint32_t place);
-  void TakeHeardLimits(TimePoint now, ShardState& shard);
-  uint32_t PlaceOfStart(const RateLimitReport& report) const;
-  void TellOwners(const RateLimitReport& report,
-                  std::vector<RateLimitNews>& news) const;
+  void RecordRateLimit(TimePoint now,
+                       TimePoint asked_at,
+                       ShardState& shard,
+                       uint32_t place,
+                       const ToldRateLimit& told);
+  void RemoveRateLimit(TimePoint now, ShardState& shard, uint32_t place);
+  void ApplyReceivedLimits(TimePoint now, ShardState& shard);
+  uint32_t PlaceOfReported(const RateLimitReport& report) const;
+  void AddUpdatesForOwners(const RateLimitReport& report,
+                           std::vector<RateLimitNews>& news) const;
   RateLimitReport ReportOf(const ShardState& shard, uint32_t place) const;
   void HoldForRate(TimePoint now, ShardState& shard, uint32_t request);
   void RefuseBeyondRate(TimePoint now, ShardState& shard);
@@ -232,12 +232,12 @@
   FairQueue queue;
   IndexedHeap<TimePoint> timers;  ///< Of requests.
   std::vector<uint32_t> active;   ///< Shards with something to do.
-  RateLimitMemory heard_limits;
+  RateLimitMemory received_limits;
   std::vector<RateLimitReport> ended_limits;  ///< Others are not told yet.
   bool handing_back = false;
   pcg32 random;  ///< For jitter.
   std::vector<DispatchAction> pending;
-  std::vector<UpstreamEvent> noticed;
+  std::vector<UpstreamEvent> emitted_events;
   DispatchCounters counts;
 };
 
--- a/packages/decision/src/dispatcher_learn.cc
+++ b/packages/decision/src/dispatcher_outcome.cc
@@ -109,8 +109,8 @@
   UpstreamSlots& upstream = shard.upstreams[attempt.upstream];
   this->LearnLoad(now, shard, attempt.upstream, report.load);
   if (report.end != AttemptEnd::kMisdirected) {
-    this->LearnRateLimit(now, attempt.start, shard, attempt.upstream,
-                         report.rate_limit);
+    this->RecordRateLimit(now, attempt.start, shard, attempt.upstream,
+                          report.rate_limit);
   }
   if (report.drain_sign) {
     this->Drain(now, shard, upstream);
@@ -185,9 +185,9 @@
     Pause(now, shard, upstream, kConnectPause, kMaxConnectPause);
     upstream.ramp_left = this->options.features.ramp ? kRampAnswers : 0;
     RecountSlots(now, shard);
-    this->Note(end == AttemptEnd::kDied ? UpstreamEventKind::kDied
-                                        : UpstreamEventKind::kBackedOff,
-               shard, upstream);
+    this->RecordEvent(end == AttemptEnd::kDied ? UpstreamEventKind::kDied
+                                               : UpstreamEventKind::kBackedOff,
+                      shard, upstream);
   }
   this->NoteTrickle(now, upstream, false);
 }
@@ -207,7 +207,7 @@
   Pause(now, shard, upstream, std::max(kMinShedPause, stats.median()),
         kMaxShedPause);
   RecountSlots(now, shard);
-  this->Note(UpstreamEventKind::kBackedOff, shard, upstream);
+  this->RecordEvent(UpstreamEventKind::kBackedOff, shard, upstream);
 }
 
 // A marked upstream that did well is tried again at once, so that it comes
@@ -230,7 +230,7 @@
                            ShardState& shard,
                            UpstreamSlots& upstream) {
   if (TakesWork(now, upstream)) {
-    this->Note(UpstreamEventKind::kDraining, shard, upstream);
+    this->RecordEvent(UpstreamEventKind::kDraining, shard, upstream);
   }
   upstream.draining_until = now + kDrainTime;
   upstream.ramp_left = this->options.features.ramp ? kRampAnswers : 0;
@@ -261,8 +261,8 @@
   const Fingerprint condemned = this->options.quarantine->OnCrash(
       now, upstream.key, std::span(suspects.data(), count));
   if (condemned != 0) {
-    this->Note(UpstreamEventKind::kQuarantined, this->shards.at(shard_row),
-               upstream, condemned);
+    this->RecordEvent(UpstreamEventKind::kQuarantined,
+                      this->shards.at(shard_row), upstream, condemned);
   }
 }
 
@@ -280,16 +280,16 @@
   RecountSlots(now, shard);
   switch (upstream.health.grade()) {
     case UpstreamGrade::kSlow:
-      this->Note(UpstreamEventKind::kStraggling, shard, upstream);
+      this->RecordEvent(UpstreamEventKind::kStraggling, shard, upstream);
       this->NoteTrickle(now, upstream, false);
       this->RescueFrom(now, upstream);
       break;
     case UpstreamGrade::kFailing:
-      this->Note(UpstreamEventKind::kFailing, shard, upstream);
+      this->RecordEvent(UpstreamEventKind::kFailing, shard, upstream);
       this->NoteTrickle(now, upstream, false);
       break;
     default:
-      this->Note(UpstreamEventKind::kRecovered, shard, upstream);
+      this->RecordEvent(UpstreamEventKind::kRecovered, shard, upstream);
       break;
   }
 }
--- a/packages/decision/src/dispatcher_rate_limit.cc
+++ b/packages/decision/src/dispatcher_rate_limit.cc
@@ -40,11 +40,11 @@
 
 }  // namespace
 
-void DispatcherCore::LearnRateLimit(TimePoint now,
-                                    TimePoint asked_at,
-                                    ShardState& shard,
-                                    uint32_t place,
-                                    const ToldRateLimit& told) {
+void DispatcherCore::RecordRateLimit(TimePoint now,
+                                     TimePoint asked_at,
+                                     ShardState& shard,
+                                     uint32_t place,
+                                     const ToldRateLimit& told) {
   const bool is_named = told.word == RateLimitWord::kNamed;
   if (!this->options.features.rate_limits) {
     return;
@@ -54,25 +54,25 @@
   }
   RateLimitedUpstream& limited = LimitOf(shard, place);
   const RateLimitChange change = limited.quota.OnTold(now, asked_at, told);
-  limited.is_news |= is_named;
+  limited.named_since_update |= is_named;
   const UpstreamSlots& upstream = shard.upstreams[place];
   if (change == RateLimitChange::kNamed) {
-    this->Note(UpstreamEventKind::kRateLimited, shard, upstream);
-    this->noticed.back().requests_per_second = limited.quota.limit();
+    this->RecordEvent(UpstreamEventKind::kRateLimited, shard, upstream);
+    this->emitted_events.back().requests_per_second = limited.quota.limit();
     RecountSlots(now, shard);
   } else if (change == RateLimitChange::kEnded) {
-    this->Note(UpstreamEventKind::kRateLimitEnded, shard, upstream);
+    this->RecordEvent(UpstreamEventKind::kRateLimitEnded, shard, upstream);
     this->ended_limits.push_back(this->ReportOf(shard, place));
-    this->ForgetRateLimit(now, shard, place);
+    this->RemoveRateLimit(now, shard, place);
   }
 }
 
-void DispatcherCore::ForgetRateLimit(TimePoint now,
+void DispatcherCore::RemoveRateLimit(TimePoint now,
                                      ShardState& shard,
                                      uint32_t place) {
   const auto found = FindLimited(shard, place);
   if (found != shard.rate_limited.end()) {
-    this->heard_limits.Forget(this->ReportOf(shard, place).upstream);
+    this->received_limits.Forget(this->ReportOf(shard, place).upstream);
     shard.rate_limited.erase(found);
     RecountSlots(now, shard);
   }
@@ -80,15 +80,16 @@
 
 // Failure: a VM begins to dispatch, after a restart or in another's place, and
 // sends a limited upstream as much as any until its first answer.
-void DispatcherCore::TakeHeardLimits(TimePoint now, ShardState& shard) {
+void DispatcherCore::ApplyReceivedLimits(TimePoint now, ShardState& shard) {
   const ShardTable::InView found = this->shards.Locate(shard.key);
-  if (this->heard_limits.empty() || !shard.in_use || found.shard == nullptr) {
+  if (this->received_limits.empty() || !shard.in_use ||
+      found.shard == nullptr) {
     return;
   }
   for (const uint32_t position : found.shard->upstreams) {
     const UpstreamRow& upstream = found.service->upstreams[position];
     const std::optional<double> limit =
-        this->heard_limits.Find(now, KeyOfStart(*found.service, upstream));
+        this->received_limits.Find(now, KeyOfStart(*found.service, upstream));
     const uint32_t place = PlaceOf(shard, upstream.handle);
     if (limit && FindRateLimit(shard, place) == nullptr) {
       LimitOf(shard, place)
@@ -103,9 +104,9 @@
   if (!this->options.features.rate_limits) {
     return;
   }
-  this->heard_limits.OnReport(now, report);
+  this->received_limits.OnReport(now, report);
   const uint32_t row = this->shards.Find(report.shard);
-  const uint32_t place = row != kNoRow ? this->PlaceOfStart(report) : kNoRow;
+  const uint32_t place = row != kNoRow ? this->PlaceOfReported(report) : kNoRow;
   if (place == kNoRow) {
     return;
   }
@@ -116,13 +117,13 @@
                       {RateLimitWord::kNamed, report.requests_per_second});
     RecountSlots(now, shard);
   } else {
-    this->ForgetRateLimit(now, shard, place);
+    this->RemoveRateLimit(now, shard, place);
   }
   this->Pump(now, row);
 }
 
 // @returns the upstream of `report` in its shard, which is open.
-uint32_t DispatcherCore::PlaceOfStart(const RateLimitReport& report) const {
+uint32_t DispatcherCore::PlaceOfReported(const RateLimitReport& report) const {
   const ShardTable::InView found = this->shards.Locate(report.shard);
   if (found.shard == nullptr) {
     return kNoRow;
@@ -145,33 +146,34 @@
   return count;
 }
 
-std::vector<RateLimitNews> DispatcherCore::TakeRateLimitNews(TimePoint now) {
+std::vector<RateLimitNews> DispatcherCore::TakeRateLimitUpdates(TimePoint now) {
   std::vector<RateLimitNews> news;
   for (const RateLimitReport& report : std::exchange(this->ended_limits, {})) {
-    this->TellOwners(report, news);
+    this->AddUpdatesForOwners(report, news);
   }
   for (uint32_t row = 0; row < this->shards.size(); ++row) {
     ShardState& shard = this->shards.at(row);
     for (RateLimitedUpstream& limited : shard.rate_limited) {
-      const bool is_due = limited.told_limit != limited.quota.limit() ||
-                          now - limited.told_at >= kTellInterval;
-      if (!limited.is_news || !is_due) {
+      const bool is_due = limited.last_update_limit != limited.quota.limit() ||
+                          now - limited.last_update_at >= kTellInterval;
+      if (!limited.named_since_update || !is_due) {
         continue;
       }
-      limited.is_news = false;
-      limited.told_at = now;
-      limited.told_limit = limited.quota.limit();
+      limited.named_since_update = false;
+      limited.last_update_at = now;
+      limited.last_update_limit = limited.quota.limit();
       RateLimitReport report = this->ReportOf(shard, limited.place);
       report.named = true;
       report.requests_per_second = limited.quota.limit();
-      this->TellOwners(report, news);
+      this->AddUpdatesForOwners(report, news);
     }
   }
   return news;
 }
 
-void DispatcherCore::TellOwners(const RateLimitReport& report,
-                                std::vector<RateLimitNews>& news) const {
+void DispatcherCore::AddUpdatesForOwners(
+    const RateLimitReport& report,
+    std::vector<RateLimitNews>& news) const {
   const ShardTable::InView found = this->shards.Locate(report.shard);
   if (found.shard == nullptr) {
     return;
--- a/packages/decision/src/dispatcher_speed.cc
+++ b/packages/decision/src/dispatcher_speed.cc
@@ -109,7 +109,7 @@
   const auto count = static_cast<uint32_t>(shard.upstreams.size());
   auto asked = static_cast<uint32_t>(std::count_if(
       shard.speeds.begin(), shard.speeds.end(),
-      [now](const SpeedBelief& speed) { return speed.IsAsked(now); }));
+      [now](const ReportedSpeed& speed) { return speed.IsAsked(now); }));
   bool any = asked > 0;
   uint32_t place = shard.first_pick < count ? shard.first_pick : 0;
   for (uint32_t i = 0; i < count && asked < kAskAtOnce; ++i) {
@@ -150,7 +150,7 @@
     shard.cold_quotas[place].OnAsk(now);
   }
   DispatchAction action;
-  action.kind = DispatchActionKind::kAsk;
+  action.kind = DispatchActionKind::kQueryLoad;
   action.upstream = shard.upstreams[place].handle;
   action.rate_limited = FindRateLimit(shard, place) != nullptr;
   this->pending.push_back(action);
@@ -177,7 +177,7 @@
   uint32_t asked = 0;
   uint32_t place = shard.first_pick < count ? shard.first_pick : 0;
   for (uint32_t i = 0; i < count && asked < kAskAtOnce; ++i) {
-    const SpeedBelief& speed = shard.speeds[place];
+    const ReportedSpeed& speed = shard.speeds[place];
     const bool is_idle = !IsCrowded(shard.upstreams[place]) &&
                          IsCandidate(now, shard, place, choice);
     if (is_idle && may_ask && speed.IsWorthAsking(now) &&
@@ -227,13 +227,13 @@
   if (!load.known || place >= shard.speeds.size()) {
     return;
   }
-  shard.tells_speed = load.tells_slowness;
+  shard.tells_speed = load.reports_slowness;
   shard.speeds[place].OnLoad(now, load);
 }
 
-void DispatcherCore::OnAsked(TimePoint now,
-                             UpstreamHandle handle,
-                             const AskReport& report) {
+void DispatcherCore::OnLoadQueryEnd(TimePoint now,
+                                    UpstreamHandle handle,
+                                    const LoadQueryReport& report) {
   for (const uint32_t row : this->active) {
     ShardState& shard = this->shards.at(row);
     const auto found = std::find_if(
@@ -253,7 +253,7 @@
     // A health check that is silent about a limit says nothing: requests get
     // other answers.
     if (report.rate_limit.word == RateLimitWord::kNamed && !report.foreign) {
-      this->LearnRateLimit(now, now, shard, place, report.rate_limit);
+      this->RecordRateLimit(now, now, shard, place, report.rate_limit);
     }
     if (report.load.known) {
       this->LearnLoad(now, shard, place, report.load);
--- a/packages/decision/src/entry_core.h
+++ b/packages/decision/src/entry_core.h
@@ -12,7 +12,7 @@
 #include "basilsill/decision/ratio_budget.h"
 #include "direct_path.h"
 #include "peer_silence.h"
-#include "shard_beliefs.h"
+#include "shard_load_estimates.h"
 #include "team_admission.h"
 
 /// The entry router itself: entry_router.cc takes requests in, judges retries
@@ -125,7 +125,7 @@
   TimePoint began = kNever;  ///< With the first view.
   HandleTable<EntryRow, EntryTag> entries;
   TeamAdmission teams;
-  ShardBeliefs beliefs;
+  ShardLoadEstimates beliefs;
   DirectPath direct;
   PeerSilence silence;
   std::vector<LinkState> links;  ///< By index of the VM's handle.
--- a/packages/decision/src/shard_beliefs.cc
+++ b/packages/decision/src/shard_load_estimates.cc
@@ -1,4 +1,4 @@
-#include "shard_beliefs.h"
+#include "shard_load_estimates.h"
 
 #include <algorithm>
 #include <cmath>
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-void ShardBeliefs::OnSummary(TimePoint now, const ShardSummary& summary) {
+void ShardLoadEstimates::OnSummary(TimePoint now, const ShardSummary& summary) {
   Belief& belief = this->beliefs[summary.shard];
   const double kept = ShareKept(now - belief.at, kAverageTime);
   belief.usual_wait = Between(summary.wait, belief.usual_wait, kept);
@@ -48,9 +48,9 @@
   belief.sent = 0;
 }
 
-void ShardBeliefs::OnSent(TimePoint now,
-                          ShardKey shard,
-                          const ShardSummary& guess) {
+void ShardLoadEstimates::OnSent(TimePoint now,
+                                ShardKey shard,
+                                const ShardSummary& guess) {
   Belief& belief = this->beliefs[shard];
   if (!belief.known) {
     belief.summary = guess;
@@ -60,10 +60,10 @@
   belief.sent_at = now;
 }
 
-Duration ShardBeliefs::WaitAt(TimePoint now,
-                              ShardKey shard,
-                              TrafficClass traffic_class,
-                              uint32_t peers) const {
+Duration ShardLoadEstimates::WaitAt(TimePoint now,
+                                    ShardKey shard,
+                                    TrafficClass traffic_class,
+                                    uint32_t peers) const {
   const auto found = this->beliefs.find(shard);
   if (found == this->beliefs.end()) {
     return Duration(0);
@@ -83,25 +83,25 @@
   return Between(usual, told, ShareKept(age, AgeingOf(summary))) + queued;
 }
 
-Duration ShardBeliefs::ServiceTimeAt(ShardKey shard) const {
+Duration ShardLoadEstimates::ServiceTimeAt(ShardKey shard) const {
   const auto found = this->beliefs.find(shard);
   return found == this->beliefs.end() ? Duration(0)
                                       : found->second.summary.service_time;
 }
 
-bool ShardBeliefs::IsUsable(TimePoint now, ShardKey shard) const {
+bool ShardLoadEstimates::IsUsable(TimePoint now, ShardKey shard) const {
   const auto found = this->beliefs.find(shard);
   return found == this->beliefs.end() || !found->second.known ||
          found->second.summary.slots > 0 ||
          now - found->second.at > kUnusableTime;
 }
 
-double ShardBeliefs::SentBy(TimePoint now, const Belief& belief) {
+double ShardLoadEstimates::SentBy(TimePoint now, const Belief& belief) {
   return belief.sent *
          ShareKept(now - belief.sent_at, AgeingOf(belief.summary));
 }
 
-void ShardBeliefs::Tick(TimePoint now) {
+void ShardLoadEstimates::Tick(TimePoint now) {
   if (now < this->next_sweep) {
     return;
   }
--- a/packages/decision/src/shard_beliefs.h
+++ b/packages/decision/src/shard_load_estimates.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_DECISION_SHARD_BELIEFS_H_
-#define BASILSILL_DECISION_SHARD_BELIEFS_H_
+#ifndef BASILSILL_DECISION_SHARD_LOAD_ESTIMATES_H_
+#define BASILSILL_DECISION_SHARD_LOAD_ESTIMATES_H_
 
 #include <cstdint>
 #include <vector>
@@ -13,7 +13,7 @@
 
 namespace basilsill {
 
-class ShardBeliefs {
+class ShardLoadEstimates {
  public:
   void OnSummary(TimePoint now, const ShardSummary& summary);
 
@@ -58,4 +58,4 @@
 
 }  // namespace basilsill
 
-#endif  // BASILSILL_DECISION_SHARD_BELIEFS_H_
+#endif  // BASILSILL_DECISION_SHARD_LOAD_ESTIMATES_H_
--- a/packages/decision/src/shard_table.cc
+++ b/packages/decision/src/shard_table.cc
@@ -80,11 +80,11 @@
 ShardTable::ShardTable(size_t capacity,
                        bool ramp,
                        bool count_repeats,
-                       bool cold_is_told)
+                       bool cold_is_reported)
     : capacity(capacity),
       ramp(ramp),
       count_repeats(count_repeats),
-      cold_is_told(cold_is_told) {
+      cold_is_reported(cold_is_reported) {
   this->shards.reserve(capacity);
 }
 
@@ -201,7 +201,7 @@
     const ServiceRow& service = *found.service;
     const ShardRow& row = *found.shard;
     shard.can_be_asked = !service.health_path.empty();
-    shard.tells_cold = shard.can_be_asked && this->cold_is_told;
+    shard.tells_cold = shard.can_be_asked && this->cold_is_reported;
     const bool is_first = !row.contested && !row.owners.empty() &&
                           row.owners.front() == this->current->self;
     const TimePoint since = fresh ? this->same_vms_since : now;
@@ -243,7 +243,7 @@
       return limited.place == index;
     });
     if (index < shard.speeds.size()) {
-      shard.speeds[index] = SpeedBelief();
+      shard.speeds[index] = ReportedSpeed();
     }
     place->handle = row.handle;
     place->key = KeyOf(row.endpoint);
--- a/packages/decision/src/shard_table.h
+++ b/packages/decision/src/shard_table.h
@@ -17,7 +17,10 @@
 class ShardTable {
  public:
   /// @param count_repeats The fleet has a bound on repeats.
-  ShardTable(size_t capacity, bool ramp, bool count_repeats, bool cold_is_told);
+  ShardTable(size_t capacity,
+             bool ramp,
+             bool count_repeats,
+             bool cold_is_reported);
 
   /// Adopts `view`. Upstreams keep their position in their shard for as long
   /// as attempts run there.
@@ -62,7 +65,7 @@
   size_t capacity;
   bool ramp;
   bool count_repeats;
-  bool cold_is_told;
+  bool cold_is_reported;
   uint32_t next_serial = 0;
   TimePoint same_vms_since{};
   RoutingViewPtr current;
--- a/packages/decision/src/upstream_choice.cc
+++ b/packages/decision/src/upstream_choice.cc
@@ -76,7 +76,7 @@
   if (options.speed == SpeedRule::kIgnore) {
     return 0;
   }
-  const SpeedBelief& speed = shard.speeds[place];
+  const ReportedSpeed& speed = shard.speeds[place];
   const SpeedGrade grade = speed.GradeAt(now);
   const bool may_be_fast =
       grade == SpeedGrade::kUnknown && IsRateScarce(now, shard, place);
--- a/packages/decision/src/upstream_speed.cc
+++ b/packages/decision/src/upstream_speed.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-void SpeedBelief::OnLoad(TimePoint now, const UpstreamLoad& told) {
+void ReportedSpeed::OnLoad(TimePoint now, const UpstreamLoad& told) {
   if (!told.known) {
     return;
   }
@@ -38,16 +38,16 @@
   this->asking = false;
 }
 
-void SpeedBelief::OnAsk(TimePoint now) {
+void ReportedSpeed::OnAsk(TimePoint now) {
   this->asking = true;
   this->asked_at = now;
 }
 
-Duration SpeedBelief::AgeAt(TimePoint now) const {
+Duration ReportedSpeed::AgeAt(TimePoint now) const {
   return this->known ? now - this->told_at : Duration(-1);
 }
 
-SpeedGrade SpeedBelief::GradeAt(TimePoint now) const {
+SpeedGrade ReportedSpeed::GradeAt(TimePoint now) const {
   if (!this->known || now - this->told_at > kFresh) {
     return SpeedGrade::kUnknown;
   }
@@ -55,21 +55,21 @@
                                          : SpeedGrade::kSlow;
 }
 
-bool SpeedBelief::IsSlowerThan(TimePoint now, double limit) const {
+bool ReportedSpeed::IsSlowerThan(TimePoint now, double limit) const {
   return this->known && this->told_slowness > limit &&
          now - this->told_at <= kSlowRemembered;
 }
 
-bool SpeedBelief::IsAsked(TimePoint now) const {
+bool ReportedSpeed::IsAsked(TimePoint now) const {
   return this->asking && now - this->asked_at < kAskPatience;
 }
 
-bool SpeedBelief::IsWorthAsking(TimePoint now) const {
+bool ReportedSpeed::IsWorthAsking(TimePoint now) const {
   return this->GradeAt(now) == SpeedGrade::kUnknown &&
          now - this->asked_at >= kAskPatience;
 }
 
-uint16_t SpeedBelief::BusyAt(TimePoint now) const {
+uint16_t ReportedSpeed::BusyAt(TimePoint now) const {
   return this->GradeAt(now) == SpeedGrade::kUnknown ? 0 : this->told_running;
 }
 
--- a/packages/decision/src/upstream_speed.h
+++ b/packages/decision/src/upstream_speed.h
@@ -20,7 +20,7 @@
   kCount
 };
 
-class SpeedBelief {
+class ReportedSpeed {
  public:
   /// The upstream told its load, with an answer or when asked.
   void OnLoad(TimePoint now, const UpstreamLoad& load);
--- a/packages/decision/test/cold_quota_test.cc
+++ b/packages/decision/test/cold_quota_test.cc
@@ -17,7 +17,6 @@
 #include <CppUTest/TestHarness.h>
 
 using namespace std::chrono_literals;
-using basilsill::AskReport;
 using basilsill::AttemptEnd;
 using basilsill::AttemptHandle;
 using basilsill::ColdQuota;
@@ -26,6 +25,7 @@
 using basilsill::DispatcherOptions;
 using basilsill::DispatchHarness;
 using basilsill::Duration;
+using basilsill::LoadQueryReport;
 using basilsill::TimePoint;
 using basilsill::UpstreamHandle;
 
@@ -158,7 +158,7 @@
  private:
   struct Question {
     TimePoint due;
-    AskReport report;
+    LoadQueryReport report;
   };
   struct Work {
     AttemptHandle attempt;
@@ -174,7 +174,7 @@
 
   std::unique_ptr<Vm> MakeVm() {
     DispatcherOptions options;
-    options.cold_is_told = true;
+    options.cold_is_reported = true;
     auto vm = std::make_unique<Vm>(options);
     vm->harness.now = this->now;
     vm->harness.fixture.AddUpstream(0, kSlots);
@@ -268,7 +268,7 @@
 
   void Ask(Vm& vm) {
     for (size_t i = 0; i < vm.harness.asked.size(); ++i) {
-      AskReport report;
+      LoadQueryReport report;
       if (this->random(10) > 0) {
         const Duration left = this->cold_until - this->now;
         report.answered = true;
@@ -282,9 +282,9 @@
 
   void Answer(Vm& vm) {
     while (!vm.questions.empty() && vm.questions.front().due <= this->now) {
-      const AskReport report = vm.questions.front().report;
+      const LoadQueryReport report = vm.questions.front().report;
       vm.questions.pop_front();
-      vm.harness.dispatcher->OnAsked(this->now, {0, 0}, report);
+      vm.harness.dispatcher->OnLoadQueryEnd(this->now, {0, 0}, report);
       vm.harness.Collect();
     }
   }
--- a/packages/decision/test/decision_fixture.h
+++ b/packages/decision/test/decision_fixture.h
@@ -52,8 +52,8 @@
   }
 
   /// `upstream` has died and started again: another handle, the same id.
-  UpstreamHandle StartAgain(UpstreamHandle upstream) {
-    this->NameUpstreams();
+  UpstreamHandle RestartUpstream(UpstreamHandle upstream) {
+    this->AddIncarnations();
     const size_t place = upstream.index;
     UpstreamRow& row = this->service.upstreams.at(place);
     row.handle.generation += 1;
@@ -62,7 +62,7 @@
   }
 
   /// Each upstream has an id, and tells its start.
-  void NameUpstreams() {
+  void AddIncarnations() {
     for (size_t i = this->service.incarnations.size();
          i < this->service.upstreams.size(); ++i) {
       this->service.incarnations.push_back(
@@ -167,13 +167,13 @@
   /// `upstream` tells its load: `slowness` times its usual time.
   void Tell(UpstreamHandle upstream, double slowness) {
     std::erase(this->asked, upstream);
-    AskReport report;
+    LoadQueryReport report;
     report.answered = true;
     report.load.known = true;
-    report.load.tells_slowness = true;
+    report.load.reports_slowness = true;
     report.load.slots = 2;
     report.load.slowness = slowness;
-    this->dispatcher->OnAsked(this->now, upstream, report);
+    this->dispatcher->OnLoadQueryEnd(this->now, upstream, report);
     this->Collect();
   }
 
@@ -237,7 +237,7 @@
         this->running.push_back(action);
       } else if (action.kind == DispatchActionKind::kRefuse) {
         this->refused.push_back(action);
-      } else if (action.kind == DispatchActionKind::kAsk) {
+      } else if (action.kind == DispatchActionKind::kQueryLoad) {
         this->asked.push_back(action.upstream);
       } else {
         this->cancelled.push_back(action);
--- a/packages/decision/test/dispatch_drain_test.cc
+++ b/packages/decision/test/dispatch_drain_test.cc
@@ -128,7 +128,7 @@
 // asked, and one that says that it is warm gets its share at once.
 TEST(DispatchDrain, View_TakenBackWithColdBound_AskedFirst) {
   basilsill::DispatcherOptions options;
-  options.cold_is_told = true;
+  options.cold_is_reported = true;
   options.features.ramp = false;
   DispatchHarness cold(options);
   const UpstreamHandle only = cold.fixture.AddUpstream(0, 8);
@@ -138,11 +138,11 @@
   cold.Offer();
   CHECK_EQUAL(0, cold.running.size());
   CHECK_EQUAL(1, cold.asked.size());
-  basilsill::AskReport report;
+  basilsill::LoadQueryReport report;
   report.answered = true;
   report.load = {true, true, 0, 0, 8, 1};
   report.cold_for = 0ms;
-  cold.dispatcher->OnAsked(cold.now, only, report);
+  cold.dispatcher->OnLoadQueryEnd(cold.now, only, report);
   cold.Collect();
   CHECK_EQUAL(1, cold.running.size());
 }
@@ -160,7 +160,7 @@
 // While drained, an upstream leaves and another starts at its address.
 TEST(DispatchDrain, Upstream_ReplacedWhileDrained_GetsNothing) {
   this->Drain(true);
-  this->harness.fixture.StartAgain(this->first);
+  this->harness.fixture.RestartUpstream(this->first);
   this->harness.Apply();
   this->harness.Offer();
   this->harness.Advance(50ms);
--- a/packages/decision/test/dispatch_restart_test.cc
+++ b/packages/decision/test/dispatch_restart_test.cc
@@ -19,12 +19,12 @@
 
   void setup() override {
     this->only = this->harness.fixture.AddUpstream(0, 2);
-    this->harness.fixture.NameUpstreams();
+    this->harness.fixture.AddIncarnations();
     this->harness.Apply();
   }
 
-  UpstreamHandle StartAgain() {
-    this->only = this->harness.fixture.StartAgain(this->only);
+  UpstreamHandle RestartUpstream() {
+    this->only = this->harness.fixture.RestartUpstream(this->only);
     this->harness.Apply();
     return this->only;
   }
@@ -40,7 +40,7 @@
 // request that runs there would be waited for until its time is over.
 TEST(DispatchRestart, RunsOnTheOlderStart_Idempotent_GoesToTheYounger) {
   const uint64_t cookie = this->harness.Offer();
-  const UpstreamHandle younger = this->StartAgain();
+  const UpstreamHandle younger = this->RestartUpstream();
   this->harness.Advance(2ms);
   CHECK_EQUAL(1, this->harness.cancelled.size());
   CHECK(this->harness.RunOf(cookie).upstream == younger);
@@ -50,7 +50,7 @@
 // so, at once, and not sent again.
 TEST(DispatchRestart, RunsOnTheOlderStart_Unsafe_ToldAsUnknownAtOnce) {
   const uint64_t cookie = this->harness.Offer(this->Unsafe());
-  this->StartAgain();
+  this->RestartUpstream();
   this->harness.Advance(2ms);
   CHECK(this->harness.RefusalFor(cookie) == Refusal::kUpstreamDied);
   CHECK_EQUAL(0, this->harness.running.size());
@@ -60,7 +60,7 @@
 // next tick: it is the caller's.
 TEST(DispatchRestart, AnswerAlreadyThere_IsDelivered) {
   const uint64_t cookie = this->harness.Offer(this->Unsafe());
-  this->StartAgain();
+  this->RestartUpstream();
   CHECK_FALSE(this->harness.End(cookie, AttemptEnd::kAnswered));
   this->harness.Advance(2ms);
   CHECK(this->harness.RefusalFor(cookie) == Refusal::kNone);
@@ -75,7 +75,7 @@
   this->harness.End(first, report);
   const uint64_t refused = this->harness.Offer();
   CHECK(this->harness.RefusalFor(refused) == Refusal::kNoUpstream);
-  const UpstreamHandle younger = this->StartAgain();
+  const UpstreamHandle younger = this->RestartUpstream();
   const uint64_t cookie = this->harness.Offer();
   CHECK(this->harness.RunOf(cookie).upstream == younger);
 }
@@ -85,7 +85,7 @@
 TEST(DispatchRestart, OlderStartWasFull_YoungerHasAllSlots) {
   this->harness.Offer(this->Unsafe());
   this->harness.Offer(this->Unsafe());
-  const UpstreamHandle younger = this->StartAgain();
+  const UpstreamHandle younger = this->RestartUpstream();
   const uint64_t cookie = this->harness.Offer(this->Unsafe());
   CHECK(this->harness.RunOf(cookie).upstream == younger);
 }
@@ -93,7 +93,7 @@
 // What ended at the older start, told late, says nothing of the younger one.
 TEST(DispatchRestart, OlderStartFailsLate_YoungerNotPaused) {
   const uint64_t late = this->harness.Offer(this->Unsafe());
-  this->StartAgain();
+  this->RestartUpstream();
   this->harness.End(late, AttemptEnd::kDied);
   const UpstreamHandle younger = this->only;
   const uint64_t cookie = this->harness.Offer(this->Unsafe());
--- a/packages/decision/test/dispatch_speed_test.cc
+++ b/packages/decision/test/dispatch_speed_test.cc
@@ -12,11 +12,11 @@
 #include <CppUTest/TestHarness.h>
 
 using namespace std::chrono_literals;
-using basilsill::AskReport;
 using basilsill::AttemptEnd;
 using basilsill::DispatcherOptions;
 using basilsill::DispatchHarness;
 using basilsill::Duration;
+using basilsill::LoadQueryReport;
 using basilsill::TimePoint;
 using basilsill::UpstreamHandle;
 
@@ -171,10 +171,10 @@
 // An upstream that says nothing of its speed is not asked again and again.
 TEST(DispatchSpeed, Offer_AnswerWithoutLoad_GoesOnWithoutAsking) {
   const uint64_t first = this->harness.Offer();
-  AskReport report;
+  LoadQueryReport report;
   report.answered = true;
-  this->harness.dispatcher->OnAsked(this->harness.now,
-                                    this->harness.asked.at(0), report);
+  this->harness.dispatcher->OnLoadQueryEnd(this->harness.now,
+                                           this->harness.asked.at(0), report);
   this->harness.Collect();
   CHECK(IsValid(this->harness.RunOf(first).attempt));
   const size_t asked = this->harness.asked.size();
@@ -188,10 +188,10 @@
 TEST(DispatchSpeed, OnAsked_AnotherUpstreamAnswers_GetsNoWork) {
   this->harness.Offer();
   const UpstreamHandle gone = this->harness.asked.at(0);
-  AskReport report;
+  LoadQueryReport report;
   report.answered = true;
   report.foreign = true;
-  this->harness.dispatcher->OnAsked(this->harness.now, gone, report);
+  this->harness.dispatcher->OnLoadQueryEnd(this->harness.now, gone, report);
   this->harness.Collect();
   for (int i = 0; i < 8; ++i) {
     this->harness.Offer();
--- a/packages/decision/test/rate_limit_test.cc
+++ b/packages/decision/test/rate_limit_test.cc
@@ -157,16 +157,16 @@
   DispatchHarness second;
   for (DispatchHarness* harness : {&first, &second}) {
     harness->fixture.AddUpstream(0);
-    harness->fixture.NameUpstreams();
+    harness->fixture.AddIncarnations();
     harness->Apply();
   }
-  second.fixture.StartAgain({0, 0});
+  second.fixture.RestartUpstream({0, 0});
   second.Apply();
   const uint64_t cookie = first.Offer();
   AttemptReport report = DispatchHarness::Report(AttemptEnd::kAnswered);
   report.rate_limit = {RateLimitWord::kNamed, 0};
   first.End(cookie, report);
-  const auto news = first.dispatcher->TakeRateLimitNews(first.now);
+  const auto news = first.dispatcher->TakeRateLimitUpdates(first.now);
   CHECK(!news.empty());
   second.dispatcher->OnRateLimitReport(second.now, news.front().report);
   second.Offer();
@@ -364,9 +364,9 @@
 
 // It starts again at the same address: what the earlier start said is over.
 TEST(RateLimitWays, View_ReplacedAtOneAddress_NotLimited) {
-  this->harness->fixture.NameUpstreams();
+  this->harness->fixture.AddIncarnations();
   this->Name(0);
-  this->limited = this->harness->fixture.StartAgain(this->limited);
+  this->limited = this->harness->fixture.RestartUpstream(this->limited);
   this->harness->Apply();
   this->OfferMany();
   CHECK(this->harness->RunningOn(this->limited) > 0);
--- a/packages/decision/test/rate_limit_world.cc
+++ b/packages/decision/test/rate_limit_world.cc
@@ -134,7 +134,7 @@
   }
   vm.tells_at = this->now + kTellInterval;
   for (const RateLimitNews& news :
-       vm.harness.dispatcher->TakeRateLimitNews(this->now)) {
+       vm.harness.dispatcher->TakeRateLimitUpdates(this->now)) {
     for (const auto& other : this->vms) {
       const bool is_meant = other->harness.fixture.view.self == news.to;
       if (is_meant && !vm.cut_off && !other->cut_off) {
@@ -218,11 +218,11 @@
   while (!vm.questions.empty() && vm.questions.front().due <= this->now) {
     const UpstreamHandle upstream = vm.questions.front().upstream;
     vm.questions.pop_front();
-    AskReport report;
+    LoadQueryReport report;
     report.answered = true;
     report.load = {true, true, 0, 0, this->options.slots, 1};
     report.rate_limit = {RateLimitWord::kNone, 0};
-    vm.harness.dispatcher->OnAsked(this->now, upstream, report);
+    vm.harness.dispatcher->OnLoadQueryEnd(this->now, upstream, report);
     vm.harness.Collect();
   }
 }
--- a/packages/node/src/dispatch_host.cc
+++ b/packages/node/src/dispatch_host.cc
@@ -281,7 +281,7 @@
 }
 
 void DispatchHost::Perform(const DispatchAction& action) {
-  if (action.kind == DispatchActionKind::kAsk) {
+  if (action.kind == DispatchActionKind::kQueryLoad) {
     this->StartAsking(action);
     return;
   }
@@ -300,7 +300,7 @@
     case DispatchActionKind::kCancel:
       this->CancelAttempt(*job, action.attempt);
       break;
-    case DispatchActionKind::kAsk:
+    case DispatchActionKind::kQueryLoad:
     case DispatchActionKind::kCount:
       break;
   }
@@ -316,15 +316,15 @@
                           Unattended{"ask-upstream"});
     return;
   }
-  this->dispatcher->OnAsked(MonotonicClock::now(), action.upstream, {});
+  this->dispatcher->OnLoadQueryEnd(MonotonicClock::now(), action.upstream, {});
 }
 
 Task<void> DispatchHost::AskUpstream(UpstreamHandle upstream,
                                      AttemptTarget target,
                                      std::string health_path) {
-  const AskReport report =
+  const LoadQueryReport report =
       co_await AskForLoad(this->pool, std::move(target), health_path);
-  this->dispatcher->OnAsked(MonotonicClock::now(), upstream, report);
+  this->dispatcher->OnLoadQueryEnd(MonotonicClock::now(), upstream, report);
   this->Pump();
 }
 
--- a/packages/node/src/dispatch_host.h
+++ b/packages/node/src/dispatch_host.h
@@ -44,8 +44,8 @@
   void ImportRateLimit(TimePoint now, const RateLimitReport& report);
 
   /// @returns what other VMs have to be told of rate limits.
-  std::vector<RateLimitNews> TakeRateLimitNews(TimePoint now) {
-    return this->dispatcher->TakeRateLimitNews(now);
+  std::vector<RateLimitNews> TakeRateLimitUpdates(TimePoint now) {
+    return this->dispatcher->TakeRateLimitUpdates(now);
   }
 
   ShardSummary Summarize(ShardKey shard) const;
--- a/packages/node/src/upstream_attempt.cc
+++ b/packages/node/src/upstream_attempt.cc
@@ -70,7 +70,7 @@
   load.known = true;
   if (TakeNumber(text, percent) && percent > 0) {
     load.slowness = percent / 100.0;
-    load.tells_slowness = true;
+    load.reports_slowness = true;
   }
   return load;
 }
--- a/packages/node/src/upstream_question.cc
+++ b/packages/node/src/upstream_question.cc
@@ -49,10 +49,10 @@
 
 }  // namespace
 
-Task<AskReport> AskForLoad(UpstreamPool& pool,
-                           AttemptTarget target,
-                           std::string path) {
-  AskReport report;
+Task<LoadQueryReport> AskForLoad(UpstreamPool& pool,
+                                 AttemptTarget target,
+                                 std::string path) {
+  LoadQueryReport report;
   UpstreamConnectionPtr connection = pool.TakeIdle(target);
   if (!connection) {
     connection = co_await pool.Open(target);
--- a/packages/node/src/worker.cc
+++ b/packages/node/src/worker.cc
@@ -83,7 +83,7 @@
     dispatcher.features.reserve = false;
     dispatcher.features.send_ahead = false;
   }
-  dispatcher.cold_is_told = !installation.headers.cold.empty();
+  dispatcher.cold_is_reported = !installation.headers.cold.empty();
   dispatcher.seed = options.seed;
   dispatcher.quarantine =
       installation.features.quarantine ? quarantine : nullptr;
@@ -394,7 +394,8 @@
 }
 
 void Worker::ReportRateLimits(TimePoint now) {
-  std::vector<RateLimitNews> news = this->dispatch_host.TakeRateLimitNews(now);
+  std::vector<RateLimitNews> news =
+      this->dispatch_host.TakeRateLimitUpdates(now);
   if (!news.empty() && this->options.on_rate_limits) {
     this->options.on_rate_limits(std::move(news));
   }
