--- a/packages/decision/src/cold_quota.cc
+++ b/packages/decision/src/cold_quota.cc
@@ -17,7 +17,7 @@
 constexpr uint32_t kAskFrom = 1;
 
 // One that has not answered by now is busy, cut off or gone.
-constexpr Duration kAskPatience = std::chrono::milliseconds(20);
+constexpr Duration kLoadQueryTimeout = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -71,7 +71,7 @@
 
 bool ColdQuota::IsWorthAsking(TimePoint now) const {
   return this->share > 0 && now >= this->told_cold_until &&
-         now - this->asked_at >= kAskPatience &&
+         now - this->asked_at >= kLoadQueryTimeout &&
          this->CountLeft(now) <= kAskFrom;
 }
 
--- a/packages/decision/src/dispatch_tables.h
+++ b/packages/decision/src/dispatch_tables.h
@@ -62,7 +62,7 @@
   bool maybe_ran : 1 = false;  ///< Then no refusal may promise `not-run`.
   bool answer_started : 1 = false;
   bool held_for_rate : 1 = false;   ///< It waits where rate limits bind all.
-  bool asked_idle = false;          ///< Idle upstreams were asked for its sake.
+  bool idle_queried = false;        ///< Idle upstreams were asked for its sake.
   Retry next_retry = Retry::kNone;  ///< Reason of the attempt to come.
   TimePoint offered;
   TimePoint hedge_at = kNever;
@@ -80,9 +80,9 @@
   TimePoint start;
   TrafficClass traffic_class = TrafficClass::kOrdinary;
   bool hedge = false;
-  bool ahead = false;       ///< Sent before a slot was free, to wait there.
-  bool typical = false;     ///< Its time counts among its siblings'.
-  bool crash_told = false;  ///< Its upstream's death is on record.
+  bool ahead = false;           ///< Sent before a slot was free, to wait there.
+  bool typical = false;         ///< Its time counts among its siblings'.
+  bool crash_reported = false;  ///< Its upstream's death is on record.
 };
 
 /// An upstream as its shard's dispatcher sees it.
@@ -187,13 +187,13 @@
   std::array<uint32_t, kClasses> running{};
   /// Whether its upstreams say how slow they are; they are thought to until
   /// one of them says nothing of it.
-  bool tells_speed = true;
+  bool reports_speed = true;
   /// How long requests are held until an upstream is fast again; before any
   /// was, about what a spell of slowness has left when it is met.
   Duration hold_time = std::chrono::milliseconds(50);
   bool can_be_asked = false;  ///< The service has a health check.
   /// When asked, its upstreams also say whether they are cold.
-  bool tells_cold = false;
+  bool reports_cold = false;
   bool any_superseded = false;  ///< Of `upstreams`, with work to be ended.
   /// Rate limits alone say how much its upstreams do, as of the scan.
   bool rate_bound = false;
--- a/packages/decision/src/dispatcher.cc
+++ b/packages/decision/src/dispatcher.cc
@@ -14,7 +14,7 @@
 // Teams or classes count as sharing a shard for so long.
 constexpr Duration kMixedTime = std::chrono::seconds(1);
 
-void NoteMix(TimePoint now, ShardState& shard, const RequestRow& request) {
+void TrackMix(TimePoint now, ShardState& shard, const RequestRow& request) {
   const bool differs = shard.last_lane != request.lane ||
                        shard.last_class != request.spec.traffic_class;
   if (differs && shard.last_lane != kNoRow) {
@@ -43,12 +43,12 @@
       random(options.seed) {
   this->timers.Reserve(options.max_requests);
   this->active.reserve(limits::kMaxShardsPerWorker);
-  this->pending.reserve(kActionReserve);
+  this->emitted_actions.reserve(kActionReserve);
   this->emitted_events.reserve(kActionReserve);
 }
 
 const std::vector<DispatchAction>& DispatcherCore::actions() const {
-  return this->pending;
+  return this->emitted_actions;
 }
 
 const std::vector<UpstreamEvent>& DispatcherCore::events() const {
@@ -60,7 +60,7 @@
 }
 
 void DispatcherCore::ClearActions() {
-  this->pending.clear();
+  this->emitted_actions.clear();
   this->emitted_events.clear();
 }
 
@@ -109,7 +109,7 @@
   shard.last_used = now;
   this->Activate(shard_row);
   this->TrackLoad(now, shard);
-  NoteMix(now, shard, row);
+  TrackMix(now, shard, row);
   this->queue.Push(shard, handle.index, false);
   this->SetTimer(handle.index);
   this->Pump(now, shard_row);
@@ -191,7 +191,7 @@
   action.cookie = request.cookie;
   action.refusal = verdict.refusal;
   action.retry_after = verdict.retry_after;
-  this->pending.push_back(action);
+  this->emitted_actions.push_back(action);
   ++this->counts.refusals[static_cast<size_t>(verdict.refusal)];
 }
 
@@ -249,8 +249,8 @@
   action.kind = kind;
   action.request = this->requests.HandleAt(row);
   action.cookie = this->Request(row).spec.cookie;
-  this->pending.push_back(action);
-  return this->pending.back();
+  this->emitted_actions.push_back(action);
+  return this->emitted_actions.back();
 }
 
 void DispatcherCore::RecordEvent(UpstreamEventKind kind,
--- a/packages/decision/src/dispatcher_admit.cc
+++ b/packages/decision/src/dispatcher_admit.cc
@@ -12,7 +12,7 @@
 
 // A pause of all upstreams up to this long is waited for; with a longer one
 // the entry VM does better to go elsewhere.
-constexpr Duration kPatience = std::chrono::milliseconds(20);
+constexpr Duration kMaxPauseWaited = std::chrono::milliseconds(20);
 
 // An upstream that failed so often in a row is thought to be down.
 constexpr uint8_t kFailuresInARow = 2;
@@ -85,7 +85,7 @@
       continue;
     }
     const bool failing = upstream.failures >= kFailuresInARow;
-    if (!failing && upstream.paused_until <= now + kPatience) {
+    if (!failing && upstream.paused_until <= now + kMaxPauseWaited) {
       return {};
     }
     may_try |=
--- a/packages/decision/src/dispatcher_core.h
+++ b/packages/decision/src/dispatcher_core.h
@@ -15,7 +15,7 @@
 /// The dispatcher itself. Its parts stand in one file each: dispatcher.cc
 /// takes requests in and lets them go, dispatcher_admit.cc decides which are
 /// refused at once, dispatcher_start.cc binds them to slots, dispatcher_end.cc
-/// settles what an end of an attempt means, dispatcher_learn.cc what it says
+/// settles what an end of an attempt means, dispatcher_outcome.cc what it says
 /// of the upstream, dispatcher_rate_limit.cc what it says of a rate limit, and
 /// dispatcher_tick.cc has what time does.
 
@@ -114,10 +114,10 @@
   bool MayStart(const ShardState& shard, RingKind ring) const;
 
   // dispatcher_speed.cc
-  void SetSpeedTerms(TimePoint now,
-                     const ShardState& shard,
-                     const RequestRow& request,
-                     ChoiceOptions& choice) const;
+  void SetSpeedOptions(TimePoint now,
+                       const ShardState& shard,
+                       const RequestRow& request,
+                       ChoiceOptions& choice) const;
   static double SlownessLimitOf(TimePoint now,
                                 const ShardState& shard,
                                 const DispatchRequest& spec);
@@ -128,26 +128,27 @@
             ShardState& shard,
             uint32_t row,
             const ChoiceOptions& choice);
-  static void LearnHold(TimePoint now,
+  static void RecordHold(TimePoint now,
+                         ShardState& shard,
+                         const RequestRow& request);
+  bool ShouldLeaveSlow(const ShardState& shard,
+                       const RequestRow& request) const;
+  void QueryLoad(TimePoint now, ShardState& shard, uint32_t place);
+  bool HoldForIdle(TimePoint now,
+                   ShardState& shard,
+                   uint32_t row,
+                   uint32_t chosen,
+                   const ChoiceOptions& choice);
+  bool QueryWarmth(TimePoint now, ShardState& shard, uint32_t place);
+  void QueryWarmthOfFree(TimePoint now, ShardState& shard);
+  void RecordLoadReport(TimePoint now,
                         ShardState& shard,
-                        const RequestRow& request);
-  bool MovesFromSlow(const ShardState& shard, const RequestRow& request) const;
-  void Ask(TimePoint now, ShardState& shard, uint32_t place);
-  bool WaitsForIdle(TimePoint now,
-                    ShardState& shard,
-                    uint32_t row,
-                    uint32_t chosen,
-                    const ChoiceOptions& choice);
-  bool AskIfWarm(TimePoint now, ShardState& shard, uint32_t place);
-  void AskWhetherWarm(TimePoint now, ShardState& shard);
-  void LearnLoad(TimePoint now,
-                 ShardState& shard,
-                 uint32_t place,
-                 const UpstreamLoad& load);
+                        uint32_t place,
+                        const UpstreamLoad& load);
   uint32_t CapOf(const ShardState& shard, RingKind ring) const;
-  bool RefuseIfHopeless(TimePoint now, ShardState& shard, uint32_t request);
+  bool RefuseIfUnservable(TimePoint now, ShardState& shard, uint32_t request);
   bool CheckFront(TimePoint now, ShardState& shard, uint32_t request);
-  bool PutBehindIfLate(TimePoint now, ShardState& shard, uint32_t request);
+  bool DeprioritizeIfLate(TimePoint now, ShardState& shard, uint32_t request);
   void AddSuspect(ShardState& shard, uint32_t request);
   void RemoveSuspect(ShardState& shard, uint32_t request);
   void ServeSuspects(TimePoint now, uint32_t shard);
@@ -161,36 +162,38 @@
   void TrackLoad(TimePoint now, ShardState& shard);
 
   // dispatcher_end.cc
-  void Settle(TimePoint now,
-              uint32_t request,
-              const AttemptRow& attempt,
-              const AttemptReport& report);
-  bool GoesOnAfterFailure(TimePoint now,
-                          uint32_t request,
-                          const AttemptRow& attempt,
-                          const AttemptReport& report);
-  void WaitAgain(uint32_t request, const AttemptRow& attempt, Retry reason);
+  void HandleFailedAttempt(TimePoint now,
+                           uint32_t request,
+                           const AttemptRow& attempt,
+                           const AttemptReport& report);
+  bool RetryFailedAnswer(TimePoint now,
+                         uint32_t request,
+                         const AttemptRow& attempt,
+                         const AttemptReport& report);
+  void RequeueForRetry(uint32_t request,
+                       const AttemptRow& attempt,
+                       Retry reason);
   uint8_t AttemptsLeft(const RequestRow& request) const;
   Verdict VerdictOf(TimePoint now, const RequestRow& request, AttemptEnd end);
-  Retry JudgeRetry(TimePoint now,
-                   const RequestRow& request,
-                   const AttemptRow& attempt,
-                   const AttemptReport& report);
+  Retry DecideRetry(TimePoint now,
+                    const RequestRow& request,
+                    const AttemptRow& attempt,
+                    const AttemptReport& report);
   void Release(TimePoint now, AttemptHandle attempt);
   void AdvanceAhead(TimePoint now, const UpstreamSlots& upstream);
   void CancelAttempts(TimePoint now, uint32_t request, AttemptHandle except);
 
-  // dispatcher_learn.cc
-  void Learn(TimePoint now,
-             const AttemptRow& attempt,
-             const AttemptReport& report);
-  void LearnAnswer(TimePoint now, const AttemptRow& attempt);
-  void LearnError(TimePoint now, const AttemptRow& attempt, AttemptEnd end);
-  void LearnShed(TimePoint now, const AttemptRow& attempt);
-  void NoteTrickle(TimePoint now, UpstreamSlots& upstream, bool good);
+  // dispatcher_outcome.cc
+  void RecordAttemptEnd(TimePoint now,
+                        const AttemptRow& attempt,
+                        const AttemptReport& report);
+  void RecordAnswer(TimePoint now, const AttemptRow& attempt);
+  void RecordError(TimePoint now, const AttemptRow& attempt, AttemptEnd end);
+  void RecordShed(TimePoint now, const AttemptRow& attempt);
+  void ScheduleTrickle(TimePoint now, UpstreamSlots& upstream, bool good);
   void Drain(TimePoint now, ShardState& shard, UpstreamSlots& upstream);
-  void TellCrash(TimePoint now, uint32_t shard, UpstreamSlots& upstream);
-  void JudgeUpstream(TimePoint now, ShardState& shard, uint32_t upstream);
+  void ReportCrash(TimePoint now, uint32_t shard, UpstreamSlots& upstream);
+  void UpdateGrade(TimePoint now, ShardState& shard, uint32_t upstream);
 
   // dispatcher_rate_limit.cc
   void RecordRateLimit(TimePoint now,
@@ -216,7 +219,7 @@
                       const ShardState& shard,
                       const RequestRow& request) const;
   void Scan(TimePoint now, uint32_t shard);
-  void RescueFrom(TimePoint now, const UpstreamSlots& upstream);
+  void HedgeAttemptsOn(TimePoint now, const UpstreamSlots& upstream);
   double RunningEvidence(TimePoint now,
                          const ShardState& shard,
                          const UpstreamSlots& upstream) const;
@@ -236,7 +239,7 @@
   std::vector<RateLimitReport> ended_limits;  ///< Others are not told yet.
   bool handing_back = false;
   pcg32 random;  ///< For jitter.
-  std::vector<DispatchAction> pending;
+  std::vector<DispatchAction> emitted_actions;
   std::vector<UpstreamEvent> emitted_events;
   DispatchCounters counts;
 };
--- a/packages/decision/src/dispatcher_end.cc
+++ b/packages/decision/src/dispatcher_end.cc
@@ -88,13 +88,13 @@
   }
   const AttemptRow attempt = *found;
   const uint32_t row = attempt.request.index;
-  this->Learn(now, attempt, report);
+  this->RecordAttemptEnd(now, attempt, report);
   this->Release(now, handle);
   RequestRow& request = this->Request(row);
   // Nothing reached an upstream that could not be connected to.
   request.sends -= report.end == AttemptEnd::kConnectFailed ? 1 : 0;
   if (IsFailedAnswer(report) && !request.answer_started &&
-      this->GoesOnAfterFailure(now, row, attempt, report)) {
+      this->RetryFailedAnswer(now, row, attempt, report)) {
     this->Pump(now, attempt.shard);
     return true;
   }
@@ -111,7 +111,7 @@
     this->CancelAttempts(now, row, {});
     this->EndRequest(row);
   } else {
-    this->Settle(now, row, attempt, report);
+    this->HandleFailedAttempt(now, row, attempt, report);
   }
   this->Pump(now, attempt.shard);
   return !final_end;
@@ -119,10 +119,10 @@
 
 // An attempt ended without an answer: another one goes on, or the request
 // waits again, or it is refused.
-void DispatcherCore::Settle(TimePoint now,
-                            uint32_t row,
-                            const AttemptRow& attempt,
-                            const AttemptReport& report) {
+void DispatcherCore::HandleFailedAttempt(TimePoint now,
+                                         uint32_t row,
+                                         const AttemptRow& attempt,
+                                         const AttemptReport& report) {
   RequestRow& request = this->Request(row);
   const bool other_runs =
       IsValid(request.running[0]) || IsValid(request.running[1]);
@@ -132,21 +132,21 @@
     return;
   }
   this->CancelAttempts(now, row, {});
-  const Retry reason = this->JudgeRetry(now, request, attempt, report);
+  const Retry reason = this->DecideRetry(now, request, attempt, report);
   if (reason == Retry::kNone) {
     this->Refuse(row, this->VerdictOf(now, request, report.end));
     return;
   }
   request.answer_started = false;
   request.maybe_ran |= MayHaveRun(report.end);
-  this->WaitAgain(row, attempt, reason);
+  this->RequeueForRetry(row, attempt, reason);
 }
 
 // The shell keeps the failed answer, for when nothing better comes.
-bool DispatcherCore::GoesOnAfterFailure(TimePoint now,
-                                        uint32_t row,
-                                        const AttemptRow& attempt,
-                                        const AttemptReport& report) {
+bool DispatcherCore::RetryFailedAnswer(TimePoint now,
+                                       uint32_t row,
+                                       const AttemptRow& attempt,
+                                       const AttemptReport& report) {
   RequestRow& request = this->Request(row);
   request.maybe_ran = true;
   if (request.spec.max_attempts == 0) {
@@ -155,16 +155,16 @@
   if (IsValid(request.running[0]) || IsValid(request.running[1])) {
     return true;
   }
-  const Retry reason = this->JudgeRetry(now, request, attempt, report);
+  const Retry reason = this->DecideRetry(now, request, attempt, report);
   if (reason != Retry::kNone) {
-    this->WaitAgain(row, attempt, reason);
+    this->RequeueForRetry(row, attempt, reason);
   }
   return reason != Retry::kNone;
 }
 
-void DispatcherCore::WaitAgain(uint32_t row,
-                               const AttemptRow& attempt,
-                               Retry reason) {
+void DispatcherCore::RequeueForRetry(uint32_t row,
+                                     const AttemptRow& attempt,
+                                     Retry reason) {
   RequestRow& request = this->Request(row);
   request.avoid = attempt.upstream;
   request.next_retry = reason;
@@ -221,10 +221,10 @@
 }
 
 // @returns why the request is tried again, or kNone if it is not.
-Retry DispatcherCore::JudgeRetry(TimePoint now,
-                                 const RequestRow& request,
-                                 const AttemptRow& attempt,
-                                 const AttemptReport& report) {
+Retry DispatcherCore::DecideRetry(TimePoint now,
+                                  const RequestRow& request,
+                                  const AttemptRow& attempt,
+                                  const AttemptReport& report) {
   const AttemptEnd end = report.end;
   Retry reason = Retry::kNone;
   if (end == AttemptEnd::kShed || end == AttemptEnd::kMisdirected) {
@@ -332,12 +332,12 @@
     const AttemptRow attempt = this->Attempt(handle.index);
     ShardState& shard = this->shards.at(attempt.shard);
     UpstreamSlots& upstream = shard.upstreams[attempt.upstream];
-    upstream.health.OnGivenUp(this->EvidenceOf(now, shard, attempt));
+    upstream.health.OnCancelled(this->EvidenceOf(now, shard, attempt));
     DispatchAction& action = this->Emit(DispatchActionKind::kCancel, row);
     action.attempt = handle;
     action.upstream = upstream.handle;
     this->Release(now, handle);
-    this->JudgeUpstream(now, shard, attempt.upstream);
+    this->UpdateGrade(now, shard, attempt.upstream);
   }
 }
 
--- a/packages/decision/src/dispatcher_outcome.cc
+++ b/packages/decision/src/dispatcher_outcome.cc
@@ -102,12 +102,12 @@
 
 }  // namespace
 
-void DispatcherCore::Learn(TimePoint now,
-                           const AttemptRow& attempt,
-                           const AttemptReport& report) {
+void DispatcherCore::RecordAttemptEnd(TimePoint now,
+                                      const AttemptRow& attempt,
+                                      const AttemptReport& report) {
   ShardState& shard = this->shards.at(attempt.shard);
   UpstreamSlots& upstream = shard.upstreams[attempt.upstream];
-  this->LearnLoad(now, shard, attempt.upstream, report.load);
+  this->RecordLoadReport(now, shard, attempt.upstream, report.load);
   if (report.end != AttemptEnd::kMisdirected) {
     this->RecordRateLimit(now, attempt.start, shard, attempt.upstream,
                           report.rate_limit);
@@ -120,23 +120,23 @@
     const RequestRow& request = this->Request(attempt.request.index);
     this->options.quarantine->OnAnswered(now, request.spec.fingerprint);
   }
-  if (report.end == AttemptEnd::kDied && !attempt.crash_told) {
-    this->TellCrash(now, attempt.shard, upstream);
+  if (report.end == AttemptEnd::kDied && !attempt.crash_reported) {
+    this->ReportCrash(now, attempt.shard, upstream);
   }
   if (report.end == AttemptEnd::kMisdirected) {
     this->Drain(now, shard, upstream);
   }
   if (IsError(report)) {
-    this->LearnError(now, attempt, report.end);
+    this->RecordError(now, attempt, report.end);
   } else if (answered) {
-    this->LearnAnswer(now, attempt);
+    this->RecordAnswer(now, attempt);
   } else if (report.end == AttemptEnd::kShed) {
-    this->LearnShed(now, attempt);
+    this->RecordShed(now, attempt);
   }
-  this->JudgeUpstream(now, shard, attempt.upstream);
+  this->UpdateGrade(now, shard, attempt.upstream);
 }
 
-void DispatcherCore::LearnAnswer(TimePoint now, const AttemptRow& attempt) {
+void DispatcherCore::RecordAnswer(TimePoint now, const AttemptRow& attempt) {
   ShardState& shard = this->shards.at(attempt.shard);
   UpstreamSlots& upstream = shard.upstreams[attempt.upstream];
   LatencyStats& stats = shard.stats[static_cast<size_t>(attempt.traffic_class)];
@@ -164,14 +164,14 @@
   if (upstream.ramp_left > 0 && --upstream.ramp_left == 0) {
     RecountSlots(now, shard);
   }
-  this->NoteTrickle(now, upstream, good);
+  this->ScheduleTrickle(now, upstream, good);
 }
 
 // An error is no fast answer: its time does not count, whatever it was, and
 // an upstream that fails beside healthy siblings is marked.
-void DispatcherCore::LearnError(TimePoint now,
-                                const AttemptRow& attempt,
-                                AttemptEnd end) {
+void DispatcherCore::RecordError(TimePoint now,
+                                 const AttemptRow& attempt,
+                                 AttemptEnd end) {
   ShardState& shard = this->shards.at(attempt.shard);
   UpstreamSlots& upstream = shard.upstreams[attempt.upstream];
   upstream.error_share += kErrorWeight * (1 - upstream.error_share);
@@ -189,10 +189,10 @@
                                                : UpstreamEventKind::kBackedOff,
                       shard, upstream);
   }
-  this->NoteTrickle(now, upstream, false);
+  this->ScheduleTrickle(now, upstream, false);
 }
 
-void DispatcherCore::LearnShed(TimePoint now, const AttemptRow& attempt) {
+void DispatcherCore::RecordShed(TimePoint now, const AttemptRow& attempt) {
   ShardState& shard = this->shards.at(attempt.shard);
   UpstreamSlots& upstream = shard.upstreams[attempt.upstream];
   if (attempt.ahead) {
@@ -212,9 +212,9 @@
 
 // A marked upstream that did well is tried again at once, so that it comes
 // back within some requests; one that did badly has to wait.
-void DispatcherCore::NoteTrickle(TimePoint now,
-                                 UpstreamSlots& upstream,
-                                 bool good) {
+void DispatcherCore::ScheduleTrickle(TimePoint now,
+                                     UpstreamSlots& upstream,
+                                     bool good) {
   upstream.recovering = good;
   if (upstream.health.grade() == UpstreamGrade::kFull || good) {
     upstream.trickle_pause = kTricklePause;
@@ -240,9 +240,9 @@
 // All that ran there is suspect alike. Their own ends will be reported as
 // deaths too, and are the same crash. An upstream that is leaving and cuts
 // connections did not crash.
-void DispatcherCore::TellCrash(TimePoint now,
-                               uint32_t shard_row,
-                               UpstreamSlots& upstream) {
+void DispatcherCore::ReportCrash(TimePoint now,
+                                 uint32_t shard_row,
+                                 UpstreamSlots& upstream) {
   if (!this->options.quarantine || !TakesWork(now, upstream)) {
     return;
   }
@@ -251,7 +251,7 @@
   for (uint32_t row = upstream.running; row != kNoRow;
        row = this->Attempt(row).next) {
     AttemptRow& attempt = this->Attempt(row);
-    attempt.crash_told = true;
+    attempt.crash_reported = true;
     const Fingerprint fingerprint =
         this->Request(attempt.request.index).spec.fingerprint;
     if (fingerprint != 0 && count < suspects.size()) {
@@ -266,12 +266,12 @@
   }
 }
 
-void DispatcherCore::JudgeUpstream(TimePoint now,
-                                   ShardState& shard,
-                                   uint32_t place) {
+void DispatcherCore::UpdateGrade(TimePoint now,
+                                 ShardState& shard,
+                                 uint32_t place) {
   UpstreamSlots& upstream = shard.upstreams[place];
   const double running = this->RunningEvidence(now, shard, upstream);
-  const UpstreamGrade grade = upstream.health.Judge(running);
+  const UpstreamGrade grade = upstream.health.Evaluate(running);
   const bool marks = grade != UpstreamGrade::kFull;
   if (grade == upstream.health.grade() || (marks && !MayMark(shard, grade))) {
     return;
@@ -281,12 +281,12 @@
   switch (upstream.health.grade()) {
     case UpstreamGrade::kSlow:
       this->RecordEvent(UpstreamEventKind::kStraggling, shard, upstream);
-      this->NoteTrickle(now, upstream, false);
-      this->RescueFrom(now, upstream);
+      this->ScheduleTrickle(now, upstream, false);
+      this->HedgeAttemptsOn(now, upstream);
       break;
     case UpstreamGrade::kFailing:
       this->RecordEvent(UpstreamEventKind::kFailing, shard, upstream);
-      this->NoteTrickle(now, upstream, false);
+      this->ScheduleTrickle(now, upstream, false);
       break;
     default:
       this->RecordEvent(UpstreamEventKind::kRecovered, shard, upstream);
--- a/packages/decision/src/dispatcher_speed.cc
+++ b/packages/decision/src/dispatcher_speed.cc
@@ -12,7 +12,7 @@
 
 // Upstreams that are asked at a time. With a quarter of them
 // slow at any moment, all of so many are in 2 of 100 cases.
-constexpr uint32_t kAskAtOnce = 3;
+constexpr uint32_t kMaxLoadQueries = 3;
 
 // While a request is held, upstreams are asked again this often.
 constexpr Duration kHoldScan = std::chrono::milliseconds(10);
@@ -38,7 +38,7 @@
                                       const ShardState& shard,
                                       const RequestRow& request) const {
   if (!this->options.features.speed || !shard.can_be_asked ||
-      !shard.tells_speed) {
+      !shard.reports_speed) {
     return SpeedRule::kIgnore;
   }
   const LatencyStats& stats =
@@ -53,10 +53,10 @@
 
 // The limit also keeps a request that is held from asking those that can't
 // help.
-void DispatcherCore::SetSpeedTerms(TimePoint now,
-                                   const ShardState& shard,
-                                   const RequestRow& request,
-                                   ChoiceOptions& choice) const {
+void DispatcherCore::SetSpeedOptions(TimePoint now,
+                                     const ShardState& shard,
+                                     const RequestRow& request,
+                                     ChoiceOptions& choice) const {
   choice.speed = this->SpeedRuleOf(now, shard, request);
   if (choice.speed != SpeedRule::kIgnore &&
       this->options.features.slowness_limit) {
@@ -82,7 +82,7 @@
   }
   const double limit = std::chrono::duration<double>(spec.deadline - now) /
                        std::chrono::duration<double>(stats.median());
-  return HasWithin(now, shard, limit) ? limit : none;
+  return HasUpstreamWithin(now, shard, limit) ? limit : none;
 }
 
 // Failure: the upstreams of a service near are all slow at this moment, and a
@@ -92,8 +92,8 @@
 // slow ones once such a wait was too long. So a request that may still move
 // goes back to its entry VM at once, if what that expects elsewhere is less
 // than the usual length of such a wait here.
-bool DispatcherCore::MovesFromSlow(const ShardState& shard,
-                                   const RequestRow& request) const {
+bool DispatcherCore::ShouldLeaveSlow(const ShardState& shard,
+                                     const RequestRow& request) const {
   return this->options.features.leave_slow &&
          request.spec.max_wait != Duration::max() && request.starts == 0 &&
          shard.hold_time > request.spec.max_wait;
@@ -109,20 +109,21 @@
   const auto count = static_cast<uint32_t>(shard.upstreams.size());
   auto asked = static_cast<uint32_t>(std::count_if(
       shard.speeds.begin(), shard.speeds.end(),
-      [now](const ReportedSpeed& speed) { return speed.IsAsked(now); }));
+      [now](const ReportedSpeed& speed) { return speed.IsQueryPending(now); }));
   bool any = asked > 0;
   uint32_t place = shard.first_pick < count ? shard.first_pick : 0;
-  for (uint32_t i = 0; i < count && asked < kAskAtOnce; ++i) {
+  for (uint32_t i = 0; i < count && asked < kMaxLoadQueries; ++i) {
     if (IsCandidate(now, shard, place, choice)) {
       any = true;
-      if (shard.speeds[place].IsWorthAsking(now) && MayAsk(now, shard, place)) {
-        this->Ask(now, shard, place);
+      if (shard.speeds[place].IsWorthQuerying(now) &&
+          MayQueryLoad(now, shard, place)) {
+        this->QueryLoad(now, shard, place);
         ++asked;
       }
     }
     place = place + 1 < count ? place + 1 : 0;
   }
-  if (any && asked == 0 && this->MovesFromSlow(shard, request)) {
+  if (any && asked == 0 && this->ShouldLeaveSlow(shard, request)) {
     this->Refuse(row, {Refusal::kQueueFull, this->WithJitter(kHoldScan)});
     return;
   }
@@ -134,17 +135,19 @@
   }
 }
 
-void DispatcherCore::LearnHold(TimePoint now,
-                               ShardState& shard,
-                               const RequestRow& request) {
+void DispatcherCore::RecordHold(TimePoint now,
+                                ShardState& shard,
+                                const RequestRow& request) {
   if (request.held_after != RequestRow::kNotHeld) {
     const Duration held = now - request.offered - request.held_after;
     shard.hold_time += (held - shard.hold_time) / kHoldWeight;
   }
 }
 
-void DispatcherCore::Ask(TimePoint now, ShardState& shard, uint32_t place) {
-  shard.speeds[place].OnAsk(now);
+void DispatcherCore::QueryLoad(TimePoint now,
+                               ShardState& shard,
+                               uint32_t place) {
+  shard.speeds[place].OnQuery(now);
   CountRate(now, shard, place);
   if (place < shard.cold_quotas.size()) {
     shard.cold_quotas[place].OnAsk(now);
@@ -153,7 +156,7 @@
   action.kind = DispatchActionKind::kQueryLoad;
   action.upstream = shard.upstreams[place].handle;
   action.rate_limited = FindRateLimit(shard, place) != nullptr;
-  this->pending.push_back(action);
+  this->emitted_actions.push_back(action);
 }
 
 // Failure: of many upstreams some few were fast a moment ago, and of the others
@@ -162,29 +165,29 @@
 // long before the service has no free slots. So a request that would be one of
 // many somewhere first has idle upstreams asked, which takes a round trip, and
 // goes to one of them if it says that it is fast.
-bool DispatcherCore::WaitsForIdle(TimePoint now,
-                                  ShardState& shard,
-                                  uint32_t row,
-                                  uint32_t chosen,
-                                  const ChoiceOptions& choice) {
+bool DispatcherCore::HoldForIdle(TimePoint now,
+                                 ShardState& shard,
+                                 uint32_t row,
+                                 uint32_t chosen,
+                                 const ChoiceOptions& choice) {
   if (!this->options.features.spread || choice.speed != SpeedRule::kFastOnly ||
       !IsCrowded(shard.upstreams[chosen])) {
     return false;
   }
   RequestRow& request = this->Request(row);
-  const bool may_ask = !std::exchange(request.asked_idle, true);
+  const bool may_ask = !std::exchange(request.idle_queried, true);
   const auto count = static_cast<uint32_t>(shard.upstreams.size());
   uint32_t asked = 0;
   uint32_t place = shard.first_pick < count ? shard.first_pick : 0;
-  for (uint32_t i = 0; i < count && asked < kAskAtOnce; ++i) {
+  for (uint32_t i = 0; i < count && asked < kMaxLoadQueries; ++i) {
     const ReportedSpeed& speed = shard.speeds[place];
     const bool is_idle = !IsCrowded(shard.upstreams[place]) &&
                          IsCandidate(now, shard, place, choice);
-    if (is_idle && may_ask && speed.IsWorthAsking(now) &&
-        MayAsk(now, shard, place)) {
-      this->Ask(now, shard, place);
+    if (is_idle && may_ask && speed.IsWorthQuerying(now) &&
+        MayQueryLoad(now, shard, place)) {
+      this->QueryLoad(now, shard, place);
     }
-    asked += is_idle && speed.IsAsked(now) ? 1 : 0;
+    asked += is_idle && speed.IsQueryPending(now) ? 1 : 0;
     place = place + 1 < count ? place + 1 : 0;
   }
   if (asked > 0) {
@@ -194,40 +197,40 @@
 }
 
 // @returns true if the upstream is asked now.
-bool DispatcherCore::AskIfWarm(TimePoint now,
-                               ShardState& shard,
-                               uint32_t place) {
-  if (!shard.tells_cold || !shard.cold_quotas[place].IsWorthAsking(now) ||
-      !MayAsk(now, shard, place)) {
+bool DispatcherCore::QueryWarmth(TimePoint now,
+                                 ShardState& shard,
+                                 uint32_t place) {
+  if (!shard.reports_cold || !shard.cold_quotas[place].IsWorthAsking(now) ||
+      !MayQueryLoad(now, shard, place)) {
     return false;
   }
-  this->Ask(now, shard, place);
+  this->QueryLoad(now, shard, place);
   return true;
 }
 
 // A request waits, and upstreams that have slots may only not get it since they
 // could be cold: one that says that it is warm gets it.
-void DispatcherCore::AskWhetherWarm(TimePoint now, ShardState& shard) {
+void DispatcherCore::QueryWarmthOfFree(TimePoint now, ShardState& shard) {
   uint32_t asked = 0;
   const auto count = static_cast<uint32_t>(shard.cold_quotas.size());
-  for (uint32_t place = 0; place < count && asked < kAskAtOnce; ++place) {
+  for (uint32_t place = 0; place < count && asked < kMaxLoadQueries; ++place) {
     const UpstreamSlots& upstream = shard.upstreams[place];
     const bool has_room = upstream.busy < OpenSlots(now, upstream);
-    asked += has_room && this->AskIfWarm(now, shard, place) ? 1 : 0;
+    asked += has_room && this->QueryWarmth(now, shard, place) ? 1 : 0;
   }
   if (asked > 0) {
     shard.next_scan = std::min(shard.next_scan, now + kHoldScan);
   }
 }
 
-void DispatcherCore::LearnLoad(TimePoint now,
-                               ShardState& shard,
-                               uint32_t place,
-                               const UpstreamLoad& load) {
+void DispatcherCore::RecordLoadReport(TimePoint now,
+                                      ShardState& shard,
+                                      uint32_t place,
+                                      const UpstreamLoad& load) {
   if (!load.known || place >= shard.speeds.size()) {
     return;
   }
-  shard.tells_speed = load.reports_slowness;
+  shard.reports_speed = load.reports_slowness;
   shard.speeds[place].OnLoad(now, load);
 }
 
@@ -256,10 +259,10 @@
       this->RecordRateLimit(now, now, shard, place, report.rate_limit);
     }
     if (report.load.known) {
-      this->LearnLoad(now, shard, place, report.load);
+      this->RecordLoadReport(now, shard, place, report.load);
     } else if (place < shard.speeds.size()) {
       shard.speeds[place].OnNoAnswer();
-      shard.tells_speed = shard.tells_speed && !report.answered;
+      shard.reports_speed = shard.reports_speed && !report.answered;
     }
     this->Pump(now, row);
     return;
--- a/packages/decision/src/dispatcher_start.cc
+++ b/packages/decision/src/dispatcher_start.cc
@@ -16,7 +16,7 @@
 
 // A ring that waits gets a turn after so many starts of rings before it, so
 // that long downloads and background reads move on under any flood.
-constexpr std::array<uint32_t, kRings> kPatientStarts = {0, 16, 64};
+constexpr std::array<uint32_t, kRings> kStartsBeforeTurn = {0, 16, 64};
 
 // Long requests may take this part of the slots at most.
 constexpr double kLongShare = 0.5;
@@ -46,7 +46,7 @@
   ShardState& shard = this->shards.at(row);
   for (size_t i = kRings; i > 1; --i) {
     const Ring& ring = shard.rings[i - 1];
-    const bool due = ring.passed_over >= kPatientStarts[i - 1];
+    const bool due = ring.passed_over >= kStartsBeforeTurn[i - 1];
     if (due && this->StartFrom(now, row, static_cast<RingKind>(i - 1))) {
       return true;
     }
@@ -74,17 +74,17 @@
   choice.avoid = this->Request(request).avoid;
   choice.limit_bulk = this->options.features.class_caps;
   choice.ahead = this->MaySendAhead(now, shard, ring);
-  this->SetSpeedTerms(now, shard, this->Request(request), choice);
+  this->SetSpeedOptions(now, shard, this->Request(request), choice);
   const uint32_t upstream = PickUpstream(now, shard, choice);
   if (upstream == kNoRow) {
     this->HoldForRate(now, shard, request);
-    this->AskWhetherWarm(now, shard);
+    this->QueryWarmthOfFree(now, shard);
     if (choice.speed != SpeedRule::kIgnore) {
       this->Hold(now, shard, request, choice);
     }
     return false;
   }
-  if (this->WaitsForIdle(now, shard, request, upstream, choice)) {
+  if (this->HoldForIdle(now, shard, request, upstream, choice)) {
     return false;
   }
   this->queue.Pop(shard, ring);
@@ -144,9 +144,9 @@
 
 // Refuses a request that is too late or quarantined.
 // @returns true if it is gone.
-bool DispatcherCore::RefuseIfHopeless(TimePoint now,
-                                      ShardState& shard,
-                                      uint32_t row) {
+bool DispatcherCore::RefuseIfUnservable(TimePoint now,
+                                        ShardState& shard,
+                                        uint32_t row) {
   const RequestRow& request = this->Request(row);
   const DispatchRequest& spec = request.spec;
   const LatencyStats& stats =
@@ -179,8 +179,8 @@
 bool DispatcherCore::CheckFront(TimePoint now,
                                 ShardState& shard,
                                 uint32_t row) {
-  if (this->RefuseIfHopeless(now, shard, row) ||
-      this->PutBehindIfLate(now, shard, row)) {
+  if (this->RefuseIfUnservable(now, shard, row) ||
+      this->DeprioritizeIfLate(now, shard, row)) {
     return false;
   }
   if (!this->IsSuspect(now, this->Request(row))) {
@@ -197,9 +197,9 @@
 // of arrival makes every request late, and all the work serves nobody. One that
 // can't be answered in good time any more lets those pass that still can. It
 // is served when none of them waits, or refused at once if that is too late.
-bool DispatcherCore::PutBehindIfLate(TimePoint now,
-                                     ShardState& shard,
-                                     uint32_t row) {
+bool DispatcherCore::DeprioritizeIfLate(TimePoint now,
+                                        ShardState& shard,
+                                        uint32_t row) {
   RequestRow& request = this->Request(row);
   const DispatchRequest& spec = request.spec;
   const LatencyStats& stats =
@@ -264,7 +264,7 @@
   ShardState& shard = this->shards.at(shard_row);
   while (shard.suspects.first != kNoRow) {
     const uint32_t row = shard.suspects.first;
-    if (this->RefuseIfHopeless(now, shard, row)) {
+    if (this->RefuseIfUnservable(now, shard, row)) {
       continue;
     }
     if (!this->IsSuspect(now, this->Request(row))) {
@@ -337,7 +337,7 @@
   upstream.bulk += attempt.traffic_class == TrafficClass::kBulk ? 1 : 0;
   CountSend(now, shard, place);
   if (place < shard.cold_quotas.size()) {
-    this->AskIfWarm(now, shard, place);
+    this->QueryWarmth(now, shard, place);
   }
   ++shard.starts_since_trickle;
   if (upstream.health.grade() != UpstreamGrade::kFull) {
@@ -348,7 +348,7 @@
   place_of_attempt = handle;
   request.state = RequestState::kRunning;
   request.next_retry = Retry::kNone;
-  this->LearnHold(now, shard, request);
+  this->RecordHold(now, shard, request);
   request.held_after = RequestRow::kNotHeld;
   ++request.sends;
   if (request.starts++ == 0) {
--- a/packages/decision/src/dispatcher_tick.cc
+++ b/packages/decision/src/dispatcher_tick.cc
@@ -14,7 +14,7 @@
 
 // Hedges of merely unlucky requests leave this many tokens to those that are
 // stuck on an upstream found to be slow.
-constexpr double kKeptForRescue = 1;
+constexpr double kTokensKeptForSlow = 1;
 
 // A background request that has waited for half of its time counts as
 // ordinary, in the share of its own team.
@@ -142,7 +142,7 @@
   ChoiceOptions choice;
   choice.traffic_class = request.spec.traffic_class;
   choice.avoid = place;
-  this->SetSpeedTerms(now, shard, request, choice);
+  this->SetSpeedOptions(now, shard, request, choice);
   LaneRow& lane = this->queue.lane(request.lane);
   const Ring& waiting =
       shard.rings[static_cast<size_t>(RingKind::kInteractive)];
@@ -151,7 +151,7 @@
                              ? PickUpstream(now, shard, choice)
                              : kNoRow;
   if (other == kNoRow || other == place || this->AttemptsLeft(request) == 0 ||
-      !lane.hedge_budget.Take(rescue ? 0 : kKeptForRescue) ||
+      !lane.hedge_budget.Take(rescue ? 0 : kTokensKeptForSlow) ||
       !this->TakeRepeat(now, shard)) {
     this->SetTimer(row);
     return;
@@ -161,7 +161,8 @@
 }
 
 // What runs on an upstream just found to be slow need not wait for its time.
-void DispatcherCore::RescueFrom(TimePoint now, const UpstreamSlots& upstream) {
+void DispatcherCore::HedgeAttemptsOn(TimePoint now,
+                                     const UpstreamSlots& upstream) {
   for (uint32_t row = upstream.running; row != kNoRow;
        row = this->Attempt(row).next) {
     const uint32_t request = this->Attempt(row).request.index;
@@ -182,7 +183,7 @@
   RecountSlots(now, shard);
   for (uint32_t i = 0; i < shard.upstreams.size(); ++i) {
     shard.upstreams[i].health.Fade(kept);
-    this->JudgeUpstream(now, shard, i);
+    this->UpdateGrade(now, shard, i);
   }
   if (shard.queued + shard.suspects_queued > 0) {
     const Verdict verdict = this->CheckUsable(now, shard);
--- a/packages/decision/src/service_rows.cc
+++ b/packages/decision/src/service_rows.cc
@@ -63,21 +63,21 @@
   const Plans plans = this->MakePlans(configuration, view);
   ++this->round;
   this->omitted = 0;
-  this->ReleaseGone(plans);
+  this->ReleaseRemoved(plans);
   for (const auto& [name, plan] : plans) {
     this->omitted += CountUnplaced(plan);
     const ServiceHandle handle = this->names.Take(name);
-    Memory& memory = this->memories[std::string(name)];
+    CachedService& cached = this->cached_services[std::string(name)];
     if (plan.is_changed) {
-      memory.row = this->MakeRow(plan, view, memory);
-      memory.signature = plan.signature;
+      cached.row = this->MakeRow(plan, view, cached);
+      cached.signature = plan.signature;
     } else if (vms_changed) {
-      memory.row = Reassign(memory.row, view);
+      cached.row = Reassign(cached.row, view);
     }
     if (handle.index >= view.services.size()) {
       view.services.resize(handle.index + 1);
     }
-    view.services[handle.index] = memory.row;
+    view.services[handle.index] = cached.row;
   }
 }
 
@@ -114,8 +114,8 @@
     plan.signature = Combine(plan.signature, data_centre.drained ? 1 : 0);
   }
   for (auto& [name, plan] : plans) {
-    const auto known = this->memories.find(name);
-    plan.is_changed = known == this->memories.end() ||
+    const auto known = this->cached_services.find(name);
+    plan.is_changed = known == this->cached_services.end() ||
                       known->second.signature != plan.signature;
   }
   return plans;
@@ -123,36 +123,36 @@
 
 // Frees the handles of what is gone before anything new is made: a table that
 // is full but for these must not refuse the new ones.
-void ServiceRows::ReleaseGone(const Plans& plans) {
-  for (auto& [name, memory] : this->memories) {
+void ServiceRows::ReleaseRemoved(const Plans& plans) {
+  for (auto& [name, cached] : this->cached_services) {
     const auto plan = plans.find(name);
     if (plan == plans.end()) {
-      this->ReleaseUnmarked(memory);
+      this->ReleaseUnmarked(cached);
     } else if (plan->second.is_changed) {
-      this->MarkKept(plan->second, memory);
-      this->ReleaseUnmarked(memory);
+      this->MarkKept(plan->second, cached);
+      this->ReleaseUnmarked(cached);
     }
   }
-  std::erase_if(this->memories, [&plans](const auto& known) {
+  std::erase_if(this->cached_services, [&plans](const auto& known) {
     return !plans.contains(known.first);
   });
   this->names.Retain(
       [&plans](std::string_view name) { return plans.contains(name); });
 }
 
-void ServiceRows::MarkKept(const Plan& plan, const Memory& memory) {
+void ServiceRows::MarkKept(const Plan& plan, const CachedService& cached) {
   for (const PlacedSet& set : plan.sets) {
     for (size_t i = 0; i < set.spec->instances.size(); ++i) {
-      const auto known = memory.upstreams.find(KeyOfInstance(*set.spec, i));
-      if (known != memory.upstreams.end()) {
+      const auto known = cached.upstreams.find(KeyOfInstance(*set.spec, i));
+      if (known != cached.upstreams.end()) {
         *this->upstreams.Find(known->second) = this->round;
       }
     }
   }
 }
 
-void ServiceRows::ReleaseUnmarked(Memory& memory) {
-  std::erase_if(memory.upstreams, [this](const auto& known) {
+void ServiceRows::ReleaseUnmarked(CachedService& cached) {
+  std::erase_if(cached.upstreams, [this](const auto& known) {
     return *this->upstreams.Find(known.second) != this->round &&
            this->upstreams.Destroy(known.second);
   });
@@ -160,7 +160,7 @@
 
 std::shared_ptr<const ServiceRow> ServiceRows::MakeRow(const Plan& plan,
                                                        const RoutingView& view,
-                                                       Memory& memory) {
+                                                       CachedService& cached) {
   const auto& spec = ConfigurationState::SpecOf<ServiceSpec>(*plan.service);
   auto row = std::make_shared<ServiceRow>();
   row->name = plan.service->resource->name;
@@ -173,14 +173,14 @@
   row->cold = spec.cold;
   row->team = team == view.teams.end() ? TeamHandle{} : team->handle;
   for (const PlacedSet& set : plan.sets) {
-    this->AddSet(set, memory, *row);
+    this->AddSet(set, cached, *row);
   }
   AssignShards(view, *row);
   return row;
 }
 
 void ServiceRows::AddSet(const PlacedSet& set,
-                         Memory& memory,
+                         CachedService& cached,
                          ServiceRow& row) {
   if (!IsValid(set.data_centre)) {
     return;
@@ -188,7 +188,7 @@
   const UpstreamSetSpec& spec = *set.spec;
   for (size_t i = 0; i < spec.instances.size(); ++i) {
     const InstanceSpec& instance = spec.instances[i];
-    UpstreamHandle& handle = memory.upstreams[KeyOfInstance(spec, i)];
+    UpstreamHandle& handle = cached.upstreams[KeyOfInstance(spec, i)];
     if (!IsValid(handle)) {
       handle = this->upstreams.Create(this->round);
     }
--- a/packages/decision/src/service_rows.h
+++ b/packages/decision/src/service_rows.h
@@ -46,7 +46,7 @@
   };
 
   // What is kept of a service from one view to the next.
-  struct Memory {
+  struct CachedService {
     uint64_t signature = 0;  // Of the versions that `row` was made from.
     std::shared_ptr<const ServiceRow> row;
     std::map<std::string, UpstreamHandle> upstreams;  // By KeyOfInstance.
@@ -64,17 +64,17 @@
   static size_t CountUnplaced(const Plan& plan);
   Plans MakePlans(const ConfigurationState& configuration,
                   const RoutingView& view) const;
-  void ReleaseGone(const Plans& plans);
-  void MarkKept(const Plan& plan, const Memory& memory);
-  void ReleaseUnmarked(Memory& memory);
+  void ReleaseRemoved(const Plans& plans);
+  void MarkKept(const Plan& plan, const CachedService& cached);
+  void ReleaseUnmarked(CachedService& cached);
   std::shared_ptr<const ServiceRow> MakeRow(const Plan& plan,
                                             const RoutingView& view,
-                                            Memory& memory);
-  void AddSet(const PlacedSet& set, Memory& memory, ServiceRow& row);
+                                            CachedService& cached);
+  void AddSet(const PlacedSet& set, CachedService& cached, ServiceRow& row);
 
   NameTable<ServiceTag> names{limits::kMaxServices};
   HandleTable<uint64_t, UpstreamTag> upstreams{limits::kMaxUpstreams};
-  std::map<std::string, Memory, std::less<>> memories;
+  std::map<std::string, CachedService, std::less<>> cached_services;
   uint64_t round = 0;
   size_t omitted = 0;
 };
--- a/packages/decision/src/shard_load_estimates.cc
+++ b/packages/decision/src/shard_load_estimates.cc
@@ -7,8 +7,8 @@
 namespace {
 
 // A queue is thought to melt away within some service times.
-constexpr Duration kMinAgeing = std::chrono::milliseconds(20);
-constexpr int kAgeingServiceTimes = 8;
+constexpr Duration kMinDecayTime = std::chrono::milliseconds(20);
+constexpr int kDecayServiceTimes = 8;
 
 // What a shard's wait usually is, is averaged over this time.
 constexpr Duration kAverageTime = std::chrono::seconds(1);
@@ -30,75 +30,75 @@
                     static_cast<double>((to - from).count()) * part));
 }
 
-Duration AgeingOf(const ShardSummary& summary) {
-  return std::max(kMinAgeing, summary.service_time * kAgeingServiceTimes);
+Duration DecayTimeOf(const ShardSummary& summary) {
+  return std::max(kMinDecayTime, summary.service_time * kDecayServiceTimes);
 }
 
 }  // namespace
 
 void ShardLoadEstimates::OnSummary(TimePoint now, const ShardSummary& summary) {
-  Belief& belief = this->beliefs[summary.shard];
-  const double kept = ShareKept(now - belief.at, kAverageTime);
-  belief.usual_wait = Between(summary.wait, belief.usual_wait, kept);
-  belief.usual_bulk_wait =
-      Between(summary.bulk_wait, belief.usual_bulk_wait, kept);
-  belief.summary = summary;
-  belief.at = now;
-  belief.known = true;
-  belief.sent = 0;
+  Estimate& estimate = this->estimates[summary.shard];
+  const double kept = ShareKept(now - estimate.at, kAverageTime);
+  estimate.usual_wait = Between(summary.wait, estimate.usual_wait, kept);
+  estimate.usual_bulk_wait =
+      Between(summary.bulk_wait, estimate.usual_bulk_wait, kept);
+  estimate.summary = summary;
+  estimate.at = now;
+  estimate.known = true;
+  estimate.sent = 0;
 }
 
 void ShardLoadEstimates::OnSent(TimePoint now,
                                 ShardKey shard,
                                 const ShardSummary& guess) {
-  Belief& belief = this->beliefs[shard];
-  if (!belief.known) {
-    belief.summary = guess;
-    belief.at = now;
+  Estimate& estimate = this->estimates[shard];
+  if (!estimate.known) {
+    estimate.summary = guess;
+    estimate.at = now;
   }
-  belief.sent = SentBy(now, belief) + 1;
-  belief.sent_at = now;
+  estimate.sent = SentBy(now, estimate) + 1;
+  estimate.sent_at = now;
 }
 
 Duration ShardLoadEstimates::WaitAt(TimePoint now,
                                     ShardKey shard,
                                     TrafficClass traffic_class,
                                     uint32_t peers) const {
-  const auto found = this->beliefs.find(shard);
-  if (found == this->beliefs.end()) {
+  const auto found = this->estimates.find(shard);
+  if (found == this->estimates.end()) {
     return Duration(0);
   }
-  const Belief& belief = found->second;
-  const ShardSummary& summary = belief.summary;
+  const Estimate& estimate = found->second;
+  const ShardSummary& summary = estimate.summary;
   const bool bulk = traffic_class == TrafficClass::kBulk;
-  const Duration age = now - belief.at;
-  const Duration usual =
-      Between(Duration(0), bulk ? belief.usual_bulk_wait : belief.usual_wait,
-              ShareKept(age, kAverageTime));
+  const Duration age = now - estimate.at;
+  const Duration usual = Between(
+      Duration(0), bulk ? estimate.usual_bulk_wait : estimate.usual_wait,
+      ShareKept(age, kAverageTime));
   const Duration told = bulk ? summary.bulk_wait : summary.wait;
   const double free = std::max(0, summary.slots - summary.busy);
-  const double since = std::max(0.0, SentBy(now, belief) * peers - free);
+  const double since = std::max(0.0, SentBy(now, estimate) * peers - free);
   const Duration queued = Between(Duration(0), summary.service_time,
                                   since / std::max<int>(1, summary.slots));
-  return Between(usual, told, ShareKept(age, AgeingOf(summary))) + queued;
+  return Between(usual, told, ShareKept(age, DecayTimeOf(summary))) + queued;
 }
 
 Duration ShardLoadEstimates::ServiceTimeAt(ShardKey shard) const {
-  const auto found = this->beliefs.find(shard);
-  return found == this->beliefs.end() ? Duration(0)
-                                      : found->second.summary.service_time;
+  const auto found = this->estimates.find(shard);
+  return found == this->estimates.end() ? Duration(0)
+                                        : found->second.summary.service_time;
 }
 
 bool ShardLoadEstimates::IsUsable(TimePoint now, ShardKey shard) const {
-  const auto found = this->beliefs.find(shard);
-  return found == this->beliefs.end() || !found->second.known ||
+  const auto found = this->estimates.find(shard);
+  return found == this->estimates.end() || !found->second.known ||
          found->second.summary.slots > 0 ||
          now - found->second.at > kUnusableTime;
 }
 
-double ShardLoadEstimates::SentBy(TimePoint now, const Belief& belief) {
-  return belief.sent *
-         ShareKept(now - belief.sent_at, AgeingOf(belief.summary));
+double ShardLoadEstimates::SentBy(TimePoint now, const Estimate& estimate) {
+  return estimate.sent *
+         ShareKept(now - estimate.sent_at, DecayTimeOf(estimate.summary));
 }
 
 void ShardLoadEstimates::Tick(TimePoint now) {
@@ -106,7 +106,7 @@
     return;
   }
   this->next_sweep = now + kSweepPeriod;
-  boost::unordered::erase_if(this->beliefs, [now](const auto& entry) {
+  boost::unordered::erase_if(this->estimates, [now](const auto& entry) {
     return now - entry.second.at > kForgetAfter;
   });
 }
--- a/packages/decision/src/shard_load_estimates.h
+++ b/packages/decision/src/shard_load_estimates.h
@@ -40,7 +40,7 @@
   void Tick(TimePoint now);
 
  private:
-  struct Belief {
+  struct Estimate {
     ShardSummary summary;
     TimePoint at{};
     bool known = false;  ///< A summary came, not only a guess.
@@ -50,9 +50,9 @@
     Duration usual_bulk_wait{0};
   };
 
-  static double SentBy(TimePoint now, const Belief& belief);
+  static double SentBy(TimePoint now, const Estimate& estimate);
 
-  boost::unordered_flat_map<ShardKey, Belief> beliefs;
+  boost::unordered_flat_map<ShardKey, Estimate> estimates;
   TimePoint next_sweep{};
 };
 
--- a/packages/decision/src/shard_table.cc
+++ b/packages/decision/src/shard_table.cc
@@ -201,7 +201,7 @@
     const ServiceRow& service = *found.service;
     const ShardRow& row = *found.shard;
     shard.can_be_asked = !service.health_path.empty();
-    shard.tells_cold = shard.can_be_asked && this->cold_is_reported;
+    shard.reports_cold = shard.can_be_asked && this->cold_is_reported;
     const bool is_first = !row.contested && !row.owners.empty() &&
                           row.owners.front() == this->current->self;
     const TimePoint since = fresh ? this->same_vms_since : now;
@@ -253,7 +253,7 @@
   }
   const bool was_out = place->leaving || place->drained;
   if (was_out && !row.leaving && !row.drained) {
-    Return(now, *place, this->ramp);
+    MarkReturned(now, *place, this->ramp);
   }
   const bool may_be_cold = is_new ? !fresh : was_out;
   if (ColdQuota* quota = RefreshQuota(shard, index, cold)) {
--- a/packages/decision/src/upstream_choice.cc
+++ b/packages/decision/src/upstream_choice.cc
@@ -151,10 +151,10 @@
   const bool may_be_cold = place < shard.cold_quotas.size();
   return HasRateQuota(now, shard, place) &&
          (!may_be_cold ||
-          shard.cold_quotas[place].MayStart(now, shard.tells_cold));
+          shard.cold_quotas[place].MayStart(now, shard.reports_cold));
 }
 
-bool MayAsk(TimePoint now, const ShardState& shard, uint32_t place) {
+bool MayQueryLoad(TimePoint now, const ShardState& shard, uint32_t place) {
   return !IsRateScarce(now, shard, place) && HasRateQuota(now, shard, place);
 }
 
@@ -177,7 +177,7 @@
   shard.rate_bound = IsRateBound(now, shard);
 }
 
-void Return(TimePoint now, UpstreamSlots& upstream, bool ramp) {
+void MarkReturned(TimePoint now, UpstreamSlots& upstream, bool ramp) {
   upstream.health.Reset();
   upstream.failures = 0;
   upstream.draining_until = now;
@@ -185,7 +185,7 @@
   upstream.ramp_left = ramp ? kRampAnswers : 0;
 }
 
-bool HasWithin(TimePoint now, const ShardState& shard, double limit) {
+bool HasUpstreamWithin(TimePoint now, const ShardState& shard, double limit) {
   for (size_t i = 0; i < shard.upstreams.size() && i < shard.speeds.size();
        ++i) {
     const auto place = static_cast<uint32_t>(i);
--- a/packages/decision/src/upstream_choice.h
+++ b/packages/decision/src/upstream_choice.h
@@ -24,7 +24,7 @@
 
 /// @returns true if a question for its load costs the upstream no request that
 /// it could take.
-bool MayAsk(TimePoint now, const ShardState& shard, uint32_t place);
+bool MayQueryLoad(TimePoint now, const ShardState& shard, uint32_t place);
 
 /// @returns the slots of `upstream` that may be occupied now, leaving grades
 /// aside.
@@ -34,7 +34,7 @@
 void RecountSlots(TimePoint now, ShardState& shard);
 
 /// An upstream is back after it was leaving or gone: it starts slowly.
-void Return(TimePoint now, UpstreamSlots& upstream, bool ramp);
+void MarkReturned(TimePoint now, UpstreamSlots& upstream, bool ramp);
 
 /// What the momentary speed of upstreams means for the choice.
 enum class SpeedRule : uint8_t {
@@ -65,7 +65,7 @@
 
 /// @returns true if some upstream that takes work is not known to be slower
 /// than `limit`; it may have no slot free now.
-bool HasWithin(TimePoint now, const ShardState& shard, double limit);
+bool HasUpstreamWithin(TimePoint now, const ShardState& shard, double limit);
 
 /// @returns true if the choice could fall on the upstream but for its speed.
 bool IsCandidate(TimePoint now,
--- a/packages/decision/src/upstream_health.h
+++ b/packages/decision/src/upstream_health.h
@@ -29,7 +29,7 @@
   void OnAnswer(double log_ratio, double spread, double error_rate);
 
   /// A request was given up while it ran, with this evidence of its age.
-  void OnGivenUp(double evidence);
+  void OnCancelled(double evidence);
 
   /// An error, however fast, or no answer at all.
   /// @param error_rate Share of errors among siblings.
@@ -37,7 +37,7 @@
 
   /// @param running Evidence of what still runs, from `EvidenceOfAge`.
   /// @returns the grade that the evidence says; `Set` makes it so.
-  UpstreamGrade Judge(double running);
+  UpstreamGrade Evaluate(double running);
   void Set(UpstreamGrade grade) { this->current = grade; }
 
   /// Old evidence fades, so that nobody is judged by it for ever.
@@ -50,10 +50,12 @@
 
   UpstreamGrade grade() const { return this->current; }
   /// @returns true if there is some evidence, not yet enough to mark it.
-  bool doubtful() const { return this->slow + this->running_slow > kDoubt; }
+  bool doubtful() const {
+    return this->slow + this->running_slow > kDoubtThreshold;
+  }
 
  private:
-  static constexpr double kDoubt = 3;
+  static constexpr double kDoubtThreshold = 3;
 
   double slow = 0;
   double running_slow = 0;
--- a/packages/decision/src/upstream_speed.h
+++ b/packages/decision/src/upstream_speed.h
@@ -26,8 +26,8 @@
   void OnLoad(TimePoint now, const UpstreamLoad& load);
 
   /// It was asked, or did not answer.
-  void OnAsk(TimePoint now);
-  void OnNoAnswer() { this->asking = false; }
+  void OnQuery(TimePoint now);
+  void OnNoAnswer() { this->query_pending = false; }
 
   SpeedGrade GradeAt(TimePoint now) const;
 
@@ -36,27 +36,27 @@
   bool IsSlowerThan(TimePoint now, double limit) const;
 
   /// @returns true if it was asked a moment ago and may still answer.
-  bool IsAsked(TimePoint now) const;
+  bool IsQueryPending(TimePoint now) const;
 
   /// @returns true if asking it would tell something new.
-  bool IsWorthAsking(TimePoint now) const;
+  bool IsWorthQuerying(TimePoint now) const;
 
   /// @returns slots that are taken there by whoever sends to it, as far as is
   /// known of this moment; 0 if nothing is.
   uint16_t BusyAt(TimePoint now) const;
 
-  double slowness() const { return this->told_slowness; }
+  double slowness() const { return this->reported_slowness; }
 
   /// @returns the age of what is known, negative if nothing ever was.
   Duration AgeAt(TimePoint now) const;
 
  private:
-  TimePoint told_at{};
-  TimePoint asked_at{};
-  float told_slowness = 1;
-  uint16_t told_running = 0;
+  TimePoint reported_at{};
+  TimePoint queried_at{};
+  float reported_slowness = 1;
+  uint16_t reported_running = 0;
   bool known = false;
-  bool asking = false;
+  bool query_pending = false;
 };
 
 /// @returns how long a request that takes `typical` may be held for a fast
--- a/packages/decision/test/decision_fixture.h
+++ b/packages/decision/test/decision_fixture.h
@@ -165,7 +165,7 @@
   }
 
   /// `upstream` tells its load: `slowness` times its usual time.
-  void Tell(UpstreamHandle upstream, double slowness) {
+  void AnswerLoadQuery(UpstreamHandle upstream, double slowness) {
     std::erase(this->asked, upstream);
     LoadQueryReport report;
     report.answered = true;
--- a/packages/decision/test/dispatch_history_test.cc
+++ b/packages/decision/test/dispatch_history_test.cc
@@ -28,7 +28,7 @@
 constexpr uint16_t kSlots = 2;
 constexpr int kSteps = 6000;
 
-struct Known {
+struct TrackedRequest {
   DispatchRequest spec;
   DispatchHandle handle;
   bool maybe_ran = false;
@@ -99,21 +99,21 @@
   }
 
   void Offer() {
-    Known known;
-    known.spec.shard = this->shard;
-    known.spec.team = TeamHandle{this->random(4), 0};
-    known.spec.traffic_class = static_cast<TrafficClass>(
+    TrackedRequest tracked;
+    tracked.spec.shard = this->shard;
+    tracked.spec.team = TeamHandle{this->random(4), 0};
+    tracked.spec.traffic_class = static_cast<TrafficClass>(
         this->random(static_cast<uint32_t>(TrafficClass::kCount)));
-    known.spec.deadline =
+    tracked.spec.deadline =
         this->now + std::chrono::milliseconds(1 + this->random(500));
-    known.spec.idempotent = this->random(2) == 0;
-    known.spec.hedge = this->random(2) == 0;
-    known.spec.fingerprint = 1 + this->random(50);
-    known.spec.cookie = ++this->cookies;
-    this->open[known.spec.cookie] = known;
+    tracked.spec.idempotent = this->random(2) == 0;
+    tracked.spec.hedge = this->random(2) == 0;
+    tracked.spec.fingerprint = 1 + this->random(50);
+    tracked.spec.cookie = ++this->cookies;
+    this->open[tracked.spec.cookie] = tracked;
     const DispatchHandle handle =
-        this->dispatcher->Offer(this->now, known.spec);
-    this->open[known.spec.cookie].handle = handle;
+        this->dispatcher->Offer(this->now, tracked.spec);
+    this->open[tracked.spec.cookie].handle = handle;
   }
 
   void EndSome(AttemptEnd end) {
@@ -123,19 +123,19 @@
     const size_t place =
         this->random(static_cast<uint32_t>(this->running.size()));
     const DispatchAction run = this->running[place];
-    Known& known = this->open.at(run.cookie);
+    TrackedRequest& tracked = this->open.at(run.cookie);
     AttemptReport report;
     report.end = end;
     report.status = this->random(10) == 0 ? 500 : 200;
     report.drain_sign = this->random(200) == 0;
-    report.answer_started = known.started;
+    report.answer_started = tracked.started;
     this->running.erase(this->running.begin() +
                         static_cast<std::ptrdiff_t>(place));
     // The upstream said so, or none was there, or another one was.
     const bool ran = end != AttemptEnd::kShed &&
                      end != AttemptEnd::kConnectFailed &&
                      end != AttemptEnd::kMisdirected;
-    known.maybe_ran |= ran;
+    tracked.maybe_ran |= ran;
     if (!this->dispatcher->OnAttemptEnd(this->now, run.attempt, report)) {
       this->open.erase(run.cookie);
     }
@@ -186,10 +186,10 @@
       CHECK(this->open.at(action.cookie).spec.deadline > this->now);
       this->running.push_back(action);
     } else {
-      const Known& known = this->open.at(action.cookie);
+      const TrackedRequest& tracked = this->open.at(action.cookie);
       const bool not_run = InfoOf(action.refusal).promise == Promise::kNotRun;
-      CHECK_FALSE(not_run && (known.maybe_ran || this->Runs(action.cookie)));
-      CHECK_FALSE(known.started && not_run);
+      CHECK_FALSE(not_run && (tracked.maybe_ran || this->Runs(action.cookie)));
+      CHECK_FALSE(tracked.started && not_run);
       this->open.erase(action.cookie);
     }
   }
@@ -219,7 +219,7 @@
   basilsill::TimePoint now{1s};
   basilsill::ShardKey shard = 0;
   uint64_t cookies = 0;
-  std::map<uint64_t, Known> open;
+  std::map<uint64_t, TrackedRequest> open;
   std::vector<DispatchAction> running;
 };
 
--- a/packages/decision/test/dispatch_speed_test.cc
+++ b/packages/decision/test/dispatch_speed_test.cc
@@ -44,18 +44,19 @@
   }
 
   /// All are asked about, and answer: `slow` so, the others as usual.
-  void TellAll(UpstreamHandle slow, double slowness) {
+  void AnswerLoadQueries(UpstreamHandle slow, double slowness) {
     const std::vector<UpstreamHandle> asked = this->harness.asked;
     for (const UpstreamHandle upstream : asked) {
-      this->harness.Tell(upstream, upstream == slow ? slowness : kUsual);
+      this->harness.AnswerLoadQuery(upstream,
+                                    upstream == slow ? slowness : kUsual);
     }
   }
 
   /// Offers a request and answers what is asked for longer than it is held.
-  uint64_t OfferTelling(UpstreamHandle slow, double slowness) {
+  uint64_t OfferAnsweringQueries(UpstreamHandle slow, double slowness) {
     const uint64_t cookie = this->harness.Offer();
     for (Duration waited{0}; waited < 400ms; waited += 5ms) {
-      this->TellAll(slow, slowness);
+      this->AnswerLoadQueries(slow, slowness);
       if (IsValid(this->harness.RunOf(cookie).attempt)) {
         break;
       }
@@ -76,7 +77,7 @@
   /// Typical times are known.
   void WarmUp() {
     for (int i = 0; i < 40; ++i) {
-      const uint64_t cookie = this->OfferTelling({}, kUsual);
+      const uint64_t cookie = this->OfferAnsweringQueries({}, kUsual);
       this->harness.Advance(basilsill::DispatchHarness::kServiceTime);
       this->harness.End(cookie, AttemptEnd::kAnswered);
     }
@@ -93,16 +94,16 @@
   const uint64_t cookie = this->harness.Offer();
   const UpstreamHandle slow = this->harness.asked.at(0);
   const UpstreamHandle fast = this->harness.asked.at(1);
-  this->harness.Tell(slow, kSlow);
+  this->harness.AnswerLoadQuery(slow, kSlow);
   CHECK_EQUAL(0, this->harness.running.size());
-  this->harness.Tell(fast, kUsual);
+  this->harness.AnswerLoadQuery(fast, kUsual);
   CHECK(this->harness.RunOf(cookie).upstream == fast);
 }
 
 TEST(DispatchSpeed, Offer_ToldAMomentAgo_AsksNobody) {
   this->harness.Offer();
   const UpstreamHandle fast = this->harness.asked.at(0);
-  this->harness.Tell(fast, kUsual);
+  this->harness.AnswerLoadQuery(fast, kUsual);
   const size_t asked = this->harness.asked.size();
   this->harness.Advance(5ms);
   const uint64_t second = this->harness.Offer();
@@ -117,7 +118,7 @@
   for (Duration waited{0}; waited < 400ms; waited += 5ms) {
     const std::vector<UpstreamHandle> asked = this->harness.asked;
     for (const UpstreamHandle upstream : asked) {
-      this->harness.Tell(upstream, kSlow);
+      this->harness.AnswerLoadQuery(upstream, kSlow);
     }
     this->harness.Advance(5ms);
   }
@@ -135,13 +136,13 @@
   this->harness.Advance(300ms);
   const UpstreamHandle slow = this->Upstream(0);
   for (int i = 0; i < 6; ++i) {
-    running.push_back(this->OfferTelling(slow, kMuchTooSlow));
+    running.push_back(this->OfferAnsweringQueries(slow, kMuchTooSlow));
   }
   CHECK_EQUAL(0, this->harness.RunningOn(slow));
-  const uint64_t last = this->OfferTelling(slow, kMuchTooSlow);
+  const uint64_t last = this->OfferAnsweringQueries(slow, kMuchTooSlow);
   CHECK_FALSE(IsValid(this->harness.RunOf(last).attempt));
   this->harness.End(running.front(), AttemptEnd::kAnswered);
-  this->TellAll(slow, kMuchTooSlow);
+  this->AnswerLoadQueries(slow, kMuchTooSlow);
   CHECK(IsValid(this->harness.RunOf(last).attempt));
   CHECK_EQUAL(0, this->harness.RunningOn(slow));
 }
@@ -153,7 +154,7 @@
   for (Duration waited{0}; waited < 400ms; waited += 5ms) {
     const std::vector<UpstreamHandle> asked = this->harness.asked;
     for (const UpstreamHandle upstream : asked) {
-      this->harness.Tell(upstream, kMuchTooSlow);
+      this->harness.AnswerLoadQuery(upstream, kMuchTooSlow);
     }
     this->harness.Advance(5ms);
   }
@@ -263,7 +264,7 @@
     const std::vector<UpstreamHandle> questions = this->harness.asked;
     for (const UpstreamHandle upstream : questions) {
       ++this->asked;
-      this->harness.Tell(upstream, this->slowness[upstream.index]);
+      this->harness.AnswerLoadQuery(upstream, this->slowness[upstream.index]);
     }
     for (const auto& run : this->harness.running) {
       const uint64_t cookie = run.cookie;
@@ -327,19 +328,19 @@
   many.Offer();
   const std::vector<UpstreamHandle> asked = many.asked;
   many.asked.clear();
-  many.Tell(asked.front(), kUsual);
+  many.AnswerLoadQuery(asked.front(), kUsual);
   for (int i = 0; i < 2; ++i) {
     many.Offer();
   }
   CHECK_EQUAL(3, many.RunningOn(asked.front()));
   many.Advance(21ms);
-  many.Tell(asked.front(), kUsual);
+  many.AnswerLoadQuery(asked.front(), kUsual);
   many.asked.clear();
   many.Offer();
   CHECK_EQUAL(3, many.RunningOn(asked.front()));
   CHECK(!many.asked.empty());
   const UpstreamHandle idle = many.asked.front();
-  many.Tell(idle, kUsual);
+  many.AnswerLoadQuery(idle, kUsual);
   CHECK(many.RunningOn(idle) > 0);
   CHECK_EQUAL(3, many.RunningOn(asked.front()));
 }
@@ -350,12 +351,12 @@
   ApplyManySlots(many);
   many.Offer();
   const UpstreamHandle fast = many.asked.front();
-  many.Tell(fast, kUsual);
+  many.AnswerLoadQuery(fast, kUsual);
   for (int i = 0; i < 3; ++i) {
     many.Offer();
   }
   many.Advance(19ms);
-  many.Tell(fast, kUsual);
+  many.AnswerLoadQuery(fast, kUsual);
   many.Advance(5ms);
   CHECK_EQUAL(4, many.running.size());
 }
--- a/packages/decision/test/leave_slow_test.cc
+++ b/packages/decision/test/leave_slow_test.cc
@@ -56,10 +56,10 @@
   std::unique_ptr<DispatchHarness> shard = MakeShard(true);
 
   /// Answers what is asked, in turn with `slowness`.
-  void TellAsked(const std::vector<double>& slowness) {
+  void AnswerLoadQueries(const std::vector<double>& slowness) {
     const std::vector<UpstreamHandle> asked = this->shard->asked;
     for (size_t i = 0; i < asked.size(); ++i) {
-      this->shard->Tell(asked[i], slowness[i % slowness.size()]);
+      this->shard->AnswerLoadQuery(asked[i], slowness[i % slowness.size()]);
     }
   }
 
@@ -72,20 +72,20 @@
 
 TEST(LeaveSlow, Offer_AllSlowAndMayMove_HandedBackAtOnce) {
   const uint64_t cookie = this->shard->Offer(this->Movable());
-  this->TellAsked({kSlow});
+  this->AnswerLoadQueries({kSlow});
   CHECK(this->shard->RefusalFor(cookie) == Refusal::kQueueFull);
 }
 
 TEST(LeaveSlow, Offer_OneFast_StaysHere) {
   const uint64_t cookie = this->shard->Offer(this->Movable());
-  this->TellAsked({kSlow, kUsual});
+  this->AnswerLoadQueries({kSlow, kUsual});
   CHECK(IsValid(this->shard->RunOf(cookie).attempt));
 }
 
 // It has moved once, or there is no other place: it waits for a fast one.
 TEST(LeaveSlow, Offer_AllSlowAndMayNotMove_Waits) {
   const uint64_t cookie = this->shard->Offer();
-  this->TellAsked({kSlow});
+  this->AnswerLoadQueries({kSlow});
   CHECK(this->shard->RefusalFor(cookie) == Refusal::kNone);
   CHECK_EQUAL(1, this->shard->Queued());
 }
@@ -95,18 +95,18 @@
   DispatchRequest request = this->Movable();
   request.max_wait = 1s;
   const uint64_t cookie = this->shard->Offer(request);
-  this->TellAsked({kSlow});
+  this->AnswerLoadQueries({kSlow});
   CHECK(this->shard->RefusalFor(cookie) == Refusal::kNone);
 }
 
 // It may have run here already, so "not run" would not be true of it any more.
 TEST(LeaveSlow, Retry_AllSlow_NotHandedBack) {
   const uint64_t cookie = this->shard->Offer(this->Movable());
-  this->TellAsked({kUsual});
+  this->AnswerLoadQueries({kUsual});
   this->shard->Advance(30ms);
   this->shard->End(cookie, AttemptEnd::kDied);
   for (int i = 0; i < 5; ++i) {
-    this->TellAsked({kSlow});
+    this->AnswerLoadQueries({kSlow});
     this->shard->Advance(5ms);
   }
   CHECK(this->shard->RefusalFor(cookie) == Refusal::kNone);
@@ -184,7 +184,7 @@
       shard.Advance(1ms);
       const std::vector<UpstreamHandle> asked = shard.asked;
       for (const UpstreamHandle upstream : asked) {
-        shard.Tell(upstream, this->SlownessOf(place, upstream));
+        shard.AnswerLoadQuery(upstream, this->SlownessOf(place, upstream));
       }
     }
     const std::vector<Sent> all = std::exchange(this->sent, {});
