--- a/packages/decision/include/basilsill/decision.h
+++ b/packages/decision/include/basilsill/decision.h
@@ -1,7 +1,7 @@
 #ifndef BASILSILL_DECISION_H_
 #define BASILSILL_DECISION_H_
 
-/// The whole face of the decision package: every choice of the product as
+/// Main header of the decision package: the decisions of the load balancer as
 /// pure state machines, without sockets, threads, clocks or globals.
 
 #include "basilsill/decision/dispatch.h"
--- a/packages/decision/include/basilsill/decision/mechanism.h
+++ b/packages/decision/include/basilsill/decision/mechanism.h
@@ -11,26 +11,26 @@
 #include "basilsill/decision/entry.h"
 
 /// The mechanisms of the decision code by name. Each can be switched off, so
-/// that an operator can rule one out, and so that what each is worth can be
-/// measured in the model and in real runs.
+/// that an operator can rule it out as a cause, and so that its effect can be
+/// measured in simulations and load tests.
 
 namespace basilsill {
 
-/// Which mechanisms are on.
+/// The mechanisms that are switched on.
 struct PolicyFeatures {
   DispatcherFeatures dispatcher;
   EntryFeatures entry;
-  bool quarantine = true;    ///< What killed upstreams is refused for a while.
-  bool hold_answers = true;  ///< Answers are held until they are whole.
-  /// VMs that start are announced and told by others.
+  bool quarantine = true;    ///< Refuse requests that crashed upstreams.
+  bool hold_answers = true;  ///< Buffer answers until they are complete.
+  /// Running VMs register starting VMs and send them the state.
   bool shared_start = true;
 };
 
 /// One mechanism.
 struct Mechanism {
   std::string_view name;
-  std::string_view doc;  ///< What it does, for pages and `--help`.
-  /// @returns its flag in `features`.
+  std::string_view doc;  ///< Short description.
+  /// @returns the flag of the mechanism in `features`.
   bool& (*flag)(PolicyFeatures& features);
 };
 
@@ -38,11 +38,11 @@
 std::span<const Mechanism> AllMechanisms();
 
 /// Switches mechanisms off.
-/// @param names Separated by commas; empty: none.
-/// @returns what is on, or kOutOfRange with the first name that is not known.
+/// @param names Mechanisms to switch off, separated by commas; empty: none.
+/// @returns the resulting features, or kOutOfRange with the first unknown name.
 Result<PolicyFeatures> FeaturesWithout(std::string_view names);
 
-/// @returns the names of all that is off in `features`, separated by commas.
+/// @returns the names of the mechanisms that are off, separated by commas.
 std::string NamesOff(const PolicyFeatures& features);
 
 }  // namespace basilsill
--- a/packages/decision/src/dispatch_tables.h
+++ b/packages/decision/src/dispatch_tables.h
@@ -16,29 +16,30 @@
 #include "upstream_health.h"
 #include "upstream_speed.h"
 
-/// Rows of the dispatcher's tables. Requests, attempts and lanes live in
-/// tables of fixed capacity and are chained by index; shards and their
-/// upstreams come with the first request for a shard.
+/// Rows of the dispatcher's tables. Requests, attempts and lanes are stored in
+/// tables of fixed capacity and linked by index. The state of a shard and of
+/// its upstreams is created with the first request for the shard.
 
 namespace basilsill {
 
 inline constexpr uint32_t kNoRow = UINT32_MAX;
 inline constexpr size_t kClasses = static_cast<size_t>(TrafficClass::kCount);
 
-/// Rings order what waits in a shard: each is fair among teams, and an earlier
-/// ring goes before a later one, within the caps of its classes.
+/// Priority levels of the requests queued in a shard. Each ring is a fair queue
+/// among teams. Earlier rings are served first, within the caps of the traffic
+/// classes.
 enum class RingKind : uint8_t { kInteractive, kBulk, kBackground, kCount };
 inline constexpr size_t kRings = static_cast<size_t>(RingKind::kCount);
 
-/// First and last row of a chain of requests.
+/// First and last row of a linked list of requests.
 struct Chain {
   uint32_t first = kNoRow;
   uint32_t last = kNoRow;
 };
 
 enum class RequestState : uint8_t {
-  kWaiting,   ///< In a lane.
-  kIsolated,  ///< Waits to run alone: it may have killed an upstream.
+  kWaiting,   ///< Queued in a lane.
+  kIsolated,  ///< Waits to run alone: it may have crashed an upstream.
   kRunning,
   kCount
 };
@@ -52,21 +53,24 @@
   uint32_t next = kNoRow;
   uint32_t shard = kNoRow;
   uint32_t lane = kNoRow;
-  uint32_t avoid = kNoRow;  ///< Upstream whose attempt failed last.
+  uint32_t avoid = kNoRow;  ///< Upstream at which the last attempt failed.
   uint32_t timer = kNotInHeap;
   RequestState state = RequestState::kWaiting;
-  TrafficClass queue = TrafficClass::kOrdinary;  ///< Where it waits.
+  TrafficClass queue =
+      TrafficClass::kOrdinary;  ///< Class as which it is queued.
   uint8_t starts = 0;
-  uint8_t sends = 0;  ///< Of those, that reached or may reach an upstream.
-  // Bits: there are thousands of rows, and this fills one octet.
-  bool maybe_ran : 1 = false;  ///< Then no refusal may promise `not-run`.
+  uint8_t sends = 0;  ///< Of those, the ones that may have reached an upstream.
+  // Bit fields, as there are thousands of rows; these share one octet.
+  bool maybe_ran : 1 = false;  ///< If so, no refusal may promise `not-run`.
   bool answer_started : 1 = false;
-  bool held_for_rate : 1 = false;   ///< It waits where rate limits bind all.
-  bool idle_queried = false;        ///< Idle upstreams were asked for its sake.
-  Retry next_retry = Retry::kNone;  ///< Reason of the attempt to come.
+  bool held_for_rate : 1 =
+      false;  ///< Counted in DispatchCounters::held_for_rate.
+  bool idle_queried =
+      false;  ///< Load queries to idle upstreams were sent for it.
+  Retry next_retry = Retry::kNone;  ///< Reason for the next attempt.
   TimePoint offered;
   TimePoint hedge_at = kNever;
-  /// After `offered`, when slots were free for the first time but none fast.
+  /// Time from `offered` until the request was first held for a fast upstream.
   ShortMillis held_after = kNotHeld;
   std::array<AttemptHandle, kMaxRunning> running;
 };
@@ -75,52 +79,55 @@
   DispatchHandle request;
   uint32_t shard = kNoRow;
   uint32_t upstream = kNoRow;  ///< Position in the shard.
-  uint32_t previous = kNoRow;  ///< Others that run at the same upstream.
+  uint32_t previous = kNoRow;  ///< Links the attempts at the same upstream.
   uint32_t next = kNoRow;
   TimePoint start;
   TrafficClass traffic_class = TrafficClass::kOrdinary;
   bool hedge = false;
-  bool ahead = false;           ///< Sent before a slot was free, to wait there.
-  bool typical = false;         ///< Its time counts among its siblings'.
-  bool crash_reported = false;  ///< Its upstream's death is on record.
+  bool ahead = false;  ///< Sent beyond the slots, to wait at the upstream.
+  bool typical =
+      false;  ///< Its duration counts in the statistics of the shard.
+  bool crash_reported =
+      false;  ///< The crash of its upstream has been reported.
 };
 
-/// An upstream as its shard's dispatcher sees it.
+/// State of an upstream at the dispatcher of its shard.
 struct UpstreamSlots {
   UpstreamHandle handle;
   UpstreamKey key = 0;
   uint16_t slots = 0;
   uint16_t busy = 0;
-  uint16_t bulk = 0;          ///< Of those, with bulk requests.
-  bool present = false;       ///< In the view.
-  bool superseded = false;    ///< It has started again: what it ran has died.
-  bool leaving = false;       ///< As the view says.
-  bool cold = false;          ///< As the view says.
-  bool drained = false;       ///< As the view says.
-  bool isolated = false;      ///< Runs, or is emptied for, a suspect request.
-  bool recovering = false;    ///< Marked, but its last answer was good.
-  uint8_t failures = 0;       ///< In a row, for the length of the next pause.
-  uint16_t ramp_left = 0;     ///< Good answers until it gets its full share.
-  uint32_t running = kNoRow;  ///< First attempt that runs there.
+  uint16_t bulk = 0;        ///< Busy slots that hold bulk requests.
+  bool present = false;     ///< Part of the current view.
+  bool superseded = false;  ///< It has restarted: its attempts are lost.
+  bool leaving = false;     ///< According to the view.
+  bool cold = false;        ///< According to the view.
+  bool drained = false;     ///< According to the view.
+  bool isolated = false;    ///< Reserved for a suspect request.
+  bool recovering =
+      false;  ///< Marked slow or failing, but its last answer was good.
+  uint8_t failures = 0;    ///< Consecutive failures; they set the next pause.
+  uint16_t ramp_left = 0;  ///< Good answers left until it gets its full share.
+  uint32_t running = kNoRow;  ///< First of its running attempts.
   TimePoint paused_until{};
-  TimePoint draining_until{};  ///< By a sign of its own.
-  TimePoint no_ahead_until{};  ///< It shed what was sent ahead.
+  TimePoint draining_until{};  ///< Set when it announces that it is leaving.
+  TimePoint no_ahead_until{};  ///< Set when it sheds a request sent ahead.
   TimePoint next_trickle{};
   Duration trickle_pause{0};
   double error_share = 0;  ///< Recent share of errors.
   UpstreamHealth health;
 };
 
-/// A lane's part in one ring.
+/// State of a lane in one ring.
 struct LaneShare {
   uint32_t place = kNotInHeap;
-  double finish_tag = 0;  ///< In slot time over weight.
+  double finish_tag = 0;  ///< Virtual time: slot time divided by weight.
   Duration slot_time{0};  ///< Mean time that its requests hold a slot.
 };
 
-/// What one team has at one shard.
+/// The requests of one team at one shard.
 struct LaneRow {
-  uint32_t shard = kNoRow;  ///< Its serial number.
+  uint32_t shard = kNoRow;  ///< ShardState::serial.
   TeamHandle team;
   uint32_t weight = 1;
   uint32_t queued = 0;
@@ -135,7 +142,8 @@
   RatioBudget hedge_budget;
 };
 
-/// Order of lanes in a ring: least start tag, then longest at the head.
+/// Order of lanes in a ring: lowest start tag first, then the lane that reached
+/// the head earliest.
 struct RingKey {
   double tag = 0;
   uint64_t sequence = 0;
@@ -146,17 +154,17 @@
 };
 
 struct Ring {
-  IndexedHeap<RingKey> lanes;  ///< Those that have something waiting.
+  IndexedHeap<RingKey> lanes;  ///< Lanes with queued requests.
   double virtual_time = 0;
-  uint64_t weights = 0;  ///< Sum over `lanes`.
+  uint64_t weights = 0;  ///< Sum of the weights of `lanes`.
   uint32_t queued = 0;
   Duration slot_time{0};     ///< Mean time that a request holds its slot.
   uint32_t passed_over = 0;  ///< Starts of other rings while this one waited.
 };
 
-/// An upstream of a shard that names a rate limit. Few do.
+/// An upstream with a known rate limit. Few upstreams have one.
 struct RateLimitedUpstream {
-  uint32_t place = kNoRow;  ///< Among the shard's upstreams.
+  uint32_t place = kNoRow;  ///< Position in ShardState::upstreams.
   RateLimitQuota quota;
   bool named_since_update =
       false;                   ///< It named its limit since others were told.
@@ -166,55 +174,58 @@
 
 struct ShardState {
   ShardKey key = 0;
-  uint32_t serial = 0;  ///< Names it to lanes, also after its row is reused.
+  uint32_t serial = 0;  ///< Identifies the shard to lanes, as rows are reused.
   bool in_use = false;
   std::vector<UpstreamSlots> upstreams;
-  /// Of `upstreams`, in their order; empty where they can't be asked.
+  /// Parallel to `upstreams`; empty if they take no load queries.
   std::vector<ReportedSpeed> speeds;
-  /// Of `upstreams`, in their order; empty where cold ones are not bounded.
+  /// Parallel to `upstreams`; empty if the service has no limit on cold ones.
   std::vector<ColdQuota> cold_quotas;
   std::vector<RateLimitedUpstream> rate_limited;
-  /// Since when this VM has been its first owner, with nobody that may be cut
-  /// off before it; kNever: it is not.
+  /// Time since which this VM has been the uncontested first owner of the
+  /// shard; kNever if it is not.
   TimePoint first_since = kNever;
   std::array<Ring, kRings> rings;
   std::array<LatencyStats, kClasses> stats;
   Chain suspects;
   uint32_t suspects_queued = 0;
-  uint32_t isolating = kNoRow;  ///< Upstream that runs suspects alone.
+  uint32_t isolating = kNoRow;  ///< Upstream reserved for suspects.
   uint32_t queued = 0;
   uint32_t busy = 0;
   std::array<uint32_t, kClasses> running{};
-  /// Whether its upstreams say how slow they are; they are thought to until
-  /// one of them says nothing of it.
+  /// Upstreams report their slowness. Assumed until a report comes without it.
   bool reports_speed = true;
-  /// How long requests are held until an upstream is fast again; before any
-  /// was, about what a spell of slowness has left when it is met.
+  /// Mean time that requests are held until an upstream is fast again. The
+  /// initial value is about the remaining length of a slow period in progress.
   Duration hold_time = std::chrono::milliseconds(50);
-  bool can_be_asked = false;  ///< The service has a health check.
-  /// When asked, its upstreams also say whether they are cold.
+  bool can_be_asked = false;  ///< The service has a health check path.
+  /// Upstreams answer load queries with whether they are cold.
   bool reports_cold = false;
-  bool any_superseded = false;  ///< Of `upstreams`, with work to be ended.
-  /// Rate limits alone say how much its upstreams do, as of the scan.
+  bool any_superseded = false;  ///< Some upstream is superseded and busy.
+  /// Rate limits bound all its upstreams, as of the last RecountSlots.
   bool rate_bound = false;
-  uint32_t siblings = 1;  ///< Shards of the service, this one included.
-  std::unique_ptr<RepeatBudget> repeats;  ///< If the fleet has a bound.
-  uint32_t open_slots = 0;  ///< Of upstreams that take work, as of the scan.
+  uint32_t siblings = 1;  ///< Number of shards of the service, with this one.
+  std::unique_ptr<RepeatBudget> repeats;  ///< Set if the fleet has a limit.
+  uint32_t open_slots =
+      0;  ///< Of upstreams with full share, as of RecountSlots.
   uint32_t starts_since_trickle = 0;
-  uint32_t first_pick = 0;      ///< Where the next search for a slot begins.
-  double error_rate = 0;        ///< Of siblings, when an error came last.
-  double interactive_load = 0;  ///< Slots that urgent and ordinary take.
+  uint32_t first_pick =
+      0;  ///< Position at which the next search for a slot begins.
+  double error_rate = 0;  ///< Error share of the siblings at the last error.
+  double interactive_load =
+      0;  ///< Mean slots needed by urgent and ordinary requests.
   uint32_t active_place = kNoRow;
   uint32_t last_lane = kNoRow;
   TrafficClass last_class = TrafficClass::kCount;
-  TimePoint mixed_until{};  ///< Teams or classes shared the shard of late.
+  TimePoint
+      mixed_until{};  ///< Several teams or classes use the shard until then.
   TimePoint load_at{};
   TimePoint next_scan{};
   TimePoint last_scan{};
   TimePoint last_used{};
 };
 
-/// @returns the ring in which requests of `queue` wait.
+/// @returns the ring in which requests of class `queue` wait.
 constexpr RingKind RingOf(TrafficClass queue) {
   switch (queue) {
     case TrafficClass::kBulk:
--- a/packages/decision/src/dispatcher.cc
+++ b/packages/decision/src/dispatcher.cc
@@ -11,7 +11,8 @@
 constexpr Duration kHandBackRetryAfter = std::chrono::milliseconds(10);
 constexpr Duration kNoUpstreamRetryAfter = std::chrono::seconds(1);
 
-// Teams or classes count as sharing a shard for so long.
+// A shard counts as shared by several teams or classes for this long after two
+// consecutive requests differed.
 constexpr Duration kMixedTime = std::chrono::seconds(1);
 
 void TrackMix(TimePoint now, ShardState& shard, const RequestRow& request) {
@@ -196,12 +197,13 @@
 }
 
 void DispatcherCore::Refuse(uint32_t row, const Verdict& verdict) {
-  // A request of which an earlier attempt may have run must not be called
-  // `not-run`, whatever stops it now.
-  const bool lie = this->Request(row).maybe_ran &&
-                   InfoOf(verdict.refusal).promise == Promise::kNotRun;
+  // If an earlier attempt of the request may have run, the refusal must not
+  // promise `not-run`.
+  const bool is_false_promise =
+      this->Request(row).maybe_ran &&
+      InfoOf(verdict.refusal).promise == Promise::kNotRun;
   DispatchAction& action = this->Emit(DispatchActionKind::kRefuse, row);
-  action.refusal = lie ? Refusal::kUpstreamDied : verdict.refusal;
+  action.refusal = is_false_promise ? Refusal::kUpstreamDied : verdict.refusal;
   action.retry_after = verdict.retry_after;
   action.sends = this->Request(row).sends;
   ++this->counts.refusals[static_cast<size_t>(action.refusal)];
@@ -261,8 +263,8 @@
       {kind, shard.key, upstream.handle, fingerprint});
 }
 
-// Each shard's dispatcher has a part of what the fleet may repeat at the
-// service.
+// Takes one repeat from this shard's share of the fleet-wide limit for the
+// service. @returns false if the share is used up.
 bool DispatcherCore::TakeRepeat(TimePoint now, ShardState& shard, double keep) {
   if (!this->options.repeats) {
     return true;
--- a/packages/decision/src/dispatcher_admit.cc
+++ b/packages/decision/src/dispatcher_admit.cc
@@ -10,24 +10,25 @@
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(10);
 constexpr Duration kNoUpstreamRetryAfter = std::chrono::seconds(1);
 
-// A pause of all upstreams up to this long is waited for; with a longer one
-// the entry VM does better to go elsewhere.
+// Requests are queued if an upstream's pause ends within this time. Otherwise
+// it is better that the entry VM sends them elsewhere.
 constexpr Duration kMaxPauseWaited = std::chrono::milliseconds(20);
 
-// An upstream that failed so often in a row is thought to be down.
+// Consecutive failures after which an upstream counts as down.
 constexpr uint8_t kFailuresInARow = 2;
 
-// While less than this part of the table is free, only lanes with few
-// requests get in, so that a flood can't shut the others out.
+// While no more than one in kReservedPart rows of the request table is free,
+// only lanes with fewer than kFewRequests requests may add one, so that a flood
+// from one team can't lock out the others.
 constexpr size_t kReservedPart = 8;
 constexpr uint32_t kFewRequests = 16;
 
 constexpr int kPercent = 100;
 
-// Deadlines are met if the wait is longer than expected by this factor.
+// Early refusal allows for a wait that is longer than expected by this factor.
 constexpr int kWaitPercent = 125;
 
-// With fair queueing switched off all requests share one lane and queue.
+// With fair queueing switched off, all requests share one lane.
 constexpr TeamHandle kOneLane{};
 
 }  // namespace
@@ -74,8 +75,9 @@
   return verdict;
 }
 
-// While all upstreams fail, requests do not wait for them: one at a time is let
-// through to each that may be tried, the others are told at once.
+// While all upstreams are failing, requests are not queued. One at a time is
+// let through to each upstream that may be tried; the others are refused at
+// once.
 DispatcherCore::Verdict DispatcherCore::CheckUsable(TimePoint now,
                                                     const ShardState& shard) {
   TimePoint soonest = kNever;
@@ -136,8 +138,8 @@
   if (wait > request.max_wait) {
     return {Refusal::kQueueFull, this->WithJitter(wait)};
   }
-  // Upstreams that take one request in some seconds leave no hope that others
-  // end sooner than thought.
+  // The wait can't turn out shorter than expected here, because rate limits,
+  // which may be as low as one request in several seconds, determine it.
   if (shard.rate_bound && wait > request.deadline - now) {
     return {Refusal::kUpstreamRateLimit, this->WithJitter(wait)};
   }
@@ -155,9 +157,11 @@
   return {};
 }
 
-// A queue filled by one team must not shut another out, nor a team's patient
-// requests its urgent ones: the newest request of the longest lane, or of the
-// most patient, makes room. Its caller is told at once.
+// Refuses a queued request in favour of a new one, so that one team can't lock
+// out others, nor a team's less urgent requests its urgent ones. With a full
+// queue this is the newest request of the longest lane, with a full team queue
+// the team's newest request of a less urgent ring.
+// @returns true if there is room now.
 bool DispatcherCore::MakeRoom(TimePoint now,
                               ShardState& shard,
                               uint32_t lane,
--- a/packages/decision/src/dispatcher_core.h
+++ b/packages/decision/src/dispatcher_core.h
@@ -12,16 +12,19 @@
 #include "shard_table.h"
 #include "upstream_choice.h"
 
-/// The dispatcher itself. Its parts stand in one file each: dispatcher.cc
-/// takes requests in and lets them go, dispatcher_admit.cc decides which are
-/// refused at once, dispatcher_start.cc binds them to slots, dispatcher_end.cc
-/// settles what an end of an attempt means, dispatcher_outcome.cc what it says
-/// of the upstream, dispatcher_rate_limit.cc what it says of a rate limit, and
-/// dispatcher_tick.cc has what time does.
+/// Implementation of the dispatcher, split into these files:
+/// - dispatcher.cc: queueing and ending of requests
+/// - dispatcher_admit.cc: admission control
+/// - dispatcher_start.cc: binding of requests to slots
+/// - dispatcher_speed.cc: load queries and momentary slowness of upstreams
+/// - dispatcher_end.cc: ends of attempts and retries
+/// - dispatcher_outcome.cc: effect of an attempt's end on the upstream's state
+/// - dispatcher_rate_limit.cc: rate limits of upstreams
+/// - dispatcher_tick.cc: timers, hedges and periodic scans
 
 namespace basilsill {
 
-/// @returns when `request` moves on to a more urgent queue, kNever if never.
+/// @returns when `request` moves to a more urgent queue, kNever if it doesn't.
 TimePoint PromotionOf(const RequestRow& request);
 
 class DispatcherCore final : public Dispatcher {
@@ -52,7 +55,7 @@
   const DispatchCounters& counters() const override;
 
  private:
-  /// A refusal with the time after which it may be worth coming back.
+  /// A refusal and the time after which the caller may retry; kNone admits.
   struct Verdict {
     Refusal refusal = Refusal::kNone;
     Duration retry_after{0};
@@ -233,10 +236,11 @@
   HandleTable<AttemptRow, AttemptTag> attempts;
   ShardTable shards;
   FairQueue queue;
-  IndexedHeap<TimePoint> timers;  ///< Of requests.
-  std::vector<uint32_t> active;   ///< Shards with something to do.
+  IndexedHeap<TimePoint> timers;  ///< Rows are those of requests.
+  std::vector<uint32_t>
+      active;  ///< Shards that have queued or running requests.
   RateLimitMemory received_limits;
-  std::vector<RateLimitReport> ended_limits;  ///< Others are not told yet.
+  std::vector<RateLimitReport> ended_limits;  ///< Not yet sent to other VMs.
   bool handing_back = false;
   pcg32 random;  ///< For jitter.
   std::vector<DispatchAction> emitted_actions;
--- a/packages/decision/src/dispatcher_end.cc
+++ b/packages/decision/src/dispatcher_end.cc
@@ -9,18 +9,18 @@
 namespace {
 
 constexpr uint8_t kMaxStarts = 3;
-constexpr int kSlotTimeWeight = 64;  // Requests in the moving mean.
+constexpr int kSlotTimeWeight = 64;  // Window of the moving mean, in requests.
 constexpr Duration kRetryAfter = std::chrono::milliseconds(100);
 constexpr uint16_t kServerError = 500;
 
-// An upstream that answers so has run the request and failed; another one may
-// do better.
+// @returns true if the upstream ran the request and answered with a server
+// error. Another upstream may succeed.
 bool IsFailedAnswer(const AttemptReport& report) {
   return report.end == AttemptEnd::kAnswered && report.status >= kServerError &&
          !report.answer_started;
 }
 
-// True if an attempt that ended so may have run, in part or whole.
+// @returns true if an attempt with this end may have run, at least in part.
 bool MayHaveRun(AttemptEnd end) {
   return end != AttemptEnd::kShed && end != AttemptEnd::kConnectFailed &&
          end != AttemptEnd::kMisdirected;
@@ -83,7 +83,7 @@
                                   const AttemptReport& report) {
   const AttemptRow* found = this->attempts.Find(handle);
   if (found == nullptr) {
-    // Cancelled before: another attempt or a refusal is the outcome.
+    // Already cancelled: another attempt or a refusal is the outcome.
     return true;
   }
   const AttemptRow attempt = *found;
@@ -91,14 +91,15 @@
   this->RecordAttemptEnd(now, attempt, report);
   this->Release(now, handle);
   RequestRow& request = this->Request(row);
-  // Nothing reached an upstream that could not be connected to.
+  // Nothing was sent if the connection failed.
   request.sends -= report.end == AttemptEnd::kConnectFailed ? 1 : 0;
   if (IsFailedAnswer(report) && !request.answer_started &&
       this->RetryFailedAnswer(now, row, attempt, report)) {
     this->Pump(now, attempt.shard);
     return true;
   }
-  // The head of a shed answer is a first byte too, but none for the caller.
+  // The header of a shed answer counts as a first byte, but the caller does not
+  // get it.
   const bool shed = report.end == AttemptEnd::kShed;
   const bool started =
       report.answer_started || (request.answer_started && !shed);
@@ -117,8 +118,8 @@
   return !final_end;
 }
 
-// An attempt ended without an answer: another one goes on, or the request
-// waits again, or it is refused.
+// Handles an attempt that ended without an answer: another attempt continues,
+// the request is queued again, or it is refused.
 void DispatcherCore::HandleFailedAttempt(TimePoint now,
                                          uint32_t row,
                                          const AttemptRow& attempt,
@@ -142,7 +143,9 @@
   this->RequeueForRetry(row, attempt, reason);
 }
 
-// The shell keeps the failed answer, for when nothing better comes.
+// Handles an answer with a server error. The host keeps this answer in case no
+// other attempt succeeds.
+// @returns true if another attempt runs or the request is queued again.
 bool DispatcherCore::RetryFailedAnswer(TimePoint now,
                                        uint32_t row,
                                        const AttemptRow& attempt,
@@ -187,7 +190,7 @@
   return true;
 }
 
-// @returns how many more upstreams may run the request.
+// @returns how many more attempts the request may have.
 uint8_t DispatcherCore::AttemptsLeft(const RequestRow& request) const {
   const uint8_t all = request.spec.max_attempts;
   if (all == 0) {
@@ -197,8 +200,8 @@
   return sent < all ? static_cast<uint8_t>(all - sent) : 0;
 }
 
-// With no upstream left the shard can't help a request that did not run, but
-// another may: that is what kNoUpstream tells the entry VM.
+// If the request did not run and no upstream of the shard is usable, the
+// refusal says so (kNoUpstream), so that the entry VM tries another shard.
 DispatcherCore::Verdict DispatcherCore::VerdictOf(TimePoint now,
                                                   const RequestRow& request,
                                                   AttemptEnd end) {
@@ -214,13 +217,14 @@
   if (elsewhere.refusal == Refusal::kNone) {
     return own;
   }
-  // The entry VM goes on elsewhere at no cost to itself. What was sent here
-  // makes that a repeat, which is paid for here or not made.
+  // The entry VM does not charge its own budget for trying another shard. If
+  // the request was sent to an upstream here, that is a repeat, so this shard's
+  // budget has to cover it.
   const bool may_repeat = request.sends == 0 || this->TakeRepeat(now, shard);
   return may_repeat ? elsewhere : own;
 }
 
-// @returns why the request is tried again, or kNone if it is not.
+// @returns the reason for a retry, or kNone if the request is not retried.
 Retry DispatcherCore::DecideRetry(TimePoint now,
                                   const RequestRow& request,
                                   const AttemptRow& attempt,
@@ -236,11 +240,11 @@
                                      : Retry::kDeniedNotIdempotent;
   } else if (IsFailedAnswer(report) && request.spec.idempotent &&
              request.spec.max_attempts > 0) {
-    // Only where it is declared how many upstreams may see a request: others
-    // take an answer of failure for the answer.
+    // Only for requests with a declared limit of attempts. Without one, the
+    // caller gets a server error as the answer.
     reason = Retry::kUpstreamFailed;
   }
-  // Sent on, the rest of a body would look like a whole one.
+  // Another upstream would take the rest of the body for a complete one.
   const bool body_gone =
       !request.spec.replayable && end != AttemptEnd::kConnectFailed;
   if (body_gone && reason != Retry::kNone && !IsDenied(reason)) {
@@ -248,9 +252,9 @@
   }
   ShardState& shard = this->shards.at(request.shard);
   const bool usable = this->CheckUsable(now, shard).refusal == Refusal::kNone;
-  // What was sent ahead of a free slot and refused is this side's own doing,
-  // and an upstream that leaves refuses only until it is known to; neither
-  // can amplify a failure.
+  // These two cases need no retry budget, as they can't amplify a failure. A
+  // request that was sent ahead was shed because the dispatcher exceeded the
+  // slots. A leaving upstream sheds only until the dispatcher knows about it.
   const bool free =
       end == AttemptEnd::kShed && (attempt.ahead || report.drain_sign);
   const auto traffic_class = static_cast<size_t>(request.spec.traffic_class);
@@ -307,7 +311,7 @@
   }
 }
 
-// What was sent ahead begins to run when a slot is free.
+// A slot became free, so an attempt that was sent ahead starts to run.
 void DispatcherCore::AdvanceAhead(TimePoint now,
                                   const UpstreamSlots& upstream) {
   for (uint32_t row = upstream.running; row != kNoRow;
--- a/packages/decision/src/dispatcher_outcome.cc
+++ b/packages/decision/src/dispatcher_outcome.cc
@@ -9,9 +9,9 @@
 
 constexpr uint16_t kServerError = 500;
 
-// How long an upstream that said it is leaving gets no work. It ends sooner
-// only when the view shows it again: sending it a request to find out would
-// be the new work that it asked not to get.
+// Time for which an upstream gets no work after it announced that it is
+// leaving. It ends sooner only if the view shows the upstream as back. A trial
+// request would be the new work that the upstream asked not to get.
 constexpr Duration kDrainTime = std::chrono::minutes(2);
 
 constexpr Duration kConnectPause = std::chrono::milliseconds(100);
@@ -22,17 +22,17 @@
 
 constexpr Duration kMaxPauseAlone = std::chrono::milliseconds(200);
 
-// An upstream that does not queue beyond its slots is not asked to for so
-// long.
+// Time for which nothing is sent ahead to an upstream that shed such a request.
 constexpr Duration kNoAheadTime = std::chrono::minutes(1);
 
-// Pauses between trickles to a marked upstream that still does badly.
+// Pause between trickle requests to a marked upstream that has not recovered.
+// It doubles up to the maximum.
 constexpr Duration kTricklePause = std::chrono::milliseconds(100);
 constexpr Duration kMaxTricklePause = std::chrono::seconds(2);
 
-// An answer within this multiple of the median is a good one.
+// An answer is good if the logarithm of its duration over the median is lower.
 constexpr double kGoodLogRatio = 0.7;
-constexpr double kErrorWeight = 1.0 / 32;  // Requests in a share of errors.
+constexpr double kErrorWeight = 1.0 / 32;  // Of one request in the error share.
 
 bool IsError(const AttemptReport& report) {
   switch (report.end) {
@@ -48,10 +48,11 @@
   }
 }
 
-// The share of errors among the siblings of `upstream`. Its own must not count:
-// a failing one is quick, gets most of the requests, and would look normal.
-double ErrorShareBeside(const ShardState& shard,
-                        const UpstreamSlots& upstream) {
+// @returns the mean error share of the siblings of `upstream`. Its own errors
+// are excluded: an upstream that fails fast gets most of the requests, so its
+// errors would look normal.
+double ErrorShareOfSiblings(const ShardState& shard,
+                            const UpstreamSlots& upstream) {
   double sum = 0;
   size_t siblings = 0;
   for (const UpstreamSlots& other : shard.upstreams) {
@@ -63,8 +64,8 @@
   return siblings == 0 ? 1 : sum / static_cast<double>(siblings);
 }
 
-// Only a minority can be worse than its siblings; if half of them are marked
-// already, it is the load or the requests that changed.
+// At most half of the upstreams are marked. If more of them look bad, the load
+// or the requests have changed, not the upstreams.
 bool MayMark(const ShardState& shard, UpstreamGrade grade) {
   size_t usable = 0;
   size_t marked = 0;
@@ -77,8 +78,9 @@
   return 2 * (marked + 1) <= usable;
 }
 
-// Pauses double with each failure in a row. While nothing else takes work
-// either, they stay short: there is nobody to spare the upstream for.
+// Pauses the upstream. The pause doubles with each consecutive failure, but
+// stays short while no other upstream has open slots, as there is no
+// alternative.
 void Pause(TimePoint now,
            const ShardState& shard,
            UpstreamSlots& upstream,
@@ -91,8 +93,8 @@
   upstream.failures = std::min<uint8_t>(upstream.failures + 1, kMaxFailures);
 }
 
-// What failed for a common cause recovers together: when one upstream answers
-// again, its siblings are tried at once too.
+// Ends the pauses of all upstreams after one of them answered again: failures
+// with a common cause end together.
 void LiftPauses(TimePoint now, ShardState& shard) {
   for (UpstreamSlots& upstream : shard.upstreams) {
     upstream.paused_until = std::min(upstream.paused_until, now);
@@ -150,9 +152,9 @@
     good = log_ratio < kGoodLogRatio;
     upstream.health.OnAnswer(log_ratio, stats.spread(), shard.error_rate);
   }
-  // What counts is how the upstream was when the request began: leaving out
-  // the long ones that made it look slow would shorten the siblings' tail,
-  // and mark ever more of them.
+  // The upstream's grade at the start of the request decides. Leaving out the
+  // long requests that made an upstream look slow would shorten the tail of the
+  // statistics, so that ever more upstreams would be marked.
   if (attempt.typical && !attempt.ahead) {
     stats.Add(took);
   }
@@ -167,15 +169,15 @@
   this->ScheduleTrickle(now, upstream, good);
 }
 
-// An error is no fast answer: its time does not count, whatever it was, and
-// an upstream that fails beside healthy siblings is marked.
+// The duration of an error does not count, however short it is. An upstream
+// that fails while its siblings are healthy is marked.
 void DispatcherCore::RecordError(TimePoint now,
                                  const AttemptRow& attempt,
                                  AttemptEnd end) {
   ShardState& shard = this->shards.at(attempt.shard);
   UpstreamSlots& upstream = shard.upstreams[attempt.upstream];
   upstream.error_share += kErrorWeight * (1 - upstream.error_share);
-  shard.error_rate = ErrorShareBeside(shard, upstream);
+  shard.error_rate = ErrorShareOfSiblings(shard, upstream);
   if (this->options.features.fail_fast) {
     upstream.health.OnError(shard.error_rate);
   }
@@ -210,8 +212,8 @@
   this->RecordEvent(UpstreamEventKind::kBackedOff, shard, upstream);
 }
 
-// A marked upstream that did well is tried again at once, so that it comes
-// back within some requests; one that did badly has to wait.
+// After a good answer, a marked upstream gets the next trickle request at once,
+// so that it recovers within a few requests. After a bad one it has to wait.
 void DispatcherCore::ScheduleTrickle(TimePoint now,
                                      UpstreamSlots& upstream,
                                      bool good) {
@@ -237,9 +239,10 @@
   RecountSlots(now, shard);
 }
 
-// All that ran there is suspect alike. Their own ends will be reported as
-// deaths too, and are the same crash. An upstream that is leaving and cuts
-// connections did not crash.
+// Reports all requests that ran on a crashed upstream to the quarantine. Their
+// attempts will end with kDied as well, but this is the same crash, so it is
+// reported once. An upstream that is leaving and closes connections has not
+// crashed.
 void DispatcherCore::ReportCrash(TimePoint now,
                                  uint32_t shard_row,
                                  UpstreamSlots& upstream) {
--- a/packages/decision/src/dispatcher_speed.cc
+++ b/packages/decision/src/dispatcher_speed.cc
@@ -10,23 +10,23 @@
 namespace basilsill {
 namespace {
 
-// Upstreams that are asked at a time. With a quarter of them
-// slow at any moment, all of so many are in 2 of 100 cases.
+// Most load queries in flight per shard. With a quarter of the upstreams slow
+// at any moment, all of those queried are slow in 2 of 100 cases.
 constexpr uint32_t kMaxLoadQueries = 3;
 
-// While a request is held, upstreams are asked again this often.
+// Interval at which upstreams are queried again while a request is held.
 constexpr Duration kHoldScan = std::chrono::milliseconds(10);
 
-// Requests in the moving mean of how long one is held.
+// Window of the moving mean of hold times, in requests.
 constexpr int kHoldWeight = 16;
 
-// With fewer slots than this, one request more is never one of many.
+// An upstream with fewer slots than this never counts as crowded.
 constexpr uint16_t kManySlots = 3;
 
-// Typical time of a request of which nothing is known.
+// Assumed duration of a request before there are statistics.
 constexpr Duration kTypicalTime = std::chrono::milliseconds(100);
 
-// With one request more, over half of its slots are taken.
+// @returns true if one more request would take over half of the slots.
 bool IsCrowded(const UpstreamSlots& upstream) {
   return upstream.slots >= kManySlots &&
          2 * (upstream.busy + 1) > upstream.slots + 1;
@@ -51,8 +51,8 @@
   return held_out || is_late ? SpeedRule::kPrefer : SpeedRule::kFastOnly;
 }
 
-// The limit also keeps a request that is held from asking those that can't
-// help.
+// The slowness limit also keeps a held request from querying upstreams that are
+// too slow for it.
 void DispatcherCore::SetSpeedOptions(TimePoint now,
                                      const ShardState& shard,
                                      const RequestRow& request,
@@ -64,12 +64,15 @@
   }
 }
 
-// Failure: one upstream takes sixty times its usual time, and is the only one
-// with a free slot, as nobody else gets done there. A request that has waited
-// long enough for a fast one was started on it all the same, to end at its
-// deadline; one that may run once at most was lost. It shows as attempts with
-// a known slowness that end at their deadlines. So it waits for the others,
-// while there are any.
+// @returns the slowness above which an upstream can't answer by the deadline;
+// infinity if it is unknown or if all upstreams are slower.
+//
+// Failure: one upstream is sixty times slower than usual and is the only one
+// with a free slot, because no other request is started there. A request that
+// was held for the maximum time was started on it anyway and ended at its
+// deadline; one that must not run twice was lost. Symptom: attempts at
+// upstreams of known slowness end at their deadlines. So such a request waits
+// for the other upstreams, as long as there are any.
 double DispatcherCore::SlownessLimitOf(TimePoint now,
                                        const ShardState& shard,
                                        const DispatchRequest& spec) {
@@ -85,13 +88,15 @@
   return HasUpstreamWithin(now, shard, limit) ? limit : none;
 }
 
-// Failure: the upstreams of a service near are all slow at this moment, and a
-// request waits for one of them to be fast again, for longer than the way to
-// another data centre and back takes. It shows as waits before a start of a
-// good part of the aim while upstreams elsewhere are idle, and as starts on
-// slow ones once such a wait was too long. So a request that may still move
-// goes back to its entry VM at once, if what that expects elsewhere is less
-// than the usual length of such a wait here.
+// @returns true if a request that would be held is to go back to its entry VM.
+//
+// Failure: all upstreams in this data centre are slow, and a request is held
+// until one of them is fast again, for longer than the round trip to another
+// data centre takes. Symptom: requests wait for a large part of their latency
+// target while upstreams elsewhere are idle, or start on a slow upstream after
+// the maximum wait. So a request that may still move goes back to its entry VM
+// at once if the wait that this VM expects elsewhere is shorter than the usual
+// hold time here.
 bool DispatcherCore::ShouldLeaveSlow(const ShardState& shard,
                                      const RequestRow& request) const {
   return this->options.features.leave_slow &&
@@ -99,8 +104,9 @@
          shard.hold_time > request.spec.max_wait;
 }
 
-// No upstream that was fast a moment ago has a free slot. Those that may be
-// fast are asked; the request goes on when one of them says so.
+// Holds a request because no upstream that is known to be fast has a free slot.
+// Upstreams that may be fast are queried; the request starts when one of them
+// reports that it is.
 void DispatcherCore::Hold(TimePoint now,
                           ShardState& shard,
                           uint32_t row,
@@ -159,12 +165,15 @@
   this->emitted_actions.push_back(action);
 }
 
-// Failure: of many upstreams some few were fast a moment ago, and of the others
-// nothing is known. All that comes goes to these few, until they are full and
-// slow, beside others that have nothing to do. It shows as run times that rise
-// long before the service has no free slots. So a request that would be one of
-// many somewhere first has idle upstreams asked, which takes a round trip, and
-// goes to one of them if it says that it is fast.
+// @returns true if the request is held until idle upstreams have answered load
+// queries.
+//
+// Failure: a few of many upstreams are known to be fast, and the speed of the
+// others is unknown. All requests go to these few until they are full and slow,
+// while the others are idle. Symptom: service times rise long before the
+// service runs out of slots. So before a request is sent to a crowded upstream,
+// idle ones are queried, which takes a round trip, and the request goes to one
+// of them if that reports to be fast.
 bool DispatcherCore::HoldForIdle(TimePoint now,
                                  ShardState& shard,
                                  uint32_t row,
@@ -196,7 +205,8 @@
   return asked > 0;
 }
 
-// @returns true if the upstream is asked now.
+// Queries an upstream that may be cold.
+// @returns true if a query was sent.
 bool DispatcherCore::QueryWarmth(TimePoint now,
                                  ShardState& shard,
                                  uint32_t place) {
@@ -208,8 +218,8 @@
   return true;
 }
 
-// A request waits, and upstreams that have slots may only not get it since they
-// could be cold: one that says that it is warm gets it.
+// Queries upstreams that have free slots but get no request because they may be
+// cold. One that reports to be warm gets the waiting request.
 void DispatcherCore::QueryWarmthOfFree(TimePoint now, ShardState& shard) {
   uint32_t asked = 0;
   const auto count = static_cast<uint32_t>(shard.cold_quotas.size());
@@ -253,8 +263,8 @@
         place < shard.cold_quotas.size()) {
       shard.cold_quotas[place].OnTold(now, *report.cold_for);
     }
-    // A health check that is silent about a limit says nothing: requests get
-    // other answers.
+    // A health check without a rate limit does not mean that there is none:
+    // answers to requests may still have it.
     if (report.rate_limit.word == RateLimitWord::kNamed && !report.foreign) {
       this->RecordRateLimit(now, now, shard, place, report.rate_limit);
     }
--- a/packages/decision/src/dispatcher_start.cc
+++ b/packages/decision/src/dispatcher_start.cc
@@ -14,24 +14,26 @@
 constexpr size_t kBackgroundClass =
     static_cast<size_t>(TrafficClass::kBackground);
 
-// A ring that waits gets a turn after so many starts of rings before it, so
-// that long downloads and background reads move on under any flood.
+// A ring with queued requests gets a turn after this many starts of other
+// rings, so that long downloads and background reads make progress under any
+// load.
 constexpr std::array<uint32_t, kRings> kStartsBeforeTurn = {0, 16, 64};
 
-// Long requests may take this part of the slots at most.
+// Largest share of the slots that long requests may take.
 constexpr double kLongShare = 0.5;
 
-// A request is long if it takes this many times an interactive one.
+// Requests are long if they take this many times as long as interactive ones.
 constexpr int kLongFactor = 3;
 
-// Requests are sent ahead once this part of the slots' number waits.
+// Requests are sent ahead if at least one in this many slots has a request
+// queued for it.
 constexpr uint32_t kAheadDivisor = 4;
 
-// Long requests leave so many slots that the interactive ones use this part of
-// what is left to them.
+// Long requests leave so many slots free that the interactive load uses this
+// share of them.
 constexpr double kInteractiveUse = 0.65;
 
-// The interactive load is averaged over about this time.
+// Time constant of the moving average of the interactive load.
 constexpr std::chrono::duration<double> kLoadTime{1};
 
 }  // namespace
@@ -97,11 +99,11 @@
   return true;
 }
 
-// A slot stands empty while an answer travels here and the next request there.
-// With a queue that is long anyway, one request more is sent to each upstream
-// to fill that gap; its own wait is no longer there than here. But one of
-// another team or class that comes next would wait for it too, so this is only
-// done where all requests of late are alike.
+// A slot is idle while an answer and the next request are on the network. If
+// the queue is long, one more request than the slots is sent to each upstream
+// to fill that gap; it waits no longer there than here. A later request of
+// another team or class would have to wait for it too, so this is only done
+// while all recent requests are of one team and class.
 bool DispatcherCore::MaySendAhead(TimePoint now,
                                   const ShardState& shard,
                                   RingKind ring) const {
@@ -120,10 +122,10 @@
   return shard.running[traffic_class] < this->CapOf(shard, ring);
 }
 
-// Requests that hold a slot for long get what the interactive load leaves: a
-// slot once given to a download is gone for long, so the cap looks at the
-// average load and not at what is free at this moment. Short ones need no cap,
-// as a slot comes free again soon.
+// @returns the number of slots that requests of `ring` may hold. Long requests
+// get what the interactive load leaves. As a download occupies its slot for a
+// long time, the cap depends on the average load, not on the slots that are
+// free now. Short requests need no cap, as their slots are free again soon.
 uint32_t DispatcherCore::CapOf(const ShardState& shard, RingKind ring) const {
   const DispatcherFeatures& features = this->options.features;
   const Duration slot_time = shard.rings[static_cast<size_t>(ring)].slot_time;
@@ -143,7 +145,7 @@
 }
 
 // Refuses a request that is too late or quarantined.
-// @returns true if it is gone.
+// @returns true if it was refused.
 bool DispatcherCore::RefuseIfUnservable(TimePoint now,
                                         ShardState& shard,
                                         uint32_t row) {
@@ -174,8 +176,9 @@
   return refused > Duration(0);
 }
 
-// @returns true if `request` may start now. Otherwise it is out of its lane:
-// refused, or among the suspects that have to run alone.
+// @returns true if the request may start now. Otherwise it has left its place
+// in the queue: it was refused, moved to the background queue, or added to the
+// suspects, which have to run alone.
 bool DispatcherCore::CheckFront(TimePoint now,
                                 ShardState& shard,
                                 uint32_t row) {
@@ -193,10 +196,11 @@
   return false;
 }
 
-// While more comes than upstreams can do, a queue that is served in the order
-// of arrival makes every request late, and all the work serves nobody. One that
-// can't be answered in good time any more lets those pass that still can. It
-// is served when none of them waits, or refused at once if that is too late.
+// Under overload, a queue in order of arrival makes every request late, so that
+// the upstreams do no useful work. A request that can't meet its latency target
+// any more therefore moves to the background queue, behind those that still
+// can. If it would miss its deadline there, it is refused at once.
+// @returns true if the request was moved or refused.
 bool DispatcherCore::DeprioritizeIfLate(TimePoint now,
                                         ShardState& shard,
                                         uint32_t row) {
@@ -257,9 +261,9 @@
   --shard.suspects_queued;
 }
 
-// Suspects of an upstream's death run one at a time on an upstream that runs
-// nothing else: if it dies again there is no doubt left, and no innocent
-// request is beside it.
+// Requests suspected of crashing an upstream run one at a time, on an upstream
+// that runs nothing else. If that upstream crashes, the cause is certain, and
+// no other request is lost.
 void DispatcherCore::ServeSuspects(TimePoint now, uint32_t shard_row) {
   ShardState& shard = this->shards.at(shard_row);
   while (shard.suspects.first != kNoRow) {
@@ -352,8 +356,8 @@
   request.held_after = RequestRow::kNotHeld;
   ++request.sends;
   if (request.starts++ == 0) {
-    // Budgets grow with first attempts, not with offers: most of those may
-    // have been refused.
+    // Budgets grow with first attempts, not with offered requests, most of
+    // which may have been refused.
     LaneRow& lane = this->queue.lane(request.lane);
     if (this->options.repeats && request.spec.sends == 0) {
       shard.repeats->OnRequest(now, this->options.repeats->dispatchers);
--- a/packages/decision/src/dispatcher_tick.cc
+++ b/packages/decision/src/dispatcher_tick.cc
@@ -7,17 +7,17 @@
 namespace basilsill {
 namespace {
 
-// A shard's running requests are looked at this often, or at half of their
-// usual time if that is in between.
+// Bounds of the interval between scans of a shard, which is half of the usual
+// duration of its requests.
 constexpr Duration kMinScan = std::chrono::milliseconds(1);
 constexpr Duration kMaxScan = std::chrono::milliseconds(50);
 
-// Hedges of merely unlucky requests leave this many tokens to those that are
-// stuck on an upstream found to be slow.
+// Tokens of the hedge budget that are reserved for requests on upstreams that
+// are marked as slow.
 constexpr double kTokensKeptForSlow = 1;
 
-// A background request that has waited for half of its time counts as
-// ordinary, in the share of its own team.
+// A background request is queued as an ordinary one of its team after half of
+// the time to its deadline.
 constexpr int kPromotionDivisor = 2;
 
 }  // namespace
@@ -51,13 +51,15 @@
   }
 }
 
-// Failure: an upstream dies where nothing tells of it, such as behind a cut,
-// and starts again under its id. What it ran is waited for until its time is
-// over, though the platform says that the one it ran on is no more. It shows as
-// requests that end at their timeout after an upstream started again. They end
-// as at any death: what may run again goes elsewhere at once, anything else is
-// told so at once. A tick lies between the news and this, in which an answer
-// that has come meanwhile is read.
+// Ends the attempts at upstreams that have restarted.
+//
+// Failure: an upstream dies without a broken connection, for example behind a
+// network partition, and restarts under the same id. The dispatcher waits for
+// its attempts until they time out, although the platform's view shows that the
+// process is gone. Symptom: requests end at their timeout after a restart of
+// the upstream. So these attempts end as at any crash: requests that may run
+// again are retried at once, others are refused at once. This happens one tick
+// after the view, so that an answer that has already arrived is still read.
 void DispatcherCore::EndSuperseded(TimePoint now, uint32_t shard_row) {
   this->shards.at(shard_row).any_superseded = false;
   std::vector<AttemptHandle> dead;
@@ -127,8 +129,8 @@
   return now + stats.p95();
 }
 
-// Doubles a request that takes longer than nearly all others. While others
-// wait for a slot this is only worth it if its upstream is known to be slow.
+// Hedges a request that takes longer than nearly all others. While requests are
+// queued, this is only done if the upstream is marked as slow.
 void DispatcherCore::TryHedge(TimePoint now, uint32_t row) {
   RequestRow& request = this->Request(row);
   ShardState& shard = this->shards.at(request.shard);
@@ -160,7 +162,8 @@
   this->Start(now, row, other, Retry::kHedge);
 }
 
-// What runs on an upstream just found to be slow need not wait for its time.
+// Makes the hedges of all attempts at `upstream`, which was just marked as
+// slow, due now.
 void DispatcherCore::HedgeAttemptsOn(TimePoint now,
                                      const UpstreamSlots& upstream) {
   for (uint32_t row = upstream.running; row != kNoRow;
--- a/packages/decision/src/latency_stats.cc
+++ b/packages/decision/src/latency_stats.cc
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr double kBucketsPerOctave = 4;
-constexpr double kFirstOctave = 14;     // The first bucket begins at 16 us.
-constexpr uint32_t kHalveAt = 1024;     // Samples that count in full.
-constexpr uint32_t kRecomputeEach = 8;  // Quantiles may be this much older.
-constexpr int kMeanWeight = 32;         // Samples in the moving mean.
-constexpr int kOutlier = 4;             // Cut off at this multiple of p95.
-constexpr double kNormalP95 = 1.645;    // 95th percentile, standard normal.
+constexpr double kFirstOctave = 14;     // The first bucket starts at 16 us.
+constexpr uint32_t kHalveAt = 1024;     // Samples at which counts are halved.
+constexpr uint32_t kRecomputeEach = 8;  // Samples between updates of quantiles.
+constexpr int kMeanWeight = 32;       // Window of the moving mean, in samples.
+constexpr int kOutlier = 4;           // Samples are clipped at this many p95.
+constexpr double kNormalP95 = 1.645;  // 95th percentile, standard normal.
 constexpr double kMinShare = 1e-6;
 constexpr double kMinSpread = 0.25;
 constexpr double kMaxSpread = 1.5;
@@ -42,14 +42,14 @@
   for (size_t i = bucket + 1; i < kBuckets; ++i) {
     longer += this->counts[i];
   }
-  // Half of the own bucket, and one sample that has not been seen yet.
+  // Counts half of the bucket of `age`, and one sample that is yet to come.
   const double own = this->counts[bucket] / 2.0;
   const double seen = (longer + own + 1) / (this->total + 2.0);
   if (longer + own > 0) {
     return seen;
   }
-  // Older than all that were seen: the tail of a lognormal distribution goes
-  // on, so that what hangs becomes ever less likely.
+  // No sample was longer. The tail of a lognormal distribution is used instead,
+  // so that the share keeps falling with the age of a request that hangs.
   const double log_ratio =
       std::log(static_cast<double>(age.count()) /
                static_cast<double>(this->cached_median.count() + 1));
--- a/packages/decision/src/latency_stats.h
+++ b/packages/decision/src/latency_stats.h
@@ -6,9 +6,9 @@
 
 #include "basilsill/base/time.h"
 
-/// Recent service times of one traffic class at one shard: a histogram with
-/// logarithmic buckets that forgets, so that quantiles stay robust against the
-/// long tail and follow changes of load within some hundred samples.
+/// Recent service times of one traffic class at one shard, in a decaying
+/// histogram with logarithmic buckets. The quantiles are robust against a long
+/// tail and follow changes of load within a few hundred samples.
 
 namespace basilsill {
 
@@ -16,22 +16,23 @@
  public:
   void Add(Duration sample);
 
-  /// @returns true once there are enough samples to judge by.
+  /// @returns true if there are enough samples for the other statistics.
   bool known() const { return this->total_seen >= kMinSamples; }
 
   Duration median() const { return this->cached_median; }
   Duration p95() const { return this->cached_p95; }
 
-  /// Mean with outliers cut off, for throughput.
+  /// @returns the mean, in which outliers are clipped; for throughput.
   Duration mean() const { return this->cached_mean; }
 
-  /// Standard deviation of the logarithm, from the upper quantiles.
+  /// @returns the standard deviation of the logarithm, estimated from the
+  /// median and the 95th percentile.
   double spread() const { return this->cached_spread; }
 
   /// @returns the share of samples that took longer than `age`, never zero.
   double ShareLongerThan(Duration age) const;
 
-  /// @returns the time that a share of `quantile` stays under.
+  /// @returns the time below which a share of `quantile` of all samples lies.
   Duration Quantile(double quantile) const;
 
  private:
--- a/packages/decision/src/service_rows.cc
+++ b/packages/decision/src/service_rows.cc
@@ -12,8 +12,8 @@
   return XXH3_64bits_withSeed(&value, sizeof(value), seed);
 }
 
-// An address that is used again by another incarnation is another upstream:
-// nothing that was learnt of the first one holds for it.
+// Another incarnation at the same address is a different upstream: none of the
+// state of the earlier one applies to it.
 std::string KeyOfInstance(const UpstreamSetSpec& set, size_t place) {
   std::string key = ToString(set.instances[place].endpoint);
   if (place < set.incarnations.size()) {
@@ -121,8 +121,8 @@
   return plans;
 }
 
-// Frees the handles of what is gone before anything new is made: a table that
-// is full but for these must not refuse the new ones.
+// Frees the handles of removed services and upstreams before new ones are
+// created, so that a full table has room for them.
 void ServiceRows::ReleaseRemoved(const Plans& plans) {
   for (auto& [name, cached] : this->cached_services) {
     const auto plan = plans.find(name);
--- a/packages/decision/src/service_rows.h
+++ b/packages/decision/src/service_rows.h
@@ -12,24 +12,24 @@
 #include "basilsill/decision/view.h"
 #include "name_table.h"
 
-/// The service rows of successive views. A row is made anew only if the
-/// service, one of its upstream sets or the owners of its shards changed;
-/// otherwise views share it.
+/// Builds the service rows of successive views. A row is rebuilt only if the
+/// service, one of its upstream sets or the owners of its shards changed.
+/// Otherwise successive views share it.
 
 namespace basilsill {
 
 class ServiceRows {
  public:
   /// Fills `view.services`.
-  /// @param view Has its VMs and data centres already.
-  /// @param vms_changed Whether shards may have other owners than in the view
-  /// before.
+  /// @param view Its VMs, teams and data centres must be set.
+  /// @param vms_changed Whether the owners of shards may differ from those in
+  /// the previous view.
   void Build(const ConfigurationState& configuration,
              bool vms_changed,
              RoutingView& view);
 
-  /// @returns instances of the last view's services that it leaves out,
-  /// because the view has no row for their data centre.
+  /// @returns the number of instances that the last view leaves out, because it
+  /// has no row for their data centre.
   size_t left_out() const { return this->omitted; }
 
   /// @returns the handle of service `name`, invalid if it has none.
@@ -38,21 +38,21 @@
   }
 
  private:
-  // A set, and its data centre in the view.
+  // An upstream set with its data centre in the view.
   struct PlacedSet {
     const UpstreamSetSpec* spec = nullptr;
     DataCentreHandle data_centre;
     bool drained = false;
   };
 
-  // What is kept of a service from one view to the next.
+  // State of a service that is kept from one view to the next.
   struct CachedService {
-    uint64_t signature = 0;  // Of the versions that `row` was made from.
+    uint64_t signature = 0;  // Of the inputs that `row` was built from.
     std::shared_ptr<const ServiceRow> row;
-    std::map<std::string, UpstreamHandle> upstreams;  // By KeyOfInstance.
+    std::map<std::string, UpstreamHandle> upstreams;  // By KeyOfInstance().
   };
 
-  // One service at one build.
+  // Inputs for the row of one service in one build.
   struct Plan {
     const ResourceEntry* service = nullptr;
     std::vector<PlacedSet> sets;
--- a/packages/decision/src/shard_load_estimates.cc
+++ b/packages/decision/src/shard_load_estimates.cc
@@ -6,14 +6,14 @@
 namespace basilsill {
 namespace {
 
-// A queue is thought to melt away within some service times.
+// A reported queue is assumed to decay within several service times.
 constexpr Duration kMinDecayTime = std::chrono::milliseconds(20);
 constexpr int kDecayServiceTimes = 8;
 
-// What a shard's wait usually is, is averaged over this time.
+// Time constant of the moving average of a shard's wait.
 constexpr Duration kAverageTime = std::chrono::seconds(1);
 
-// A shard without upstreams is asked again after so long.
+// A shard that reported no usable upstreams is tried again after this time.
 constexpr Duration kUnusableTime = std::chrono::milliseconds(200);
 
 constexpr Duration kForgetAfter = std::chrono::seconds(60);
@@ -24,7 +24,7 @@
                   std::chrono::duration<double>(time_constant));
 }
 
-// @returns `part` of the way from `from` to `to`.
+// @returns the interpolation between `from` (`part` 0) and `to` (`part` 1).
 Duration Between(Duration from, Duration to, double part) {
   return from + Duration(static_cast<int64_t>(
                     static_cast<double>((to - from).count()) * part));
--- a/packages/decision/src/shard_load_estimates.h
+++ b/packages/decision/src/shard_load_estimates.h
@@ -8,8 +8,9 @@
 
 #include "basilsill/decision/dispatch.h"
 
-/// What an entry worker thinks of how loaded shards are: the summaries that
-/// came back on answers, aged, and what it has sent there itself since.
+/// An entry worker's estimates of the load of shards. They combine the
+/// summaries that came with answers, which decay with age, and the requests
+/// that the worker has sent since.
 
 namespace basilsill {
 
@@ -17,36 +18,38 @@
  public:
   void OnSummary(TimePoint now, const ShardSummary& summary);
 
-  /// This worker sent a request to the shard.
-  /// @param guess What is thought of the shard if it has told nothing yet.
+  /// Counts a request that this worker sent to the shard.
+  /// @param guess Assumed summary, used if none has come from the shard yet.
   void OnSent(TimePoint now, ShardKey shard, const ShardSummary& guess);
 
-  /// @returns the wait that a new request of `traffic_class` would have there.
-  /// A shard of which nothing is known is thought to be free.
-  /// @param peers Entry VMs that have the same reasons to go there, this one
-  /// included: each is taken to have sent as much as this one did.
+  /// @returns the estimated wait of a new request of `traffic_class` there; 0
+  /// for an unknown shard.
+  /// @param peers Number of entry VMs that choose this shard for the same
+  /// reasons, including this one. Each is assumed to have sent as many requests
+  /// as this one.
   Duration WaitAt(TimePoint now,
                   ShardKey shard,
                   TrafficClass traffic_class,
                   uint32_t peers) const;
 
-  /// @returns the mean time of a request at its upstreams, zero if unknown.
+  /// @returns the typical time of a request at its upstreams, 0 if unknown.
   Duration ServiceTimeAt(ShardKey shard) const;
 
-  /// @returns false if the shard had no upstream that takes work just now.
+  /// @returns false if the shard reported a moment ago that none of its
+  /// upstreams accepts work.
   bool IsUsable(TimePoint now, ShardKey shard) const;
 
-  /// Forgets what has had no news for long.
+  /// Removes estimates of shards that have sent no summary for long.
   void Tick(TimePoint now);
 
  private:
   struct Estimate {
     ShardSummary summary;
     TimePoint at{};
-    bool known = false;  ///< A summary came, not only a guess.
-    double sent = 0;     ///< Since then, those of late for the most part.
+    bool known = false;  ///< A summary was received, not only a guess.
+    double sent = 0;     ///< Requests sent since `at`; decays with time.
     TimePoint sent_at{};
-    Duration usual_wait{0};  ///< Moving average, by time.
+    Duration usual_wait{0};  ///< Moving average over time.
     Duration usual_bulk_wait{0};
   };
 
--- a/packages/decision/src/shard_table.cc
+++ b/packages/decision/src/shard_table.cc
@@ -11,10 +11,10 @@
 namespace basilsill {
 namespace {
 
-// Lanes of a ring for which there is room before it has to grow.
+// Initial capacity of a ring, in lanes.
 constexpr size_t kRingReserve = 16;
 
-// Adds upstreams of `before` that have started again in `after`.
+// Adds the upstreams of `before` that have restarted in `after`.
 void CollectSuperseded(const ServiceRow& before,
                        const ServiceRow& after,
                        std::vector<UpstreamHandle>& superseded) {
@@ -30,7 +30,7 @@
   }
 }
 
-// @returns upstreams of the view `before` that have started again since.
+// @returns the upstreams of the view `before` that have restarted in `after`.
 std::vector<UpstreamHandle> FindSuperseded(const RoutingView* before,
                                            const RoutingView& after) {
   std::vector<UpstreamHandle> superseded;
@@ -58,8 +58,8 @@
   }
 }
 
-// @returns the quota of the upstream at `index`, or nullptr if its service has
-// no bound.
+// Updates the share of the upstream at `index`.
+// @returns its quota, or nullptr if its service has no limit on cold upstreams.
 ColdQuota* RefreshQuota(ShardState& shard,
                         size_t index,
                         const ColdTerms& cold) {
@@ -106,8 +106,9 @@
   }
 }
 
-// Who owns a shard follows from the VMs alone. So this says since when the
-// owners of a shard are the same, also of one that is opened only now.
+// Records since when the VMs are unchanged. As the owners of a shard depend on
+// the VMs alone, they are unchanged for as long, even for a shard created
+// later.
 void ShardTable::NoteVms(TimePoint now, const RoutingView& next) {
   const bool is_same =
       this->current != nullptr &&
@@ -247,8 +248,8 @@
     }
     place->handle = row.handle;
     place->key = KeyOf(row.endpoint);
-    // Those that were there when the shard was opened are warm as far as
-    // anybody knows; only one that comes later is taken for a cold start.
+    // Upstreams that exist when the shard is opened are assumed to be warm.
+    // Only those that appear later are assumed to have just started.
     place->ramp_left = this->ramp && !fresh ? kRampAnswers : 0;
   }
   const bool was_out = place->leaving || place->drained;
--- a/packages/decision/src/shard_table.h
+++ b/packages/decision/src/shard_table.h
@@ -8,32 +8,33 @@
 
 #include "dispatch_tables.h"
 
-/// The shards that a dispatcher works for. A shard's state comes with its
-/// first request, so a quiet service costs nothing, and is given up for
-/// another shard when the table is full and it has been idle longest.
+/// The shards for which a dispatcher holds state. The state of a shard is
+/// created with its first request, so that an unused service costs nothing.
+/// When the table is full, the shard that has been idle longest is evicted.
 
 namespace basilsill {
 
 class ShardTable {
  public:
-  /// @param count_repeats The fleet has a bound on repeats.
+  /// @param count_repeats The fleet has a limit on repeats.
+  /// @param cold_is_reported See DispatcherOptions.
   ShardTable(size_t capacity,
              bool ramp,
              bool count_repeats,
              bool cold_is_reported);
 
-  /// Adopts `view`. Upstreams keep their position in their shard for as long
-  /// as attempts run there.
+  /// Adopts `view`. An upstream keeps its position in its shard as long as
+  /// attempts run there.
   void ApplyView(TimePoint now, const RoutingViewPtr& view);
 
-  /// @returns the row of shard `key`, made if it is in the view; kNoRow if it
-  /// is unknown or there is no room.
+  /// @returns the row of shard `key`, which is created if needed; kNoRow if the
+  /// view has no such shard or no row is free.
   uint32_t Open(TimePoint now, ShardKey key);
 
   /// @returns the row of shard `key`, or kNoRow.
   uint32_t Find(ShardKey key) const;
 
-  /// A shard as the view has it; null if it has not.
+  /// A shard in the view; the pointers are null if the view has no such shard.
   struct InView {
     const ServiceRow* service = nullptr;
     const ShardRow* shard = nullptr;
--- a/packages/decision/src/upstream_choice.cc
+++ b/packages/decision/src/upstream_choice.cc
@@ -9,15 +9,16 @@
 namespace basilsill {
 namespace {
 
-// A trickle goes to marked upstreams once in so many requests, so that it
-// stays far from the 99th percentile of the shard.
+// One in this many requests goes to marked upstreams, so few that they don't
+// affect the shard's 99th percentile.
 constexpr uint32_t kStartsPerTrickle = 200;
 
-// A quiet service would not come to that count; then time decides.
+// Time after which a marked upstream gets a request even if the service has too
+// little traffic to reach that count.
 constexpr Duration kQuietTrickle = std::chrono::seconds(10);
 
-// Costs in the choice among free upstreams, one for each kind of drawback, a
-// later one outweighing all before it.
+// Costs for the choice among free upstreams, one for each drawback. A higher
+// cost outweighs all lower ones.
 constexpr uint32_t kAllBusy = 256;
 constexpr uint32_t kDoubtful = 512;
 constexpr uint32_t kRamping = 1024;
@@ -38,8 +39,9 @@
          (upstream.recovering || rare || shard.open_slots == 0);
 }
 
-// A slow upstream has one slot while others may come free soon, and all when
-// many wait: then its slots are worth more than the time they take.
+// A slow upstream runs one request at a time, as faster slots may soon be free.
+// If many requests are queued, all of its slots are used, as slow slots are
+// better than a long wait.
 bool MayTakeSlow(const ShardState& shard, const UpstreamSlots& upstream) {
   return upstream.busy == 0 || 2 * shard.queued >= shard.open_slots;
 }
@@ -56,8 +58,8 @@
          upstream.slots < 2 || upstream.bulk + 1 < upstream.slots;
 }
 
-// Another dispatcher may send there too for a while, when VMs disagree about
-// which of them works for the shard; the upstream's own count shows that.
+// @returns the occupied slots. The upstream's own report counts too: while VMs
+// disagree about the owner of the shard, another dispatcher may send there.
 uint16_t BusySlots(TimePoint now, const ShardState& shard, uint32_t place) {
   const UpstreamSlots& upstream = shard.upstreams[place];
   if (place >= shard.speeds.size()) {
@@ -68,7 +70,7 @@
   return std::max(upstream.busy, told);
 }
 
-// @returns what the momentary speed adds to the cost.
+// @returns the part of the cost that depends on the momentary speed.
 uint32_t CostOfSpeed(TimePoint now,
                      const ShardState& shard,
                      uint32_t place,
@@ -88,15 +90,16 @@
   return is_out ? kNotFree : kSlowNow;
 }
 
-// An upstream whose rate is scarce comes after others, but is used often enough
-// to say when it takes more.
+// @returns true if the upstream is to be spared because its rate limit leaves
+// it little to do. It still gets a request if nothing was sent there for long,
+// so that the end of its limit is noticed.
 bool SparesRate(TimePoint now, const ShardState& shard, uint32_t place) {
   const RateLimitQuota* quota = FindRateLimit(shard, place);
   return quota != nullptr && IsRateScarce(now, shard, place) &&
          !quota->IsUnheard(now);
 }
 
-// @returns the cost of `upstream`, which has a free slot.
+// @returns the cost of the upstream, which must have a free slot.
 uint32_t CostOfFree(TimePoint now, const ShardState& shard, uint32_t place) {
   const UpstreamSlots& upstream = shard.upstreams[place];
   uint32_t cost = kAllBusy * BusySlots(now, shard, place) / upstream.slots;
--- a/packages/decision/src/upstream_choice.h
+++ b/packages/decision/src/upstream_choice.h
@@ -5,79 +5,80 @@
 
 #include "dispatch_tables.h"
 
-/// Which upstream of a shard gets the next request.
+/// Choice of the upstream that gets the next request of a shard.
 
 namespace basilsill {
 
-/// Good answers until a new or returned upstream has its full share.
+/// Good answers until a new or returned upstream gets its full share.
 inline constexpr uint16_t kRampAnswers = 8;
 
-/// @returns true if the upstream takes work at all, now or after a pause.
+/// @returns true if the upstream accepts work, now or after a pause.
 bool TakesWork(TimePoint now, const UpstreamSlots& upstream);
 
-/// @returns true if it takes work and is not paused.
+/// @returns true if the upstream accepts work and is not paused.
 bool AcceptsNow(TimePoint now, const UpstreamSlots& upstream);
 
-/// @returns true if the upstream may get a request now, as far as it is cold or
-/// could be, or names a rate limit.
+/// @returns true if the upstream's rate limit and its quota for cold upstreams
+/// allow a request now.
 bool HasQuota(TimePoint now, const ShardState& shard, uint32_t place);
 
-/// @returns true if a question for its load costs the upstream no request that
-/// it could take.
+/// @returns true if a load query does not use up rate that the upstream needs
+/// for requests.
 bool MayQueryLoad(TimePoint now, const ShardState& shard, uint32_t place);
 
-/// @returns the slots of `upstream` that may be occupied now, leaving grades
-/// aside.
+/// @returns the slots of `upstream` that may be occupied now, regardless of its
+/// grade.
 uint16_t OpenSlots(TimePoint now, const UpstreamSlots& upstream);
 
-/// Counts the slots of upstreams that take work in full.
+/// Updates the number of open slots, those of upstreams with full share, and
+/// whether rate limits bound the shard.
 void RecountSlots(TimePoint now, ShardState& shard);
 
-/// An upstream is back after it was leaving or gone: it starts slowly.
+/// Resets the state of an upstream that is back after it was leaving or
+/// drained. With `ramp` it starts slowly.
 void MarkReturned(TimePoint now, UpstreamSlots& upstream, bool ramp);
 
-/// What the momentary speed of upstreams means for the choice.
+/// Effect of the momentary speed of upstreams on the choice.
 enum class SpeedRule : uint8_t {
-  kIgnore,    ///< It is not told.
-  kFastOnly,  ///< Only those that were fast a moment ago.
-  kPrefer,    ///< Slow ones too, after all others.
+  kIgnore,    ///< None; upstreams don't report it.
+  kFastOnly,  ///< Only upstreams that were fast a moment ago.
+  kPrefer,    ///< Fast upstreams first, then slow ones.
   kCount
 };
 
-/// What the choice has to look at.
+/// Constraints of the choice for one request.
 struct ChoiceOptions {
   TrafficClass traffic_class = TrafficClass::kOrdinary;
-  uint32_t avoid = kNoRow;  ///< Only taken if there is no other.
-  bool limit_bulk = true;   ///< Bulk may not fill an upstream.
+  uint32_t avoid = kNoRow;  ///< Chosen only if there is no other.
+  bool limit_bulk = true;   ///< Bulk may not fill all slots of an upstream.
   SpeedRule speed = SpeedRule::kIgnore;
-  /// An upstream that is known to be slower than this many times its usual
-  /// speed can't answer in time.
+  /// An upstream whose reported slowness is above this can't answer in time.
   double slowness_limit = std::numeric_limits<double>::infinity();
-  bool ahead = false;  ///< One more than its slots may be sent.
+  bool ahead = false;  ///< One request beyond the slots is allowed.
 };
 
-/// @returns the position of the upstream for the next request, or kNoRow if
-/// no slot is free. The least busy goes first, then doubtful, ramping and slow
-/// ones; a failing one only gets a trickle.
+/// @returns the position of the upstream for the next request, or kNoRow if no
+/// slot is free. The least busy upstream comes first, then doubtful, ramping
+/// and slow ones. A failing one gets only a trickle.
 uint32_t PickUpstream(TimePoint now,
                       ShardState& shard,
                       const ChoiceOptions& options);
 
-/// @returns true if some upstream that takes work is not known to be slower
-/// than `limit`; it may have no slot free now.
+/// @returns true if some upstream that accepts work has not reported a slowness
+/// above `limit`. It need not have a free slot.
 bool HasUpstreamWithin(TimePoint now, const ShardState& shard, double limit);
 
-/// @returns true if the choice could fall on the upstream but for its speed.
+/// @returns true if the upstream could be chosen, regardless of its speed.
 bool IsCandidate(TimePoint now,
                  const ShardState& shard,
                  uint32_t place,
                  const ChoiceOptions& options);
 
-/// @returns the upstream that will soonest run nothing, for a request that
-/// has to run alone; kNoRow if none takes work.
+/// @returns the least busy upstream, for a request that has to run alone;
+/// kNoRow if none accepts work now.
 uint32_t PickForIsolation(TimePoint now, const ShardState& shard);
 
-/// @returns the name of an endpoint on every VM.
+/// @returns a key for the endpoint that is the same on all VMs.
 UpstreamKey KeyOf(const Endpoint& endpoint);
 
 }  // namespace basilsill
--- a/packages/decision/src/upstream_health.cc
+++ b/packages/decision/src/upstream_health.cc
@@ -6,10 +6,10 @@
 namespace basilsill {
 namespace {
 
-// Evidence is a logarithm of a likelihood ratio. One sample counts only so
-// much, whatever its time was. At 14, five bad samples in a row or two requests
-// that hang mark an upstream; with service times as scattered as a lognormal
-// distribution of sigma 1, a mark by chance is rare.
+// Evidence is the logarithm of a likelihood ratio. The effect of one sample is
+// limited, whatever its duration. With a threshold of 14, five bad samples in a
+// row or two hanging requests mark an upstream. Marks by chance are rare, even
+// if service times vary like a lognormal distribution with a sigma of 1.
 constexpr double kMarkThreshold = 14;
 constexpr double kClearThreshold = 1.5;
 constexpr double kMaxEvidence = 17;
@@ -17,8 +17,8 @@
 constexpr double kMinSampleEvidence = -2;
 constexpr double kMaxAgeEvidence = 7;
 
-// A slow upstream may be so slow that nothing ever ends there. Without this
-// share, requests older than all that were seen would be no evidence at all.
+// Assumed share of requests that never end at a slow upstream. Without it,
+// requests older than all samples would be no evidence at all.
 constexpr double kHangShare = 0.2;
 constexpr double kSlowFactor = 4;
 constexpr double kFailingShare = 0.5;
--- a/packages/decision/src/upstream_health.h
+++ b/packages/decision/src/upstream_health.h
@@ -5,43 +5,47 @@
 
 #include "basilsill/base/time.h"
 
-/// Evidence about one upstream relative to its siblings: is it slow, and does
-/// it fail? Both are sequential likelihood ratio tests (CUSUM) of "like its
-/// siblings" against "several times slower" and "fails half of the time". A
-/// request that still runs counts as a censored observation: it has taken at
-/// least its age.
+/// Detects whether an upstream is slow or failing compared to its siblings.
+/// Both are sequential likelihood ratio tests (CUSUM) of "like its siblings"
+/// against "several times slower" and against "fails half of the time". A
+/// running request is a censored observation: it takes at least as long as its
+/// age.
 
 namespace basilsill {
 
-/// What an upstream is thought to be, which says how much work it gets.
+/// Grade of an upstream, which determines how much work it gets.
 enum class UpstreamGrade : uint8_t {
   kFull,     ///< As good as its siblings.
-  kSlow,     ///< Last of all, and one request at a time unless many wait.
-  kFailing,  ///< A trickle, to notice that it recovered.
+  kSlow,     ///< Last choice; one request at a time unless many wait.
+  kFailing,  ///< Gets a trickle, so that its recovery is noticed.
   kCount
 };
 
 class UpstreamHealth {
  public:
-  /// An answer that is no error came.
-  /// @param log_ratio Logarithm of its time over the siblings' median.
-  /// @param spread Standard deviation of that among siblings.
+  /// Counts an answer that is no error.
+  /// @param log_ratio Logarithm of its duration divided by the median of the
+  /// shard.
+  /// @param spread Standard deviation of that logarithm in the shard.
+  /// @param error_rate Share of errors among siblings.
   void OnAnswer(double log_ratio, double spread, double error_rate);
 
-  /// A request was given up while it ran, with this evidence of its age.
+  /// Counts a cancelled request.
+  /// @param evidence Evidence in its age, from `EvidenceOfAge`.
   void OnCancelled(double evidence);
 
-  /// An error, however fast, or no answer at all.
+  /// Counts an error, whatever its duration, or an attempt without an answer.
   /// @param error_rate Share of errors among siblings.
   void OnError(double error_rate);
 
-  /// @param running Evidence of what still runs, from `EvidenceOfAge`.
-  /// @returns the grade that the evidence says; `Set` makes it so.
+  /// @param running Sum of the evidence of running requests, from
+  /// `EvidenceOfAge`.
+  /// @returns the grade that follows from the evidence. `Set` applies it.
   UpstreamGrade Evaluate(double running);
   void Set(UpstreamGrade grade) { this->current = grade; }
 
-  /// Old evidence fades, so that nobody is judged by it for ever.
-  /// @param kept The part that remains, from `ShareKeptAfter`.
+  /// Lets old evidence decay.
+  /// @param kept Share that remains, from `ShareKeptAfter`.
   void Fade(double kept) {
     this->slow *= kept;
     this->failing *= kept;
@@ -49,7 +53,8 @@
   void Reset() { *this = UpstreamHealth(); }
 
   UpstreamGrade grade() const { return this->current; }
-  /// @returns true if there is some evidence, not yet enough to mark it.
+  /// @returns true if there is some evidence of slowness, though perhaps not
+  /// enough to mark the upstream.
   bool doubtful() const {
     return this->slow + this->running_slow > kDoubtThreshold;
   }
@@ -63,15 +68,18 @@
   UpstreamGrade current = UpstreamGrade::kFull;
 };
 
-/// @returns the evidence for a slow upstream in a request that has run for so
-/// long, given the share of siblings' requests that take longer than its age,
-/// and longer than its age divided by `SlowFactor()`.
+/// @returns the evidence for a slow upstream in the age of a running request.
+/// @param share_longer Share of the shard's requests that take longer than that
+/// age.
+/// @param share_longer_if_slow Share that takes longer than the age divided by
+/// `SlowFactor()`.
 double EvidenceOfAge(double share_longer, double share_longer_if_slow);
 
-/// @returns the part of the evidence that remains after `elapsed`.
+/// @returns the share of the evidence that remains after `elapsed`.
 double ShareKeptAfter(Duration elapsed);
 
-/// How many times slower than its siblings a straggler is thought to be.
+/// @returns how many times slower than its siblings a straggler is assumed to
+/// be.
 double SlowFactor();
 
 }  // namespace basilsill
--- a/packages/decision/src/upstream_speed.cc
+++ b/packages/decision/src/upstream_speed.cc
@@ -5,23 +5,26 @@
 namespace basilsill {
 namespace {
 
-// Spells of slowness last for about 150 ms where their length is known, so
-// what was told this long ago is wrong in at most a sixth of all cases.
+// Age up to which a report is used. Slow periods last about 150 ms, so a report
+// of this age is wrong in at most a sixth of all cases.
 constexpr Duration kReportLifetime = std::chrono::milliseconds(25);
 
-// Upstreams answer at once, from another data centre within some 3 ms. One
-// that has not answered by now is busy, cut off or gone.
+// Upstreams answer load queries at once, within about 3 ms from another data
+// centre. One that has not answered after this time is overloaded, unreachable
+// or gone.
 constexpr Duration kLoadQueryTimeout = std::chrono::milliseconds(20);
 
-// What is slower by so much that nothing is answered in time has not merely met
-// a spell, and is asked again before this has passed.
+// Age up to which a report of a slowness above a limit is used. An upstream
+// that is too slow for a deadline is not merely in a short slow period. It is
+// queried again before this time is over.
 constexpr Duration kSlowReportLifetime = std::chrono::milliseconds(250);
 
-// Where slowness is told, it is about 1 or about 5.
+// Upstreams usually report a slowness of about 1 or about 5.
 constexpr double kSlowFrom = 1.8;
 
-// A slow spell ends within some hundred milliseconds and costs a request that
-// begins in it four times its typical time, so half of that may be waited.
+// A slow period ends within a few hundred milliseconds. A request that starts
+// in it takes longer by four times its typical duration; up to half of that may
+// be spent on waiting.
 constexpr int kHoldFactor = 2;
 constexpr Duration kMinHold = std::chrono::milliseconds(60);
 
--- a/packages/decision/src/upstream_speed.h
+++ b/packages/decision/src/upstream_speed.h
@@ -5,49 +5,50 @@
 
 #include "basilsill/decision/dispatch.h"
 
-/// How slow an upstream is at this moment, as it says itself. Upstreams share
-/// their machines with others and are several times slower for spells of some
-/// hundred milliseconds. What is known of that is worthless soon, so it is
-/// asked for just before a choice, and only of upstreams that may be chosen.
+/// Momentary slowness of an upstream, as the upstream reports it. Upstreams
+/// share their machines with other processes and are several times slower for
+/// periods of a few hundred milliseconds. As reports are outdated soon, the
+/// dispatcher queries upstreams just before a choice, and only those that may
+/// be chosen.
 
 namespace basilsill {
 
-/// What is thought of an upstream's speed.
+/// Speed of an upstream according to its last report.
 enum class SpeedGrade : uint8_t {
   kFast,     ///< About as fast as usual, a moment ago.
   kSlow,     ///< Much slower than usual, a moment ago.
-  kUnknown,  ///< Too long ago, or it did not answer.
+  kUnknown,  ///< No report, or the last one is too old.
   kCount
 };
 
 class ReportedSpeed {
  public:
-  /// The upstream told its load, with an answer or when asked.
+  /// The upstream reported its load, with an answer or in a load query.
   void OnLoad(TimePoint now, const UpstreamLoad& load);
 
-  /// It was asked, or did not answer.
+  /// A load query was sent, or ended without a report.
   void OnQuery(TimePoint now);
   void OnNoAnswer() { this->query_pending = false; }
 
   SpeedGrade GradeAt(TimePoint now) const;
 
-  /// @returns true if it said not long ago that it is slower than `limit`
-  /// times its usual speed.
+  /// @returns true if a recent report had a slowness above `limit`. Reports
+  /// count longer here than in `GradeAt`.
   bool IsSlowerThan(TimePoint now, double limit) const;
 
-  /// @returns true if it was asked a moment ago and may still answer.
+  /// @returns true if a load query is in flight and has not timed out.
   bool IsQueryPending(TimePoint now) const;
 
-  /// @returns true if asking it would tell something new.
+  /// @returns true if the speed is unknown and no load query is in flight.
   bool IsWorthQuerying(TimePoint now) const;
 
-  /// @returns slots that are taken there by whoever sends to it, as far as is
-  /// known of this moment; 0 if nothing is.
+  /// @returns the number of requests running there, from all senders, by the
+  /// last report; 0 if that is too old.
   uint16_t BusyAt(TimePoint now) const;
 
   double slowness() const { return this->reported_slowness; }
 
-  /// @returns the age of what is known, negative if nothing ever was.
+  /// @returns the age of the last report, negative if there is none.
   Duration AgeAt(TimePoint now) const;
 
  private:
@@ -59,8 +60,8 @@
   bool query_pending = false;
 };
 
-/// @returns how long a request that takes `typical` may be held for a fast
-/// upstream while only slow ones are free.
+/// @returns how long a request that usually takes `typical` may be held for a
+/// fast upstream while only slow ones are free.
 Duration MaxHold(Duration typical);
 
 }  // namespace basilsill
--- a/packages/decision/test/decision_fixture.h
+++ b/packages/decision/test/decision_fixture.h
@@ -9,13 +9,13 @@
 
 #include "basilsill/decision.h"
 
-/// Shared by the tests of dispatcher and entry: a small installation as a
-/// routing view, and a dispatcher in virtual time.
+/// Fixtures for the tests of dispatcher and entry router: a routing view of a
+/// small installation, and a dispatcher in virtual time.
 
 namespace basilsill {
 
-/// Two data centres with two VMs each, and one service "banklevel" of one
-/// team; the VM that looks at the view is the first.
+/// A view with two data centres of two VMs each, and one service "banklevel" of
+/// one team. The first VM is the own one.
 class ViewFixture {
  public:
   ViewFixture() {
@@ -51,7 +51,8 @@
     return row.handle;
   }
 
-  /// `upstream` has died and started again: another handle, the same id.
+  /// Replaces `upstream` by a new incarnation with the same id.
+  /// @returns its new handle.
   UpstreamHandle RestartUpstream(UpstreamHandle upstream) {
     this->AddIncarnations();
     const size_t place = upstream.index;
@@ -61,7 +62,7 @@
     return row.handle;
   }
 
-  /// Each upstream has an id, and tells its start.
+  /// Gives each upstream an id and a start time.
   void AddIncarnations() {
     for (size_t i = this->service.incarnations.size();
          i < this->service.upstreams.size(); ++i) {
@@ -83,8 +84,8 @@
   ServiceRow service;
 };
 
-/// One dispatcher of the first shard. Actions are carried out at once, as far
-/// as a test has to know of them: attempts that run, refusals, cancellations.
+/// The dispatcher of the first shard. Records its actions: running attempts,
+/// refusals, cancellations and load queries.
 class DispatchHarness {
  public:
   static constexpr Duration kTick = std::chrono::milliseconds(1);
@@ -109,7 +110,7 @@
     return request;
   }
 
-  /// @returns the cookie of the request, which counts up from 1.
+  /// @returns the cookie of the request. Cookies count up from 1.
   uint64_t Offer(DispatchRequest request) {
     request.cookie = ++this->cookies;
     this->handles.push_back(this->dispatcher->Offer(this->now, request));
@@ -164,7 +165,7 @@
     }
   }
 
-  /// `upstream` tells its load: `slowness` times its usual time.
+  /// Answers the load query to `upstream`; it reports `slowness`.
   void AnswerLoadQuery(UpstreamHandle upstream, double slowness) {
     std::erase(this->asked, upstream);
     LoadQueryReport report;
@@ -177,7 +178,8 @@
     this->Collect();
   }
 
-  /// Sends requests one after the other, so that service times are known.
+  /// Runs `count` requests one after the other, so that service times are
+  /// known.
   void WarmUp(size_t count = 40) {
     for (size_t i = 0; i < count; ++i) {
       const uint64_t cookie = this->Offer();
@@ -186,7 +188,7 @@
     }
   }
 
-  /// @returns attempts that run at `upstream`.
+  /// @returns the number of attempts that run at `upstream`.
   size_t RunningOn(UpstreamHandle upstream) const {
     size_t count = 0;
     for (const DispatchAction& action : this->running) {
@@ -195,8 +197,8 @@
     return count;
   }
 
-  /// @returns where `cookie` runs, the last attempt first; invalid if it does
-  /// not.
+  /// @returns the start action of the latest running attempt of `cookie`; one
+  /// with an invalid attempt if none runs.
   DispatchAction RunOf(uint64_t cookie) const {
     for (size_t i = this->running.size(); i > 0; --i) {
       if (this->running[i - 1].cookie == cookie) {
@@ -206,7 +208,7 @@
     return {};
   }
 
-  /// @returns how `cookie` was refused, kNone if it was not.
+  /// @returns the refusal of `cookie`, kNone if it was not refused.
   Refusal RefusalFor(uint64_t cookie) const {
     for (const DispatchAction& action : this->refused) {
       if (action.cookie == cookie) {
@@ -261,7 +263,7 @@
   std::vector<DispatchAction> running;
   std::vector<DispatchAction> refused;
   std::vector<DispatchAction> cancelled;
-  std::vector<UpstreamHandle> asked;  ///< For their load, not answered yet.
+  std::vector<UpstreamHandle> asked;  ///< Load queries without an answer.
   std::vector<UpstreamEvent> events;
 };
 
--- a/packages/decision/test/dispatch_drain_test.cc
+++ b/packages/decision/test/dispatch_drain_test.cc
@@ -1,5 +1,5 @@
-// Tests of what drained data centres mean for dispatcher and entry: nothing new
-// goes to their upstreams by any way, and what runs there ends.
+// Tests of dispatcher and entry router with drained data centres: their
+// upstreams get no new work by any path, and running attempts end normally.
 
 #include "basilsill/decision/entry.h"
 #include "decision_fixture.h"
@@ -50,9 +50,9 @@
   }
 };
 
-// The operator drains a data centre while its queue is full. Those that wait
-// must not begin there; what runs is not cut.
-TEST(DispatchDrain, View_Drained_WaitingGoElsewhereAndRunningEnd) {
+// Failure: queued requests start in a data centre after the operator drained
+// it, or attempts that run there are cut off.
+TEST(DispatchDrain, View_Drained_QueuedRefusedAndRunningEnd) {
   std::vector<uint64_t> cookies;
   cookies.reserve(8);
   for (int i = 0; i < 8; ++i) {
@@ -80,10 +80,10 @@
   CHECK(Refusal::kNoUpstream == this->harness.RefusalFor(cookie));
 }
 
-// An upstream closes an idle connection just as a request is sent on it, and
-// the data centre is drained in that moment. Sent once more on a new
-// connection, it would be new work there.
-TEST(DispatchDrain, Attempt_ConnectionWasStale_NotSentAgain) {
+// Failure: an upstream closes an idle connection just as a request is sent on
+// it, and the data centre is drained meanwhile. Sending the request again on a
+// new connection would be new work there.
+TEST(DispatchDrain, MaySendAgain_Drained_Denied) {
   const uint64_t cookie = this->harness.Offer();
   const auto attempt = this->harness.RunOf(cookie).attempt;
   CHECK(this->harness.dispatcher->MaySendAgain(this->harness.now, attempt));
@@ -92,7 +92,7 @@
       this->harness.dispatcher->MaySendAgain(this->harness.now, attempt));
 }
 
-TEST(DispatchDrain, Attempt_DiedWhileDrained_NotRepeatedThere) {
+TEST(DispatchDrain, Attempt_DiedWhileDrained_NotRetriedThere) {
   const uint64_t cookie = this->harness.Offer();
   this->Drain(true);
   this->harness.End(cookie, AttemptEnd::kDied);
@@ -100,8 +100,8 @@
   CHECK(this->harness.running.empty());
 }
 
-// A request takes longer than nearly all others, and its data centre has been
-// drained meanwhile: its double would be new work there.
+// Failure: a slow request is hedged after its data centre was drained. The
+// hedge would be new work there.
 TEST(DispatchDrain, Hedge_DueWhileDrained_NotStarted) {
   this->harness.WarmUp(200);
   auto request = this->harness.Request();
@@ -112,8 +112,9 @@
   CHECK_EQUAL(1, this->harness.running.size());
 }
 
-// Taken back, upstreams may be cold: each starts with one request at a time.
-TEST(DispatchDrain, View_TakenBack_StartsSlowly) {
+// Failure: upstreams that became cold while they were drained get their full
+// share at once afterwards. Each starts with one request at a time.
+TEST(DispatchDrain, View_Undrained_StartsSlowly) {
   this->harness.WarmUp(1);
   this->Drain(true);
   this->Drain(false);
@@ -124,9 +125,9 @@
   CHECK_EQUAL(1, this->harness.RunningOn(this->second));
 }
 
-// Taken back, upstreams may have become cold: before one gets a request it is
-// asked, and one that says that it is warm gets its share at once.
-TEST(DispatchDrain, View_TakenBackWithColdBound_AskedFirst) {
+// Upstreams may have become cold while they were drained. Each gets a load
+// query first; one that reports to be warm gets its share at once.
+TEST(DispatchDrain, View_UndrainedWithColdLimit_QueriedFirst) {
   basilsill::DispatcherOptions options;
   options.cold_is_reported = true;
   options.features.ramp = false;
@@ -147,7 +148,8 @@
   CHECK_EQUAL(1, cold.running.size());
 }
 
-// Drained, taken back and drained again before the next request comes.
+// The data centre is drained, undrained and drained again before the next
+// request.
 TEST(DispatchDrain, View_DrainedAgain_NothingStarts) {
   this->Drain(true);
   this->Drain(false);
@@ -157,7 +159,8 @@
   CHECK(this->harness.running.empty());
 }
 
-// While drained, an upstream leaves and another starts at its address.
+// While the data centre is drained, another upstream replaces one at its
+// address.
 TEST(DispatchDrain, Upstream_ReplacedWhileDrained_GetsNothing) {
   this->Drain(true);
   this->harness.fixture.RestartUpstream(this->first);
@@ -193,8 +196,9 @@
   }
 };
 
-// The last summary of the shard, a moment ago, said that it has free slots.
-TEST(EntryDrain, Choose_NearDataCentreDrained_GoesFarAtOnce) {
+// Failure: the last summary of the near shard still reports free slots, so that
+// requests go there although its data centre is drained.
+TEST(EntryDrain, Choose_NearDataCentreDrained_ChoosesFarAtOnce) {
   const RoutingViewPtr before = this->Apply();
   basilsill::ShardSummary summary;
   summary.shard = before->services[0]->shards[0].key;
@@ -209,9 +213,9 @@
   }
 }
 
-// All data centres are drained: nothing may be sent anywhere, also not past
-// the dispatchers. The caller is told at once, that nothing ran, and when to
-// come back.
+// With all data centres drained, nothing is sent, neither through dispatchers
+// nor directly to upstreams. The caller learns at once that the request did not
+// run and when to retry.
 TEST(EntryDrain, Choose_AllDrained_RefusedAsDrained) {
   SetDrained(this->fixture, 0, true);
   SetDrained(this->fixture, 1, true);
@@ -224,8 +228,8 @@
   CHECK(basilsill::Promise::kNotRun == info.promise);
 }
 
-// No dispatcher can be reached, so requests go straight to upstreams.
-TEST(EntryDrain, Choose_PastDispatchers_NotToTheDrainedOne) {
+// If no dispatcher is reachable, requests go directly to upstreams.
+TEST(EntryDrain, Choose_NoDispatcherReachable_AvoidsDrainedUpstream) {
   SetDrained(this->fixture, 0, true);
   for (auto& vm : this->fixture.view.vms) {
     vm.state = basilsill::VmState::kSuspected;
@@ -238,8 +242,9 @@
   }
 }
 
-// A dispatcher knows of the drain before the entry VM does and hands back.
-TEST(EntryDrain, HandedBack_OtherDataCentreLeft_GoesThere) {
+// The dispatcher gets the drained view before the entry VM and hands the
+// request back.
+TEST(EntryDrain, OnRefused_OtherDataCentreLeft_ChoosesIt) {
   const RoutingViewPtr view = this->Apply();
   const EntryHandle entry = this->Admit();
   const Target near = this->router->Choose(this->now, entry);
--- a/packages/decision/test/dispatch_failures_test.cc
+++ b/packages/decision/test/dispatch_failures_test.cc
@@ -1,4 +1,4 @@
-// Tests of the dispatcher when upstreams fail: retries, budgets, promises,
+// Tests of the dispatcher with failing upstreams: retries, budgets, promises,
 // stragglers, hedges.
 
 #include <map>
@@ -42,7 +42,8 @@
     return request;
   }
 
-  // Keeps all slots busy; what runs at `odd` takes `odd_time`.
+  // Keeps all slots busy. Requests at `odd` take `odd_time`, others
+  // kServiceTime.
   void ServeBusy(basilsill::Duration length, UpstreamHandle odd,
                  basilsill::Duration odd_time) {
     std::map<uint64_t, basilsill::TimePoint> ends;
@@ -76,8 +77,9 @@
 }
 
 TEST(DispatchFailures, OnAttemptEnd_BodyPartlySent_NoFurtherAttempt) {
-  // A long upload is on its way when the instance refuses it, or dies. What it
-  // was sent is gone; another instance would take the rest for a whole upload.
+  // Failure: an instance refuses a long upload or dies after part of it was
+  // sent. That part is not kept, so another instance would take the rest for a
+  // complete upload.
   DispatchRequest request = this->harness.Request();
   request.replayable = false;
   const uint64_t shed = this->harness.Offer(request);
@@ -100,9 +102,10 @@
   CHECK(this->harness.RunOf(cookie).upstream != first);
 }
 
-TEST(DispatchFailures, OnAttemptEnd_DiedNotIdempotent_ToldUnknownNoRetry) {
-  // A pickup confirmation is on its way when the instance dies. Nobody knows
-  // whether it was booked, so it may not run again, and the driver is told so.
+TEST(DispatchFailures, OnAttemptEnd_DiedNotIdempotent_RefusedWithoutRetry) {
+  // Failure: an instance dies while it runs a request that is not idempotent.
+  // It is unknown whether the request had an effect, so it must not run again,
+  // and the caller has to know that.
   DispatchRequest request = this->harness.Request();
   request.idempotent = false;
   const uint64_t cookie = this->harness.Offer(request);
@@ -122,10 +125,10 @@
   CHECK(this->harness.refused.empty());
 }
 
-TEST(DispatchFailures, Refusal_AfterAnAttemptThatMayHaveRun_IsNotNotRun) {
-  // A read dies with its instance and waits for another try, when its deadline
-  // passes. The queue's refusal would promise that it was not run, which is
-  // not known.
+TEST(DispatchFailures, Refusal_EarlierAttemptMayHaveRun_DoesNotPromiseNotRun) {
+  // Failure: an attempt dies with its instance, the request is queued again,
+  // and its deadline passes there. The refusal for that promises that the
+  // request did not run, which is unknown.
   for (uint32_t i = 0; i < 3; ++i) {
     this->harness.fixture.service.upstreams[i].leaving = true;
   }
@@ -139,8 +142,8 @@
 }
 
 TEST(DispatchFailures, OnAttemptEnd_NoUpstreamLeft_RefusedAsNoUpstream) {
-  // The last instance of the data centre says that it is leaving. The request
-  // did not run; the entry VM has to know that it may go elsewhere with it.
+  // The last instance of the data centre sheds the request because it is
+  // leaving. The refusal has to tell the entry VM that it may try elsewhere.
   for (uint32_t i = 0; i < 3; ++i) {
     this->harness.fixture.service.upstreams[i].leaving = true;
   }
@@ -153,8 +156,8 @@
 }
 
 TEST(DispatchFailures, Retries_EverythingFails_AddAtMostATenth) {
-  // A bad release answers nothing any more: every connection breaks. Retries
-  // must not multiply the load on what is failing already.
+  // Failure: after a bad release every connection breaks, and retries multiply
+  // the load on a service that is already failing.
   this->harness.WarmUp();
   const uint64_t before = this->harness.dispatcher->counters().attempts;
   uint64_t offered = 0;
@@ -200,8 +203,8 @@
 }
 
 TEST(DispatchFailures, Pauses_AllFailThenRecover_AllAreBackSoon) {
-  // A whole service is down for a minute. Pauses between tries must not have
-  // grown so long by then that its recovery goes unnoticed.
+  // Failure: a service is down for a minute, and the pauses of its upstreams
+  // grow so long that its recovery goes unnoticed.
   for (int i = 0; i < 600; ++i) {
     this->harness.Offer();
     while (!this->harness.running.empty()) {
@@ -222,8 +225,8 @@
 }
 
 TEST(DispatchFailures, FailFast_ErrorsAtOnce_AttractNoTraffic) {
-  // One instance answers 500 within no time. Its slots are always free, so a
-  // dispatcher that only counts slots would send it most of the requests.
+  // Failure: one instance answers 500 immediately. Its slots are always free,
+  // so a dispatcher that only counts slots sends it most of the requests.
   this->harness.WarmUp();
   const UpstreamHandle bad{2, 0};
   size_t at_bad = 0;
@@ -240,9 +243,9 @@
   CHECK_EQUAL(1, this->CountOf(UpstreamEventKind::kFailing));
 }
 
-TEST(DispatchFailures, FailFast_WasSlowBefore_IsMarkedAllTheSame) {
-  // An instance is slow, and then begins to answer errors at once. As it gives
-  // no good answers any more, nothing would ever clear it of being slow.
+TEST(DispatchFailures, FailFast_WasSlowBefore_IsMarkedFailing) {
+  // Failure: an instance that is marked as slow starts to answer errors
+  // immediately. Without good answers it stays marked as slow for ever.
   this->harness.WarmUp(200);
   const UpstreamHandle bad{1, 0};
   this->ServeBusy(500ms, bad, 60ms);
@@ -262,7 +265,8 @@
 }
 
 TEST(DispatchFailures, Shed_OneInstanceShedsAll_AttractsNoTraffic) {
-  // One instance refuses whatever comes, quickly. Its slots are always free.
+  // Failure: one instance sheds every request immediately. Its slots are always
+  // free, so it attracts most of the requests.
   this->harness.WarmUp();
   const UpstreamHandle bad{2, 0};
   for (int i = 0; i < 1000; ++i) {
@@ -278,8 +282,8 @@
 }
 
 TEST(DispatchFailures, FailFast_AllAnswerErrors_NoneIsMarked) {
-  // Callers send what the service rejects with 500. That is no instance's own
-  // fault, and taking them out of use would make it an outage.
+  // Failure: callers send requests to which every instance answers 500. No
+  // single instance is at fault; marking them would cause an outage.
   this->harness.WarmUp();
   for (int i = 0; i < 200; ++i) {
     const uint64_t cookie = this->harness.Offer();
@@ -331,8 +335,8 @@
 }
 
 TEST(DispatchFailures, Straggler_NothingEnds_AgeIsEvidence) {
-  // An instance hangs: what it has never ends, so no completion will ever tell
-  // that it is slow.
+  // Failure: an instance hangs. Its requests never end, so no completed request
+  // shows that it is slow.
   this->harness.WarmUp(200);
   const UpstreamHandle hung{1, 0};
   std::vector<uint64_t> others;
@@ -410,8 +414,8 @@
 
 namespace {
 
-// A fleet's bound of one repeat for two requests, and no slack.
-DispatcherOptions WithRatioAlone() {
+// A fleet-wide limit of one repeat for two requests, without slack.
+DispatcherOptions OptionsWithRatioOnly() {
   DispatcherOptions options;
   options.repeats = basilsill::ShareRepeats({0.5, 0, 10s});
   options.retry_budget = {1, 1000, 1000, 1000};
@@ -420,8 +424,8 @@
 
 }  // namespace
 
-TEST_GROUP(DispatchRepeats) {
-  DispatchHarness harness{WithRatioAlone()};
+TEST_GROUP(DispatchRepeatBudget) {
+  DispatchHarness harness{OptionsWithRatioOnly()};
 
   void setup() override {
     this->harness.fixture.AddUpstream(0);
@@ -439,14 +443,15 @@
   }
 };
 
-TEST(DispatchRepeats, Requests_FirstHere_PayForARepeat) {
+TEST(DispatchRepeatBudget, Requests_FirstAttempts_FundRepeat) {
   this->Serve(0, 20);
   CHECK(this->harness.End(this->harness.Offer(), AttemptEnd::kShed));
   CHECK_EQUAL(1, this->harness.Count(Retry::kShed));
 }
 
-// Failure: requests that were sent elsewhere before pay for repeats once more.
-TEST(DispatchRepeats, Requests_SentElsewhereBefore_PayForNone) {
+// Failure: requests that were sent elsewhere before add to the repeat budget a
+// second time.
+TEST(DispatchRepeatBudget, Requests_SentElsewhereBefore_FundNoRepeat) {
   this->Serve(1, 20);
   this->harness.End(this->harness.Offer(), AttemptEnd::kShed);
   CHECK_EQUAL(0, this->harness.Count(Retry::kShed));
--- a/packages/decision/test/dispatch_history_test.cc
+++ b/packages/decision/test/dispatch_history_test.cc
@@ -1,5 +1,6 @@
-// Random histories of the dispatcher under fixed seeds: whatever happens in
-// whatever order, each request has exactly one outcome, and promises hold.
+// Random event histories of the dispatcher with fixed seeds. In any order of
+// events, each request has exactly one outcome, and the promises of refusals
+// hold.
 
 #include <map>
 
@@ -32,7 +33,7 @@
   DispatchRequest spec;
   DispatchHandle handle;
   bool maybe_ran = false;
-  bool started = false;  ///< An answer.
+  bool started = false;  ///< Part of an answer arrived.
 };
 
 class History {
@@ -131,7 +132,7 @@
     report.answer_started = tracked.started;
     this->running.erase(this->running.begin() +
                         static_cast<std::ptrdiff_t>(place));
-    // The upstream said so, or none was there, or another one was.
+    // These ends rule out that the request ran.
     const bool ran = end != AttemptEnd::kShed &&
                      end != AttemptEnd::kConnectFailed &&
                      end != AttemptEnd::kMisdirected;
@@ -169,12 +170,12 @@
 
   void Collect() {
     for (const DispatchAction& action : this->dispatcher->actions()) {
-      this->Take(action);
+      this->Apply(action);
     }
     this->dispatcher->ClearActions();
   }
 
-  void Take(const DispatchAction& action) {
+  void Apply(const DispatchAction& action) {
     if (action.kind == DispatchActionKind::kCancel) {
       std::erase_if(this->running, [&action](const DispatchAction& run) {
         return run.attempt == action.attempt;
@@ -227,7 +228,7 @@
 
 TEST_GROUP(DispatchHistory){};
 
-TEST(DispatchHistory, Run_RandomEvents_EachRequestHasOneTrueOutcome) {
+TEST(DispatchHistory, Run_RandomEvents_EachRequestHasOneOutcome) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     History(seed).Run();
   }
--- a/packages/decision/test/dispatch_overload_test.cc
+++ b/packages/decision/test/dispatch_overload_test.cc
@@ -1,5 +1,5 @@
-// Tests of a queue under more load than the upstreams can do, with requests
-// whose answers are worth most within an aim that is far below their deadline.
+// Tests of the queue under overload, with requests whose latency target is far
+// below their deadline.
 
 #include <algorithm>
 #include <vector>
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr Duration kWork = 160ms;
-constexpr ShortMillis kAim{400};
+constexpr ShortMillis kLatencyTarget{400};
 constexpr Duration kDeadline = 1200ms;
 
 DispatcherOptions Options() {
@@ -35,7 +35,7 @@
 TEST_GROUP(DispatchOverload) {
   DispatchHarness harness{Options()};
   std::vector<TimePoint> offered_at;
-  size_t in_aim = 0;
+  size_t in_target = 0;
   size_t late = 0;
 
   void setup() override {
@@ -45,10 +45,10 @@
     this->harness.Apply();
   }
 
-  void Offer(bool with_aim) {
+  void Offer(bool with_target) {
     DispatchRequest request = this->harness.Request();
     request.deadline = this->harness.now + kDeadline;
-    request.good_for = with_aim ? kAim : ShortMillis(0);
+    request.good_for = with_target ? kLatencyTarget : ShortMillis(0);
     this->harness.Offer(request);
     this->offered_at.push_back(this->harness.now);
     this->started_at.push_back(basilsill::kNever);
@@ -66,16 +66,16 @@
       this->harness.End(run.cookie, AttemptEnd::kAnswered);
       const Duration took =
           this->harness.now - this->offered_at.at(run.cookie - 1);
-      ++(took <= kAim ? this->in_aim : this->late);
+      ++(took <= kLatencyTarget ? this->in_target : this->late);
     }
   }
 
-  void Run(double per_second, Duration length, bool with_aim) {
+  void Run(double per_second, Duration length, bool with_target) {
     const Duration gap(static_cast<int64_t>(1e9 / per_second));
     const TimePoint end = this->harness.now + length;
     for (TimePoint next = this->harness.now; this->harness.now < end;) {
       if (this->harness.now >= next) {
-        this->Offer(with_aim);
+        this->Offer(with_target);
         next += gap;
       }
       this->Step();
@@ -85,24 +85,24 @@
   std::vector<TimePoint> started_at;
 };
 
-// Callers come at twice the rate that eight slots can do, for five seconds.
-// In order of arrival the queue soon is as long as the deadline allows, and
-// nearly every answer comes after the aim.
-TEST(DispatchOverload, Queue_WithoutAims_NearlyAllLate) {
+// Requests arrive at twice the rate that eight slots can serve, for five
+// seconds. Served in order of arrival, the queue grows as long as the deadline
+// allows, and nearly every answer misses the target.
+TEST(DispatchOverload, Queue_WithoutLatencyTarget_NearlyAllLate) {
   this->Run(100, 5s, false);
-  CHECK(this->in_aim * 3 < this->late);
+  CHECK(this->in_target * 3 < this->late);
 }
 
-// The same, but those that can still be answered in good time go first: most
-// of what the upstreams can do is of use.
-TEST(DispatchOverload, Queue_WithAims_MostAnswersInGoodTime) {
+// With the same load, requests that can still meet their target go first, so
+// that most of the upstreams' work is useful.
+TEST(DispatchOverload, Queue_WithLatencyTarget_MostAnswersInTime) {
   this->Run(100, 5s, true);
-  CHECK(this->in_aim > 4 * this->late);
-  CHECK(this->in_aim > 200);
+  CHECK(this->in_target > 4 * this->late);
+  CHECK(this->in_target > 200);
 }
 
-// What has been passed is served once the rush is over, not dropped.
-TEST(DispatchOverload, Queue_RushOver_LateOnesAreServed) {
+// Requests that were moved back are served after the overload, not dropped.
+TEST(DispatchOverload, Queue_OverloadEnds_LateOnesAreServed) {
   this->Run(100, 500ms, true);
   const size_t refused = this->harness.refused.size();
   for (int i = 0; i < 2000; ++i) {
@@ -110,6 +110,6 @@
   }
   CHECK(this->late > 0);
   CHECK_EQUAL(this->offered_at.size(),
-              this->in_aim + this->late + this->harness.refused.size());
+              this->in_target + this->late + this->harness.refused.size());
   CHECK(this->harness.refused.size() - refused <= this->late);
 }
--- a/packages/decision/test/dispatch_restart_test.cc
+++ b/packages/decision/test/dispatch_restart_test.cc
@@ -1,5 +1,5 @@
-// Tests of upstreams that start again under their id: what they ran has died,
-// and nothing that was learnt of the older start holds for the younger one.
+// Tests of upstreams that restart under the same id: their attempts are lost,
+// and the state of the old incarnation does not apply to the new one.
 
 #include "decision_fixture.h"
 
@@ -29,79 +29,80 @@
     return this->only;
   }
 
-  DispatchRequest Unsafe() const {
+  DispatchRequest NotIdempotent() const {
     DispatchRequest request = this->harness.Request();
     request.idempotent = false;
     return request;
   }
 };
 
-// An upstream dies behind a cut, so nothing tells of it, and starts again. A
-// request that runs there would be waited for until its time is over.
-TEST(DispatchRestart, RunsOnTheOlderStart_Idempotent_GoesToTheYounger) {
+// Failure: an upstream dies behind a network partition, so that no connection
+// breaks, and restarts. The dispatcher waits for its attempts until they time
+// out.
+TEST(DispatchRestart, AttemptAtOldIncarnation_Idempotent_RetriedAtNewOne) {
   const uint64_t cookie = this->harness.Offer();
-  const UpstreamHandle younger = this->RestartUpstream();
+  const UpstreamHandle restarted = this->RestartUpstream();
   this->harness.Advance(2ms);
   CHECK_EQUAL(1, this->harness.cancelled.size());
-  CHECK(this->harness.RunOf(cookie).upstream == younger);
+  CHECK(this->harness.RunOf(cookie).upstream == restarted);
 }
 
-// The same with one that may run once at most: it may have run, so it is told
-// so, at once, and not sent again.
-TEST(DispatchRestart, RunsOnTheOlderStart_Unsafe_ToldAsUnknownAtOnce) {
-  const uint64_t cookie = this->harness.Offer(this->Unsafe());
+// A request that is not idempotent may have run, so it is refused at once and
+// not sent again.
+TEST(DispatchRestart, AttemptAtOldIncarnation_NotIdempotent_RefusedAtOnce) {
+  const uint64_t cookie = this->harness.Offer(this->NotIdempotent());
   this->RestartUpstream();
   this->harness.Advance(2ms);
   CHECK(this->harness.RefusalFor(cookie) == Refusal::kUpstreamDied);
   CHECK_EQUAL(0, this->harness.running.size());
 }
 
-// The answer was on its way when the upstream died, and is read before the
-// next tick: it is the caller's.
-TEST(DispatchRestart, AnswerAlreadyThere_IsDelivered) {
-  const uint64_t cookie = this->harness.Offer(this->Unsafe());
+// An answer that arrived before the upstream died is read before the next tick,
+// so the caller still gets it.
+TEST(DispatchRestart, Answer_ArrivedBeforeTick_IsDelivered) {
+  const uint64_t cookie = this->harness.Offer(this->NotIdempotent());
   this->RestartUpstream();
   CHECK_FALSE(this->harness.End(cookie, AttemptEnd::kAnswered));
   this->harness.Advance(2ms);
   CHECK(this->harness.RefusalFor(cookie) == Refusal::kNone);
 }
 
-// The start that died had said, on an answer, that it leaves. Nothing is sent
-// to one that leaves for two minutes, and the next start has not said so.
-TEST(DispatchRestart, OlderStartWasLeaving_YoungerGetsWork) {
+// Failure: the old incarnation announced that it is leaving, which keeps an
+// upstream from work for two minutes, and this is applied to the new one.
+TEST(DispatchRestart, NewIncarnation_OldOneWasLeaving_GetsWork) {
   const uint64_t first = this->harness.Offer();
   AttemptReport report = DispatchHarness::Report(AttemptEnd::kAnswered);
   report.drain_sign = true;
   this->harness.End(first, report);
   const uint64_t refused = this->harness.Offer();
   CHECK(this->harness.RefusalFor(refused) == Refusal::kNoUpstream);
-  const UpstreamHandle younger = this->RestartUpstream();
+  const UpstreamHandle restarted = this->RestartUpstream();
   const uint64_t cookie = this->harness.Offer();
-  CHECK(this->harness.RunOf(cookie).upstream == younger);
+  CHECK(this->harness.RunOf(cookie).upstream == restarted);
 }
 
-// The slots of the start that died are not those of the next: with both taken
-// there, the next one would wait for ends that never come.
-TEST(DispatchRestart, OlderStartWasFull_YoungerHasAllSlots) {
-  this->harness.Offer(this->Unsafe());
-  this->harness.Offer(this->Unsafe());
-  const UpstreamHandle younger = this->RestartUpstream();
-  const uint64_t cookie = this->harness.Offer(this->Unsafe());
-  CHECK(this->harness.RunOf(cookie).upstream == younger);
+// Failure: attempts at the old incarnation occupy slots of the new one, which
+// then waits for ends that never come.
+TEST(DispatchRestart, NewIncarnation_OldOneWasFull_HasAllSlots) {
+  this->harness.Offer(this->NotIdempotent());
+  this->harness.Offer(this->NotIdempotent());
+  const UpstreamHandle restarted = this->RestartUpstream();
+  const uint64_t cookie = this->harness.Offer(this->NotIdempotent());
+  CHECK(this->harness.RunOf(cookie).upstream == restarted);
 }
 
-// What ended at the older start, told late, says nothing of the younger one.
-TEST(DispatchRestart, OlderStartFailsLate_YoungerNotPaused) {
-  const uint64_t late = this->harness.Offer(this->Unsafe());
+// Failure: a late failure of the old incarnation pauses the new one.
+TEST(DispatchRestart, NewIncarnation_OldOneFailsLate_IsNotPaused) {
+  const uint64_t late = this->harness.Offer(this->NotIdempotent());
   this->RestartUpstream();
   this->harness.End(late, AttemptEnd::kDied);
-  const UpstreamHandle younger = this->only;
-  const uint64_t cookie = this->harness.Offer(this->Unsafe());
-  CHECK(this->harness.RunOf(cookie).upstream == younger);
+  const UpstreamHandle restarted = this->only;
+  const uint64_t cookie = this->harness.Offer(this->NotIdempotent());
+  CHECK(this->harness.RunOf(cookie).upstream == restarted);
 }
 
-// An upstream without a start, as before, is the same one in each view.
-TEST(DispatchRestart, SameIncarnation_NewView_WorkGoesOn) {
+// An upstream that has not restarted stays the same one in a new view.
+TEST(DispatchRestart, SameIncarnation_NewView_AttemptContinues) {
   const uint64_t cookie = this->harness.Offer();
   this->harness.Apply();
   this->harness.Advance(5ms);
--- a/packages/decision/test/dispatch_speed_test.cc
+++ b/packages/decision/test/dispatch_speed_test.cc
@@ -1,7 +1,7 @@
-// Tests of what the dispatcher makes of upstreams that are slow for a moment.
-// The load: upstreams share their machines and are five times slower for a
-// quarter of the time, in spells of 150 ms; the slowness at the start of a
-// request is the one that it runs with.
+// Tests of the dispatcher with upstreams that are slow at times. In the load
+// tests, upstreams are five times slower for a quarter of the time, in periods
+// of 150 ms, because they share their machines with other processes. The
+// slowness at the start of a request applies to its whole duration.
 
 #include <algorithm>
 
@@ -24,7 +24,7 @@
 
 constexpr double kUsual = 1;
 constexpr double kSlow = 5;
-constexpr double kMuchTooSlow = 1000;
+constexpr double kFarTooSlow = 1000;
 
 }  // namespace
 
@@ -43,7 +43,7 @@
     return this->harness.fixture.service.upstreams.at(place).handle;
   }
 
-  /// All are asked about, and answer: `slow` so, the others as usual.
+  /// Answers all load queries: `slow` reports `slowness`, the others kUsual.
   void AnswerLoadQueries(UpstreamHandle slow, double slowness) {
     const std::vector<UpstreamHandle> asked = this->harness.asked;
     for (const UpstreamHandle upstream : asked) {
@@ -52,7 +52,8 @@
     }
   }
 
-  /// Offers a request and answers what is asked for longer than it is held.
+  /// Offers a request and answers load queries until it starts, at most for
+  /// longer than it may be held.
   uint64_t OfferAnsweringQueries(UpstreamHandle slow, double slowness) {
     const uint64_t cookie = this->harness.Offer();
     for (Duration waited{0}; waited < 400ms; waited += 5ms) {
@@ -65,7 +66,7 @@
     return cookie;
   }
 
-  /// Four upstreams of six slots each.
+  /// Adds four upstreams with six slots each.
   static void ApplyManySlots(DispatchHarness & many) {
     many.fixture.service.health_path = "/health";
     for (int i = 0; i < 4; ++i) {
@@ -74,7 +75,7 @@
     many.Apply();
   }
 
-  /// Typical times are known.
+  /// Runs requests until the dispatcher knows their typical duration.
   void WarmUp() {
     for (int i = 0; i < 40; ++i) {
       const uint64_t cookie = this->OfferAnsweringQueries({}, kUsual);
@@ -84,13 +85,13 @@
   }
 };
 
-TEST(DispatchSpeed, Offer_NothingKnown_AsksSomeAndWaits) {
+TEST(DispatchSpeed, Offer_SpeedUnknown_QueriesSomeAndWaits) {
   this->harness.Offer();
   CHECK_EQUAL(3, this->harness.asked.size());
   CHECK_EQUAL(0, this->harness.running.size());
 }
 
-TEST(DispatchSpeed, Offer_OneSaysFast_StartsThereAtOnce) {
+TEST(DispatchSpeed, Offer_OneReportsFast_StartsThereAtOnce) {
   const uint64_t cookie = this->harness.Offer();
   const UpstreamHandle slow = this->harness.asked.at(0);
   const UpstreamHandle fast = this->harness.asked.at(1);
@@ -100,7 +101,7 @@
   CHECK(this->harness.RunOf(cookie).upstream == fast);
 }
 
-TEST(DispatchSpeed, Offer_ToldAMomentAgo_AsksNobody) {
+TEST(DispatchSpeed, Offer_RecentReport_SendsNoQuery) {
   this->harness.Offer();
   const UpstreamHandle fast = this->harness.asked.at(0);
   this->harness.AnswerLoadQuery(fast, kUsual);
@@ -111,9 +112,9 @@
   CHECK_EQUAL(asked, this->harness.asked.size());
 }
 
-// All upstreams are slow for long. Requests that wait for a fast one for ever
-// would all miss their deadlines, although a slow one could have met them.
-TEST(DispatchSpeed, Offer_AllSlow_StartsOnASlowOneInTheEnd) {
+// Failure: all upstreams are slow for long, and requests wait for a fast one
+// until they miss their deadlines, although a slow one could have met them.
+TEST(DispatchSpeed, Offer_AllSlow_StartsOnSlowOneEventually) {
   const uint64_t cookie = this->harness.Offer();
   for (Duration waited{0}; waited < 400ms; waited += 5ms) {
     const std::vector<UpstreamHandle> asked = this->harness.asked;
@@ -125,52 +126,53 @@
   CHECK(IsValid(this->harness.RunOf(cookie).attempt));
 }
 
-// One upstream has turned sixty times slower and holds what it got; the others
-// work on and are full. It has the only free slot, and what is started there
-// ends at its deadline, also what may run only once.
-TEST(DispatchSpeed, Offer_OnlyOneThatIsMuchTooSlowIsFree_WaitsForTheOthers) {
+// Failure: one upstream is so slow that requests there end at their deadlines.
+// As the others are full, it has the only free slot, and even requests that
+// must not run twice are started there.
+TEST(DispatchSpeed, Offer_OnlyFreeUpstreamTooSlow_WaitsForOthers) {
   std::vector<uint64_t> running;
   running.reserve(6);
   this->WarmUp();
-  // What was told before is forgotten.
+  // Earlier reports are outdated.
   this->harness.Advance(300ms);
   const UpstreamHandle slow = this->Upstream(0);
   for (int i = 0; i < 6; ++i) {
-    running.push_back(this->OfferAnsweringQueries(slow, kMuchTooSlow));
+    running.push_back(this->OfferAnsweringQueries(slow, kFarTooSlow));
   }
   CHECK_EQUAL(0, this->harness.RunningOn(slow));
-  const uint64_t last = this->OfferAnsweringQueries(slow, kMuchTooSlow);
+  const uint64_t last = this->OfferAnsweringQueries(slow, kFarTooSlow);
   CHECK_FALSE(IsValid(this->harness.RunOf(last).attempt));
   this->harness.End(running.front(), AttemptEnd::kAnswered);
-  this->AnswerLoadQueries(slow, kMuchTooSlow);
+  this->AnswerLoadQueries(slow, kFarTooSlow);
   CHECK(IsValid(this->harness.RunOf(last).attempt));
   CHECK_EQUAL(0, this->harness.RunningOn(slow));
 }
 
-// All of them have. Waiting would gain nothing.
-TEST(DispatchSpeed, Offer_AllMuchTooSlow_StartsOnOneInTheEnd) {
+// If all upstreams are too slow, waiting gains nothing.
+TEST(DispatchSpeed, Offer_AllTooSlow_StartsOnOneEventually) {
   this->WarmUp();
   const uint64_t cookie = this->harness.Offer();
   for (Duration waited{0}; waited < 400ms; waited += 5ms) {
     const std::vector<UpstreamHandle> asked = this->harness.asked;
     for (const UpstreamHandle upstream : asked) {
-      this->harness.AnswerLoadQuery(upstream, kMuchTooSlow);
+      this->harness.AnswerLoadQuery(upstream, kFarTooSlow);
     }
     this->harness.Advance(5ms);
   }
   CHECK(IsValid(this->harness.RunOf(cookie).attempt));
 }
 
-// An upstream that is cut off does not answer what it is asked. The request
-// must not wait for it, nor for ever.
-TEST(DispatchSpeed, Offer_NobodyAnswers_StartsAnyway) {
+// Failure: upstreams are unreachable and answer no load query, and the request
+// is held for ever.
+TEST(DispatchSpeed, Offer_QueriesUnanswered_StartsAnyway) {
   const uint64_t cookie = this->harness.Offer();
   this->harness.Advance(400ms);
   CHECK(IsValid(this->harness.RunOf(cookie).attempt));
 }
 
-// An upstream that says nothing of its speed is not asked again and again.
-TEST(DispatchSpeed, Offer_AnswerWithoutLoad_GoesOnWithoutAsking) {
+// Failure: upstreams that do not report their speed are queried again and
+// again.
+TEST(DispatchSpeed, Offer_ReportWithoutLoad_StartsWithoutQueries) {
   const uint64_t first = this->harness.Offer();
   LoadQueryReport report;
   report.answered = true;
@@ -184,9 +186,9 @@
   CHECK_EQUAL(asked, this->harness.asked.size());
 }
 
-// The address was given to an instance of another service. A request sent
-// there would only be turned away, so the upstream counts as gone.
-TEST(DispatchSpeed, OnAsked_AnotherUpstreamAnswers_GetsNoWork) {
+// The address now belongs to an instance of another service. It would refuse
+// the request, so the upstream counts as leaving.
+TEST(DispatchSpeed, OnLoadQueryEnd_AnotherUpstreamAnswers_GetsNoWork) {
   this->harness.Offer();
   const UpstreamHandle gone = this->harness.asked.at(0);
   LoadQueryReport report;
@@ -204,15 +206,15 @@
 
 namespace {
 
-/// Twelve upstreams of two slots under the load of this file, with a
-/// dispatcher whose questions are answered after a millisecond.
+/// Twelve upstreams with two slots each that are slow at times, and a
+/// dispatcher whose load queries are answered after a millisecond.
 class NoisyShard {
  public:
-  static constexpr Duration kSpell = 150ms;
+  static constexpr Duration kSlowPeriod = 150ms;
   static constexpr Duration kWork = 160ms;
-  static constexpr Duration kAim = 400ms;
+  static constexpr Duration kLatencyTarget = 400ms;
 
-  explicit NoisyShard(bool by_speed) : harness(OptionsOf(by_speed)) {
+  explicit NoisyShard(bool use_queries) : harness(OptionsOf(use_queries)) {
     this->harness.fixture.service.health_path = "/health";
     for (int i = 0; i < 12; ++i) {
       this->harness.fixture.AddUpstream(0, 2);
@@ -221,7 +223,7 @@
     this->slowness.resize(12, kUsual);
   }
 
-  /// @returns the share of requests answered within their aim.
+  /// @returns the share of requests answered within their latency target.
   double Run(double per_second, Duration length) {
     const Duration gap(static_cast<int64_t>(1e9 / per_second));
     const TimePoint end = this->harness.now + length;
@@ -230,7 +232,7 @@
     while (this->harness.now < end) {
       if (this->harness.now >= redraw) {
         this->Redraw();
-        redraw += kSpell;
+        redraw += kSlowPeriod;
       }
       if (this->harness.now >= next) {
         this->harness.Offer();
@@ -239,16 +241,16 @@
       }
       this->Step();
     }
-    return static_cast<double>(this->in_aim) /
+    return static_cast<double>(this->in_target) /
            static_cast<double>(this->answered);
   }
 
-  size_t questions() const { return this->asked; }
+  size_t query_count() const { return this->answered_queries; }
 
  private:
-  static DispatcherOptions OptionsOf(bool by_speed) {
+  static DispatcherOptions OptionsOf(bool use_queries) {
     DispatcherOptions options;
-    options.features.speed = by_speed;
+    options.features.speed = use_queries;
     options.features.send_ahead = false;
     return options;
   }
@@ -261,9 +263,9 @@
 
   void Step() {
     this->harness.Advance(1ms);
-    const std::vector<UpstreamHandle> questions = this->harness.asked;
-    for (const UpstreamHandle upstream : questions) {
-      ++this->asked;
+    const std::vector<UpstreamHandle> queries = this->harness.asked;
+    for (const UpstreamHandle upstream : queries) {
+      ++this->answered_queries;
       this->harness.AnswerLoadQuery(upstream, this->slowness[upstream.index]);
     }
     for (const auto& run : this->harness.running) {
@@ -284,7 +286,7 @@
         ++this->answered;
         const Duration took =
             this->harness.now - this->offered_at.at(run.cookie - 1);
-        this->in_aim += took <= kAim ? 1 : 0;
+        this->in_target += took <= kLatencyTarget ? 1 : 0;
       }
     }
   }
@@ -295,34 +297,34 @@
   std::vector<TimePoint> offered_at;
   std::vector<TimePoint> ends;
   size_t answered = 0;
-  size_t in_aim = 0;
-  size_t asked = 0;
+  size_t in_target = 0;
+  size_t answered_queries = 0;
 };
 
 }  // namespace
 
-// 34 requests a second take 5.4 of 24 slots. Without looking, a quarter of
-// them starts on a slow upstream and takes twice its aim.
-TEST(DispatchSpeed, Load_QuarterOfUpstreamsSlow_NearlyAllWithinTheAim) {
-  NoisyShard blind(false);
-  NoisyShard looking(true);
-  const double without = blind.Run(34, 20s);
-  const double with = looking.Run(34, 20s);
+// 34 requests per second occupy 5.4 of 24 slots. Without load queries, a
+// quarter of them starts on a slow upstream and takes twice the latency target.
+TEST(DispatchSpeed, Load_QuarterOfUpstreamsSlow_NearlyAllWithinTarget) {
+  NoisyShard without_queries(false);
+  NoisyShard with_queries(true);
+  const double without = without_queries.Run(34, 20s);
+  const double with = with_queries.Run(34, 20s);
   CHECK(without < 0.85);
   CHECK(with > 0.98);
 }
 
-// Asking costs something at the upstreams. Three are asked at a time, another
-// one for each that says it is slow.
-TEST(DispatchSpeed, Load_QuarterOfUpstreamsSlow_AsksAboutThriceARequest) {
-  NoisyShard looking(true);
-  looking.Run(34, 20s);
-  CHECK(looking.questions() <= 3.5 * 34 * 20);
+// Load queries cost work at the upstreams. Three are sent at a time, and
+// another one for each upstream that reports to be slow.
+TEST(DispatchSpeed, Load_QuarterOfUpstreamsSlow_AboutThreeQueriesPerRequest) {
+  NoisyShard with_queries(true);
+  with_queries.Run(34, 20s);
+  CHECK(with_queries.query_count() <= 3.5 * 34 * 20);
 }
 
-// Many slots, and only one upstream has told of late that it is fast. What
-// comes would go there until it is full, beside others that have nothing to do.
-TEST(DispatchSpeed, Offer_FewKnownToBeFast_IdleOnesAskedBeforeTheyFillUp) {
+// Failure: only one of several upstreams is known to be fast, and all requests
+// go there until it is full, while the others are idle.
+TEST(DispatchSpeed, Offer_FewKnownFast_QueriesIdleOnesFirst) {
   DispatchHarness many;
   ApplyManySlots(many);
   many.Offer();
@@ -345,8 +347,9 @@
   CHECK_EQUAL(3, many.RunningOn(asked.front()));
 }
 
-// The idle ones do not answer: nobody waits for longer than a question takes.
-TEST(DispatchSpeed, Offer_IdleOnesDoNotAnswer_StartsOnTheBusyOne) {
+// If idle upstreams do not answer, the request is held no longer than the
+// timeout of a load query.
+TEST(DispatchSpeed, Offer_IdleOnesDoNotAnswer_StartsOnBusyOne) {
   DispatchHarness many;
   ApplyManySlots(many);
   many.Offer();
--- a/packages/decision/test/dispatch_test.cc
+++ b/packages/decision/test/dispatch_test.cc
@@ -1,5 +1,5 @@
-// Tests of the dispatcher: slots, late binding, deadlines, cancellation,
-// upstreams that come and go.
+// Tests of the dispatcher: slots, late binding, deadlines, cancellation, and
+// upstreams that are added, leave or are removed.
 
 #include "decision_fixture.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Late binding alone: nothing is sent ahead of a free slot.
+// Late binding alone: no request is sent beyond the slots.
 DispatcherOptions WithoutSendAhead() {
   DispatcherOptions options;
   options.features.send_ahead = false;
@@ -85,7 +85,7 @@
         Refusal::kNone);
 }
 
-TEST(Dispatch, Offer_DeadlineBeforeItsTurn_RefusedWithTimeToComeBack) {
+TEST(Dispatch, Offer_DeadlineBeforeItsTurn_RefusedWithRetryAfter) {
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
   this->harness.WarmUp();
@@ -149,9 +149,9 @@
 }
 
 TEST(Dispatch, OnAttemptEnd_AttemptWasCancelled_IsNoOutcome) {
-  // The caller hangs up while the answer is on its way. The shell still
-  // reports the end of the attempt, which must not end another request that
-  // has the slot by now.
+  // Failure: the caller disconnects while the answer arrives. The host still
+  // reports the end of the cancelled attempt, which then ends another request
+  // that has the slot by now.
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
   const uint64_t gone = this->harness.Offer();
@@ -222,9 +222,9 @@
   CHECK_EQUAL(2, this->harness.RunningOn(cold));
 }
 
-TEST(Dispatch, OnDrainSign_HeaderSaysSo_NoWorkForMinutesThenAgain) {
-  // An instance says in an answer that it is leaving; the configuration hears
-  // of it much later. It must not be tried again just to find out.
+TEST(Dispatch, OnAttemptEnd_DrainSign_NoWorkForTwoMinutes) {
+  // Failure: an instance announces in an answer that it is leaving, long before
+  // the configuration shows it, and gets trial requests meanwhile.
   const UpstreamHandle leaves = this->harness.fixture.AddUpstream(0, 2);
   this->harness.fixture.AddUpstream(0, 2);
   this->harness.Apply();
@@ -255,10 +255,10 @@
   CHECK_EQUAL(3, ahead.RunningOn(upstream));
 }
 
-TEST(Dispatch, SendAhead_UpstreamSheds_RetriedFreelyAndNotAgain) {
-  // An instance refuses the connection beyond its slots. Sending ahead was our
-  // own idea, so the caller must not pay for it, neither with an error nor
-  // with its retry budget.
+TEST(Dispatch, SendAhead_UpstreamSheds_RetriedAndSendAheadStops) {
+  // Failure: an instance sheds requests beyond its slots, and the caller gets
+  // an error or the team's retry budget is charged, although the dispatcher
+  // caused this by sending ahead.
   DispatchHarness ahead;
   const UpstreamHandle upstream = ahead.fixture.AddUpstream(0, 2);
   ahead.Apply();
--- a/packages/decision/test/hot_path_test.cc
+++ b/packages/decision/test/hot_path_test.cc
@@ -1,7 +1,7 @@
-// Counts allocations of the hot path: at the size of the aim, 14,000 upstreams
-// in 350 services, nothing may be allocated once things are under way. A
-// program of its own: CppUTest replaces operator new, and its way to the system
-// is the place to count.
+// Counts allocations on the hot path. At the target size, 14,000 upstreams in
+// 350 services, nothing may be allocated after the warm-up. This is a separate
+// program, because it hooks into the allocator through which CppUTest's
+// operator new gets memory.
 
 #include <cstdlib>
 
@@ -62,8 +62,8 @@
   return view;
 }
 
-// Entry and dispatcher of one worker, over and over, with answers that take
-// random times, and now and then a failure, a hedge, or a caller that goes.
+// Sends requests through entry router and dispatcher of one worker. Attempts
+// end in random order, some of them with a shed.
 class HotPath {
  public:
   HotPath() {
@@ -87,7 +87,7 @@
     if (++this->steps % 50 == 0) {
       this->dispatcher->Tick(this->now);
       this->router->Tick(this->now);
-      this->TakeActions();
+      this->ApplyActions();
     }
   }
 
@@ -112,7 +112,7 @@
     offer.fingerprint = request.fingerprint;
     offer.max_wait = target.max_wait;
     this->dispatcher->Offer(this->now, offer);
-    this->TakeActions();
+    this->ApplyActions();
     this->router->OnSummary(
         this->now, target.vm,
         this->dispatcher->Summarize(this->now, target.shard));
@@ -130,10 +130,10 @@
         this->random(100) == 0 ? AttemptEnd::kShed : AttemptEnd::kAnswered;
     report.status = 200;
     this->dispatcher->OnAttemptEnd(this->now, attempt, report);
-    this->TakeActions();
+    this->ApplyActions();
   }
 
-  void TakeActions() {
+  void ApplyActions() {
     for (const DispatchAction& action : this->dispatcher->actions()) {
       if (action.kind == DispatchActionKind::kStart) {
         this->running.push_back(action.attempt);
@@ -167,7 +167,7 @@
   CHECK(allocation_count >= 2);
 }
 
-TEST(HotPath, Decisions_UnderWay_AllocateNothing) {
+TEST(HotPath, Decisions_AfterWarmUp_AllocateNothing) {
   HotPath path;
   for (size_t i = 0; i < kWarmUp; ++i) {
     path.Step();
--- a/packages/decision/test/leave_slow_test.cc
+++ b/packages/decision/test/leave_slow_test.cc
@@ -1,5 +1,5 @@
-// Tests of requests that leave a data centre whose upstreams are all slow at
-// the moment.
+// Tests of requests that move to another data centre because all upstreams of
+// this one are slow at the moment.
 
 #include <array>
 #include <memory>
@@ -28,9 +28,9 @@
 constexpr size_t kUpstreams = 2;
 constexpr uint16_t kSlots = 3;
 
-// What an entry VM expects elsewhere when nothing waits there: three quarters
-// of the way there and back.
-constexpr Duration kElsewhere = 2ms;
+// Wait that an entry VM expects in another data centre with an empty queue:
+// three quarters of the round-trip time.
+constexpr Duration kWaitElsewhere = 2ms;
 
 DispatcherOptions OptionsOf(bool leaves) {
   DispatcherOptions options;
@@ -55,7 +55,7 @@
 TEST_GROUP(LeaveSlow) {
   std::unique_ptr<DispatchHarness> shard = MakeShard(true);
 
-  /// Answers what is asked, in turn with `slowness`.
+  /// Answers all load queries with the values of `slowness` in turn.
   void AnswerLoadQueries(const std::vector<double>& slowness) {
     const std::vector<UpstreamHandle> asked = this->shard->asked;
     for (size_t i = 0; i < asked.size(); ++i) {
@@ -65,7 +65,7 @@
 
   DispatchRequest Movable() const {
     DispatchRequest request = this->shard->Request();
-    request.max_wait = kElsewhere;
+    request.max_wait = kWaitElsewhere;
     return request;
   }
 };
@@ -82,7 +82,8 @@
   CHECK(IsValid(this->shard->RunOf(cookie).attempt));
 }
 
-// It has moved once, or there is no other place: it waits for a fast one.
+// A request that has moved before, or has nowhere else to go, waits for a fast
+// upstream.
 TEST(LeaveSlow, Offer_AllSlowAndMayNotMove_Waits) {
   const uint64_t cookie = this->shard->Offer();
   this->AnswerLoadQueries({kSlow});
@@ -90,7 +91,7 @@
   CHECK_EQUAL(1, this->shard->Queued());
 }
 
-// Elsewhere there is a queue of a second. Waiting here is shorter.
+// With a queue of a second elsewhere, waiting here is faster.
 TEST(LeaveSlow, Offer_AllSlowButLongerElsewhere_Waits) {
   DispatchRequest request = this->Movable();
   request.max_wait = 1s;
@@ -99,7 +100,8 @@
   CHECK(this->shard->RefusalFor(cookie) == Refusal::kNone);
 }
 
-// It may have run here already, so "not run" would not be true of it any more.
+// The request may have run here already, so a refusal that promises `not-run`
+// would be false.
 TEST(LeaveSlow, Retry_AllSlow_NotHandedBack) {
   const uint64_t cookie = this->shard->Offer(this->Movable());
   this->AnswerLoadQueries({kUsual});
@@ -114,14 +116,14 @@
 
 namespace {
 
-/// Four data centres with two upstreams of three slots each. What one hands
-/// back goes to the next, three milliseconds later.
+/// Four data centres with two upstreams of three slots each. Requests that one
+/// hands back go to the next, which costs three milliseconds.
 class FourDataCentres {
  public:
-  static constexpr Duration kSpell = 500ms;
+  static constexpr Duration kSlowPeriod = 500ms;
   static constexpr Duration kWork = 88ms;
-  static constexpr Duration kAim = 250ms;
-  static constexpr Duration kWay = 3ms;
+  static constexpr Duration kLatencyTarget = 250ms;
+  static constexpr Duration kOneWayTime = 3ms;
   static constexpr size_t kCount = 4;
 
   explicit FourDataCentres(bool leaves) {
@@ -131,7 +133,7 @@
     this->slowness.fill(kUsual);
   }
 
-  /// @returns the share of requests answered within their aim.
+  /// @returns the share of requests answered within their latency target.
   double Run(double per_second, Duration length) {
     const Duration gap(static_cast<int64_t>(1e9 / per_second));
     TimePoint next = this->now();
@@ -139,7 +141,7 @@
     for (const TimePoint end = this->now() + length; this->now() < end;) {
       if (this->now() >= redraw) {
         this->Redraw();
-        redraw += kSpell;
+        redraw += kSlowPeriod;
       }
       if (this->now() >= next) {
         this->Offer(this->random(kCount), this->now(), true);
@@ -147,7 +149,7 @@
       }
       this->Step();
     }
-    return static_cast<double>(this->in_aim) /
+    return static_cast<double>(this->in_target) /
            static_cast<double>(this->answered);
   }
 
@@ -155,7 +157,7 @@
   struct Sent {
     size_t shard;
     uint64_t cookie;
-    TimePoint asked_at;
+    TimePoint offered_at;
     TimePoint ends = basilsill::kNever;
     bool may_move;
   };
@@ -168,14 +170,14 @@
     }
   }
 
-  void Offer(size_t place, TimePoint asked_at, bool may_move) {
+  void Offer(size_t place, TimePoint offered_at, bool may_move) {
     DispatchHarness& shard = *this->shards[place];
     DispatchRequest request = shard.Request();
     request.idempotent = false;
-    request.max_wait = may_move ? kElsewhere : Duration::max();
+    request.max_wait = may_move ? kWaitElsewhere : Duration::max();
     const uint64_t cookie = shard.Offer(request);
     this->sent.push_back(
-        {place, cookie, asked_at, basilsill::kNever, may_move});
+        {place, cookie, offered_at, basilsill::kNever, may_move});
   }
 
   void Step() {
@@ -189,7 +191,7 @@
     }
     const std::vector<Sent> all = std::exchange(this->sent, {});
     for (const Sent& request : all) {
-      this->StepOf(request);
+      this->StepRequest(request);
     }
   }
 
@@ -197,11 +199,12 @@
     return this->slowness.at(place * kUpstreams + upstream.index);
   }
 
-  void StepOf(Sent request) {
+  void StepRequest(Sent request) {
     DispatchHarness& shard = *this->shards[request.shard];
     const auto run = shard.RunOf(request.cookie);
     if (shard.RefusalFor(request.cookie) != Refusal::kNone) {
-      this->Offer((request.shard + 1) % kCount, request.asked_at - kWay, false);
+      this->Offer((request.shard + 1) % kCount,
+                  request.offered_at - kOneWayTime, false);
       return;
     }
     if (IsValid(run.attempt) && request.ends == basilsill::kNever) {
@@ -215,7 +218,8 @@
     }
     shard.End(request.cookie, AttemptEnd::kAnswered);
     ++this->answered;
-    this->in_aim += this->now() - request.asked_at <= kAim ? 1 : 0;
+    this->in_target +=
+        this->now() - request.offered_at <= kLatencyTarget ? 1 : 0;
   }
 
   std::array<std::unique_ptr<DispatchHarness>, kCount> shards;
@@ -223,14 +227,14 @@
   std::vector<Sent> sent;
   pcg32 random{11};
   size_t answered = 0;
-  size_t in_aim = 0;
+  size_t in_target = 0;
 };
 
 }  // namespace
 
-// 26 requests a second take 2.3 of 24 slots, so slots are never short. Both
-// upstreams of a data centre are slow for a sixteenth of the time.
-TEST(LeaveSlow, Load_BothNearSlowAtTimes_NearlyAllWithinTheAim) {
+// 26 requests per second occupy 2.3 of 24 slots, so there are always free
+// slots. Both upstreams of a data centre are slow for a sixteenth of the time.
+TEST(LeaveSlow, Load_BothNearSlowAtTimes_NearlyAllWithinTarget) {
   FourDataCentres staying(false);
   FourDataCentres leaving(true);
   const double without = staying.Run(26, 60s);
--- a/packages/decision/test/mechanism_test.cc
+++ b/packages/decision/test/mechanism_test.cc
@@ -1,4 +1,4 @@
-// Tests that hold the table of mechanisms, its flags and its page together.
+// Tests that the table of mechanisms, their flags and the settings page agree.
 
 #include "basilsill/decision/mechanism.h"
 
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Rows of the page look like `| `hedge` | A slow attempt ... |`.
+// Rows of the page look like "| `hedge` | A slow attempt ... |".
 std::set<std::string> ReadPage() {
   std::ifstream page(BASILSILL_SETTINGS_PAGE);
   std::set<std::string> names;
