--- a/packages/decision/include/basilsill/decision/dispatch.h
+++ b/packages/decision/include/basilsill/decision/dispatch.h
@@ -19,14 +19,14 @@
 /// The dispatcher holds, for each shard that a worker owns, the queue of
 /// waiting requests and the slots (concurrent requests) of each upstream. It
 /// binds a request to an upstream only when a slot is free. It does no I/O: the
-/// host passes the time in and carries out the actions that come out.
+/// host passes the time in and carries out the resulting actions.
 
 namespace basilsill {
 
 struct DispatchTag;
 struct AttemptTag;
 using DispatchHandle = Handle<DispatchTag>;  ///< A request at a dispatcher.
-using AttemptHandle = Handle<AttemptTag>;    ///< One attempt of it.
+using AttemptHandle = Handle<AttemptTag>;    ///< An attempt at a request.
 
 /// A request as the dispatcher receives it.
 struct DispatchRequest {
@@ -158,7 +158,7 @@
   bool shed_backoff = true;    ///< Pause after a shed answer.
   bool retry = true;           ///< Retries inside the shard.
   bool hedge = true;           ///< Send a second attempt if one is slow.
-  bool speed = true;           ///< Wait for upstreams that are slow just now.
+  bool speed = true;           ///< Wait until upstreams are fast again.
   bool spread = true;          ///< Prefer idle upstreams to crowded ones.
   bool rate_limits = true;     ///< Respect rate limits of upstreams.
   bool slowness_limit = true;  ///< Skip upstreams too slow for the deadline.
@@ -177,7 +177,7 @@
   /// Share of the dispatchers in the fleet-wide limit on repeats, if there is
   /// a limit.
   std::optional<RepeatParts> repeats;
-  /// Upstreams answer load queries with whether they are cold.
+  /// Answers to load queries tell whether the upstream is cold.
   bool cold_is_reported = false;
   /// Shared with the EntryRouter of the same worker; null: no quarantine.
   std::shared_ptr<Quarantine> quarantine;
@@ -248,7 +248,7 @@
   /// Reports that the connection of `attempt` broke before any answer, as a
   /// stale keep-alive connection does.
   /// @returns true if the request may be sent to the same upstream once more.
-  /// The repeat is then counted against its limits.
+  /// It then counts against the budgets.
   virtual bool MaySendAgain(TimePoint now, AttemptHandle attempt) = 0;
 
   /// Reports the result of a kQueryLoad action.
@@ -260,7 +260,7 @@
   /// running attempts.
   virtual void Cancel(TimePoint now, DispatchHandle request) = 0;
 
-  /// Reports that an upstream is leaving, if no AttemptReport says so.
+  /// Reports that an upstream is leaving, if that is not known from an attempt.
   virtual void OnDrainSign(TimePoint now, UpstreamHandle upstream) = 0;
 
   /// Applies a rate limit that another VM received from an upstream.
--- a/packages/decision/src/dispatch_tables.h
+++ b/packages/decision/src/dispatch_tables.h
@@ -56,17 +56,14 @@
   uint32_t avoid = kNoRow;  ///< Upstream at which the last attempt failed.
   uint32_t timer = kNotInHeap;
   RequestState state = RequestState::kWaiting;
-  TrafficClass queue =
-      TrafficClass::kOrdinary;  ///< Class as which it is queued.
+  TrafficClass queue = TrafficClass::kOrdinary;  ///< Queueing class.
   uint8_t starts = 0;
   uint8_t sends = 0;  ///< Of those, the ones that may have reached an upstream.
   // Bit fields, as there are thousands of rows; these share one octet.
   bool maybe_ran : 1 = false;  ///< If so, no refusal may promise `not-run`.
   bool answer_started : 1 = false;
-  bool held_for_rate : 1 =
-      false;  ///< Counted in DispatchCounters::held_for_rate.
-  bool idle_queried =
-      false;  ///< Load queries to idle upstreams were sent for it.
+  bool held_for_rate : 1 = false;   ///< Counted in DispatchCounters.
+  bool idle_queried = false;        ///< Idle upstreams were queried for it.
   Retry next_retry = Retry::kNone;  ///< Reason for the next attempt.
   TimePoint offered;
   TimePoint hedge_at = kNever;
@@ -84,11 +81,9 @@
   TimePoint start;
   TrafficClass traffic_class = TrafficClass::kOrdinary;
   bool hedge = false;
-  bool ahead = false;  ///< Sent beyond the slots, to wait at the upstream.
-  bool typical =
-      false;  ///< Its duration counts in the statistics of the shard.
-  bool crash_reported =
-      false;  ///< The crash of its upstream has been reported.
+  bool ahead = false;    ///< Sent beyond the slots, to wait at the upstream.
+  bool typical = false;  ///< Its duration counts in the shard's statistics.
+  bool crash_reported = false;  ///< Its upstream's crash was reported.
 };
 
 /// State of an upstream at the dispatcher of its shard.
@@ -104,10 +99,9 @@
   bool cold = false;        ///< According to the view.
   bool drained = false;     ///< According to the view.
   bool isolated = false;    ///< Reserved for a suspect request.
-  bool recovering =
-      false;  ///< Marked slow or failing, but its last answer was good.
-  uint8_t failures = 0;    ///< Consecutive failures; they set the next pause.
-  uint16_t ramp_left = 0;  ///< Good answers left until it gets its full share.
+  bool recovering = false;  ///< Slow or failing; its last answer was good.
+  uint8_t failures = 0;     ///< Consecutive failures; they set the next pause.
+  uint16_t ramp_left = 0;   ///< Good answers left until it gets its full share.
   uint32_t running = kNoRow;  ///< First of its running attempts.
   TimePoint paused_until{};
   TimePoint draining_until{};  ///< Set when it announces that it is leaving.
@@ -166,9 +160,8 @@
 struct RateLimitedUpstream {
   uint32_t place = kNoRow;  ///< Position in ShardState::upstreams.
   RateLimitQuota quota;
-  bool named_since_update =
-      false;                   ///< It named its limit since others were told.
-  TimePoint last_update_at{};  ///< When others were told.
+  bool named_since_update = false;  ///< Reported since the last update.
+  TimePoint last_update_at{};       ///< When other VMs were last informed.
   std::optional<double> last_update_limit;
 };
 
@@ -198,27 +191,23 @@
   /// Mean time that requests are held until an upstream is fast again. The
   /// initial value is about the remaining length of a slow period in progress.
   Duration hold_time = std::chrono::milliseconds(50);
-  bool can_be_asked = false;  ///< The service has a health check path.
-  /// Upstreams answer load queries with whether they are cold.
+  bool can_be_queried = false;  ///< The service has a health check path.
+  /// Answers to load queries tell whether the upstream is cold.
   bool reports_cold = false;
   bool any_superseded = false;  ///< Some upstream is superseded and busy.
   /// Rate limits bound all its upstreams, as of the last RecountSlots.
   bool rate_bound = false;
   uint32_t siblings = 1;  ///< Number of shards of the service, with this one.
   std::unique_ptr<RepeatBudget> repeats;  ///< Set if the fleet has a limit.
-  uint32_t open_slots =
-      0;  ///< Of upstreams with full share, as of RecountSlots.
+  uint32_t open_slots = 0;                ///< Of upstreams with full share.
   uint32_t starts_since_trickle = 0;
-  uint32_t first_pick =
-      0;  ///< Position at which the next search for a slot begins.
-  double error_rate = 0;  ///< Error share of the siblings at the last error.
-  double interactive_load =
-      0;  ///< Mean slots needed by urgent and ordinary requests.
+  uint32_t first_pick = 0;  ///< Start of the next search for a slot.
+  double error_rate = 0;    ///< Error share of the siblings at the last error.
+  double interactive_load = 0;  ///< Mean slots for urgent and ordinary.
   uint32_t active_place = kNoRow;
   uint32_t last_lane = kNoRow;
   TrafficClass last_class = TrafficClass::kCount;
-  TimePoint
-      mixed_until{};  ///< Several teams or classes use the shard until then.
+  TimePoint mixed_until{};  ///< Several teams or classes until then.
   TimePoint load_at{};
   TimePoint next_scan{};
   TimePoint last_scan{};
--- a/packages/decision/src/dispatcher_core.h
+++ b/packages/decision/src/dispatcher_core.h
@@ -237,8 +237,7 @@
   ShardTable shards;
   FairQueue queue;
   IndexedHeap<TimePoint> timers;  ///< Rows are those of requests.
-  std::vector<uint32_t>
-      active;  ///< Shards that have queued or running requests.
+  std::vector<uint32_t> active;   ///< Shards with queued or running requests.
   RateLimitMemory received_limits;
   std::vector<RateLimitReport> ended_limits;  ///< Not yet sent to other VMs.
   bool handing_back = false;
--- a/packages/decision/src/dispatcher_speed.cc
+++ b/packages/decision/src/dispatcher_speed.cc
@@ -37,7 +37,7 @@
 SpeedRule DispatcherCore::SpeedRuleOf(TimePoint now,
                                       const ShardState& shard,
                                       const RequestRow& request) const {
-  if (!this->options.features.speed || !shard.can_be_asked ||
+  if (!this->options.features.speed || !shard.can_be_queried ||
       !shard.reports_speed) {
     return SpeedRule::kIgnore;
   }
@@ -113,23 +113,23 @@
                           const ChoiceOptions& choice) {
   RequestRow& request = this->Request(row);
   const auto count = static_cast<uint32_t>(shard.upstreams.size());
-  auto asked = static_cast<uint32_t>(std::count_if(
+  auto queries = static_cast<uint32_t>(std::count_if(
       shard.speeds.begin(), shard.speeds.end(),
       [now](const ReportedSpeed& speed) { return speed.IsQueryPending(now); }));
-  bool any = asked > 0;
+  bool any = queries > 0;
   uint32_t place = shard.first_pick < count ? shard.first_pick : 0;
-  for (uint32_t i = 0; i < count && asked < kMaxLoadQueries; ++i) {
+  for (uint32_t i = 0; i < count && queries < kMaxLoadQueries; ++i) {
     if (IsCandidate(now, shard, place, choice)) {
       any = true;
       if (shard.speeds[place].IsWorthQuerying(now) &&
           MayQueryLoad(now, shard, place)) {
         this->QueryLoad(now, shard, place);
-        ++asked;
+        ++queries;
       }
     }
     place = place + 1 < count ? place + 1 : 0;
   }
-  if (any && asked == 0 && this->ShouldLeaveSlow(shard, request)) {
+  if (any && queries == 0 && this->ShouldLeaveSlow(shard, request)) {
     this->Refuse(row, {Refusal::kQueueFull, this->WithJitter(kHoldScan)});
     return;
   }
@@ -184,25 +184,25 @@
     return false;
   }
   RequestRow& request = this->Request(row);
-  const bool may_ask = !std::exchange(request.idle_queried, true);
+  const bool may_query = !std::exchange(request.idle_queried, true);
   const auto count = static_cast<uint32_t>(shard.upstreams.size());
-  uint32_t asked = 0;
+  uint32_t queries = 0;
   uint32_t place = shard.first_pick < count ? shard.first_pick : 0;
-  for (uint32_t i = 0; i < count && asked < kMaxLoadQueries; ++i) {
+  for (uint32_t i = 0; i < count && queries < kMaxLoadQueries; ++i) {
     const ReportedSpeed& speed = shard.speeds[place];
     const bool is_idle = !IsCrowded(shard.upstreams[place]) &&
                          IsCandidate(now, shard, place, choice);
-    if (is_idle && may_ask && speed.IsWorthQuerying(now) &&
+    if (is_idle && may_query && speed.IsWorthQuerying(now) &&
         MayQueryLoad(now, shard, place)) {
       this->QueryLoad(now, shard, place);
     }
-    asked += is_idle && speed.IsQueryPending(now) ? 1 : 0;
+    queries += is_idle && speed.IsQueryPending(now) ? 1 : 0;
     place = place + 1 < count ? place + 1 : 0;
   }
-  if (asked > 0) {
+  if (queries > 0) {
     shard.next_scan = std::min(shard.next_scan, now + kHoldScan);
   }
-  return asked > 0;
+  return queries > 0;
 }
 
 // Queries an upstream that may be cold.
@@ -221,14 +221,15 @@
 // Queries upstreams that have free slots but get no request because they may be
 // cold. One that reports to be warm gets the waiting request.
 void DispatcherCore::QueryWarmthOfFree(TimePoint now, ShardState& shard) {
-  uint32_t asked = 0;
+  uint32_t queries = 0;
   const auto count = static_cast<uint32_t>(shard.cold_quotas.size());
-  for (uint32_t place = 0; place < count && asked < kMaxLoadQueries; ++place) {
+  for (uint32_t place = 0; place < count && queries < kMaxLoadQueries;
+       ++place) {
     const UpstreamSlots& upstream = shard.upstreams[place];
     const bool has_room = upstream.busy < OpenSlots(now, upstream);
-    asked += has_room && this->QueryWarmth(now, shard, place) ? 1 : 0;
+    queries += has_room && this->QueryWarmth(now, shard, place) ? 1 : 0;
   }
-  if (asked > 0) {
+  if (queries > 0) {
     shard.next_scan = std::min(shard.next_scan, now + kHoldScan);
   }
 }
--- a/packages/decision/src/shard_load_estimates.cc
+++ b/packages/decision/src/shard_load_estimates.cc
@@ -75,12 +75,13 @@
   const Duration usual = Between(
       Duration(0), bulk ? estimate.usual_bulk_wait : estimate.usual_wait,
       ShareKept(age, kAverageTime));
-  const Duration told = bulk ? summary.bulk_wait : summary.wait;
+  const Duration reported = bulk ? summary.bulk_wait : summary.wait;
   const double free = std::max(0, summary.slots - summary.busy);
   const double since = std::max(0.0, SentBy(now, estimate) * peers - free);
   const Duration queued = Between(Duration(0), summary.service_time,
                                   since / std::max<int>(1, summary.slots));
-  return Between(usual, told, ShareKept(age, DecayTimeOf(summary))) + queued;
+  return Between(usual, reported, ShareKept(age, DecayTimeOf(summary))) +
+         queued;
 }
 
 Duration ShardLoadEstimates::ServiceTimeAt(ShardKey shard) const {
--- a/packages/decision/src/shard_table.cc
+++ b/packages/decision/src/shard_table.cc
@@ -201,8 +201,8 @@
   if (found.shard != nullptr) {
     const ServiceRow& service = *found.service;
     const ShardRow& row = *found.shard;
-    shard.can_be_asked = !service.health_path.empty();
-    shard.reports_cold = shard.can_be_asked && this->cold_is_reported;
+    shard.can_be_queried = !service.health_path.empty();
+    shard.reports_cold = shard.can_be_queried && this->cold_is_reported;
     const bool is_first = !row.contested && !row.owners.empty() &&
                           row.owners.front() == this->current->self;
     const TimePoint since = fresh ? this->same_vms_since : now;
@@ -213,7 +213,7 @@
       this->RefreshUpstream(now, shard, service.upstreams[position],
                             service.cold, fresh);
     }
-    shard.speeds.resize(shard.can_be_asked ? shard.upstreams.size() : 0);
+    shard.speeds.resize(shard.can_be_queried ? shard.upstreams.size() : 0);
   }
   RecountSlots(now, shard);
 }
--- a/packages/decision/src/upstream_choice.cc
+++ b/packages/decision/src/upstream_choice.cc
@@ -65,9 +65,9 @@
   if (place >= shard.speeds.size()) {
     return upstream.busy;
   }
-  const uint16_t told =
+  const uint16_t reported =
       std::min(shard.speeds[place].BusyAt(now), upstream.slots);
-  return std::max(upstream.busy, told);
+  return std::max(upstream.busy, reported);
 }
 
 // @returns the part of the cost that depends on the momentary speed.
--- a/packages/decision/src/upstream_speed.cc
+++ b/packages/decision/src/upstream_speed.cc
@@ -30,13 +30,13 @@
 
 }  // namespace
 
-void ReportedSpeed::OnLoad(TimePoint now, const UpstreamLoad& told) {
-  if (!told.known) {
+void ReportedSpeed::OnLoad(TimePoint now, const UpstreamLoad& load) {
+  if (!load.known) {
     return;
   }
   this->known = true;
-  this->reported_slowness = static_cast<float>(told.slowness);
-  this->reported_running = told.running;
+  this->reported_slowness = static_cast<float>(load.slowness);
+  this->reported_running = load.running;
   this->reported_at = now;
   this->query_pending = false;
 }
