--- a/packages/decision/test/rate_limit_test.cc
+++ b/packages/decision/test/rate_limit_test.cc
@@ -321,8 +321,8 @@
 TEST(RateLimitWays, Question_WhileARequestIsHeld_NotAsked) {
   this->Start({}, true);
   this->OfferMany(2);
-  this->harness->Tell(this->free, 10);
-  this->harness->Tell(this->limited, 1);
+  this->harness->AnswerLoadQuery(this->free, 10);
+  this->harness->AnswerLoadQuery(this->limited, 1);
   CHECK(this->harness->RunningOn(this->limited) > 0);
   this->harness->EndOn(this->limited, Limited(0));
   this->EndAll();
