--- a/packages/decision/test/decision_fixture.h
+++ b/packages/decision/test/decision_fixture.h
@@ -15,7 +15,7 @@
 namespace basilsill {
 
 /// A view with two data centres of two VMs each, and one service "banklevel" of
-/// one team. The first VM is the own one.
+/// one team. `view.self` is the first VM.
 class ViewFixture {
  public:
   ViewFixture() {
--- a/packages/decision/test/dispatch_speed_test.cc
+++ b/packages/decision/test/dispatch_speed_test.cc
@@ -52,8 +52,8 @@
     }
   }
 
-  /// Offers a request and answers load queries until it starts, at most for
-  /// longer than it may be held.
+  /// Offers a request and answers load queries until it starts. Stops after
+  /// more than the maximum hold time.
   uint64_t OfferAnsweringQueries(UpstreamHandle slow, double slowness) {
     const uint64_t cookie = this->harness.Offer();
     for (Duration waited{0}; waited < 400ms; waited += 5ms) {
--- a/packages/decision/test/hot_path_test.cc
+++ b/packages/decision/test/hot_path_test.cc
@@ -63,7 +63,7 @@
 }
 
 // Sends requests through entry router and dispatcher of one worker. Attempts
-// end in random order, some of them with a shed.
+// end in random order, some of them with a shed, and slow ones are hedged.
 class HotPath {
  public:
   HotPath() {
--- a/packages/decision/test/leave_slow_test.cc
+++ b/packages/decision/test/leave_slow_test.cc
@@ -123,7 +123,7 @@
   static constexpr Duration kSlowPeriod = 500ms;
   static constexpr Duration kWork = 88ms;
   static constexpr Duration kLatencyTarget = 250ms;
-  static constexpr Duration kOneWayTime = 3ms;
+  static constexpr Duration kMoveDelay = 3ms;
   static constexpr size_t kCount = 4;
 
   explicit FourDataCentres(bool leaves) {
@@ -203,8 +203,8 @@
     DispatchHarness& shard = *this->shards[request.shard];
     const auto run = shard.RunOf(request.cookie);
     if (shard.RefusalFor(request.cookie) != Refusal::kNone) {
-      this->Offer((request.shard + 1) % kCount,
-                  request.offered_at - kOneWayTime, false);
+      this->Offer((request.shard + 1) % kCount, request.offered_at - kMoveDelay,
+                  false);
       return;
     }
     if (IsValid(run.attempt) && request.ends == basilsill::kNever) {
