--- a/packages/decision/include/basilsill/decision/dispatch.h
+++ b/packages/decision/include/basilsill/decision/dispatch.h
@@ -120,7 +120,7 @@
   UpstreamLoad load;      ///< Not known if the upstream reported none.
   /// Time until the upstream is warm, 0 if it is warm; absent if not reported.
   std::optional<Duration> cold_for{};
-  ToldRateLimit rate_limit{};
+  AdvertisedRateLimit rate_limit{};
 };
 
 struct AttemptReport {
@@ -129,7 +129,7 @@
   bool drain_sign = false;      ///< The upstream announced that it is leaving.
   bool answer_started = false;  ///< Part of an answer reached the caller.
   UpstreamLoad load{};          ///< As reported with the answer.
-  ToldRateLimit rate_limit{};   ///< As reported with the answer.
+  AdvertisedRateLimit rate_limit{};  ///< As reported with the answer.
 };
 
 /// Load of a shard, which the dispatcher reports to entry VMs with answers.
@@ -269,7 +269,7 @@
 
   /// @returns rate limit updates for the other owners of the shards, which
   /// dispatch if this VM fails. To be called a few times per second.
-  virtual std::vector<RateLimitNews> TakeRateLimitUpdates(TimePoint now) = 0;
+  virtual std::vector<RateLimitUpdate> TakeRateLimitUpdates(TimePoint now) = 0;
 
   /// Runs timers: deadlines, hedges, health evidence from running attempts.
   /// A request whose deadline passes in the queue ends with kRefuse and
--- a/packages/decision/include/basilsill/decision/entry.h
+++ b/packages/decision/include/basilsill/decision/entry.h
@@ -142,7 +142,7 @@
   /// What an answer on the direct path says of a rate limit.
   virtual void OnRateLimit(TimePoint now,
                            UpstreamHandle upstream,
-                           const ToldRateLimit& told) = 0;
+                           const AdvertisedRateLimit& told) = 0;
 
   virtual void Tick(TimePoint now) = 0;
 
--- a/packages/decision/include/basilsill/decision/quota_borrower.h
+++ b/packages/decision/include/basilsill/decision/quota_borrower.h
@@ -37,7 +37,7 @@
 class QuotaBorrower {
  public:
   /// A request of `team` came. Whether it may go on is told now or later.
-  QuotaDecision Enter(LeaseTime now, TeamKey team);
+  QuotaDecision Acquire(LeaseTime now, TeamKey team);
 
   /// A request that was granted `credit` has ended without having run.
   void Return(LeaseTime now, TeamKey team, const QuotaCredit& credit);
--- a/packages/decision/include/basilsill/decision/quota_office.h
+++ b/packages/decision/include/basilsill/decision/quota_coordinator.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_DECISION_QUOTA_OFFICE_H_
-#define BASILSILL_DECISION_QUOTA_OFFICE_H_
+#ifndef BASILSILL_DECISION_QUOTA_COORDINATOR_H_
+#define BASILSILL_DECISION_QUOTA_COORDINATOR_H_
 
 #include <cstdint>
 #include <map>
@@ -16,7 +16,7 @@
 
 namespace basilsill {
 
-struct QuotaOfficeOptions {
+struct QuotaCoordinatorOptions {
   std::string vm;
   uint64_t incarnation = 0;
   std::string data_centre;
@@ -25,9 +25,9 @@
   std::vector<std::string> shares;
 };
 
-class QuotaOffice {
+class QuotaCoordinator {
  public:
-  explicit QuotaOffice(QuotaOfficeOptions options);
+  explicit QuotaCoordinator(QuotaCoordinatorOptions options);
 
   void ApplyView(LeaseTime now, const RoutingView& view);
 
@@ -39,7 +39,7 @@
   void OnAnswer(LeaseTime now, VmHandle from, const QuotaAnswer& answer);
 
   /// There is no link for a message of `TakeSends`.
-  void OnUnsent(LeaseTime now, const QuotaSend& send);
+  void OnUnsent(LeaseTime now, const OutgoingQuotaMessage& send);
 
   void Tick(LeaseTime now);
 
@@ -47,10 +47,14 @@
   void Leave(LeaseTime now);
 
   /// @returns what is to be sent, to VMs and to workers of this VM.
-  std::vector<QuotaSend> TakeSends() { return this->lender.TakeSends(); }
+  std::vector<OutgoingQuotaMessage> TakeOutgoing() {
+    return this->lender.TakeOutgoing();
+  }
 
   /// @returns true while `Tick` is needed soon.
-  bool waits() const { return this->lender.waits(); }
+  bool has_pending_requests() const {
+    return this->lender.has_pending_requests();
+  }
 
   /// @returns the call to make for the lease; its result goes to `OnLease`.
   QuotaLeaseCall NextLeaseCall(LeaseTime now);
@@ -81,10 +85,12 @@
   bool IsFirst() const;
   void SetCandidates(const RoutingView& view);
   void Sync(LeaseTime now);
-  void Lend(LeaseTime now, const QuotaAsker& from, const QuotaRequest& request);
+  void Lend(LeaseTime now,
+            const QuotaRequester& from,
+            const QuotaRequest& request);
   void Decline(uint16_t worker, uint64_t number);
 
-  QuotaOfficeOptions options;
+  QuotaCoordinatorOptions options;
   VmHandle self;
   uint16_t own_share = 0;
   std::vector<VmHandle> candidates;  ///< For the share of this data centre.
@@ -97,4 +103,4 @@
 
 }  // namespace basilsill
 
-#endif  // BASILSILL_DECISION_QUOTA_OFFICE_H_
+#endif  // BASILSILL_DECISION_QUOTA_COORDINATOR_H_
--- a/packages/decision/include/basilsill/decision/quota_lender.h
+++ b/packages/decision/include/basilsill/decision/quota_lender.h
@@ -52,15 +52,16 @@
 };
 
 /// Who asks: a thread of this VM, or another VM.
-struct QuotaAsker {
+struct QuotaRequester {
   VmHandle vm;          ///< Invalid: this VM.
   uint16_t worker = 0;  ///< Of this VM.
 
-  friend bool operator==(const QuotaAsker&, const QuotaAsker&) = default;
+  friend bool operator==(const QuotaRequester&,
+                         const QuotaRequester&) = default;
 };
 
-struct QuotaSend {
-  QuotaAsker to;
+struct OutgoingQuotaMessage {
+  QuotaRequester to;
   std::variant<QuotaRequest, QuotaAnswer> message;
 };
 
@@ -87,25 +88,27 @@
   void End() { this->lends = false; }
 
   void OnRequest(LeaseTime now,
-                 const QuotaAsker& from,
+                 const QuotaRequester& from,
                  const QuotaRequest& request);
   /// Another lender answers.
   void OnAnswer(LeaseTime now, VmHandle from, const QuotaAnswer& answer);
   void Tick(LeaseTime now);
 
   /// @returns true while other lenders are asked; then it needs a `Tick`.
-  bool waits() const { return !this->opened.empty(); }
+  bool has_pending_requests() const { return !this->opened.empty(); }
 
   /// Adds to what is to be sent.
-  void Send(QuotaSend send) { this->sends.push_back(std::move(send)); }
+  void Enqueue(OutgoingQuotaMessage send) {
+    this->sends.push_back(std::move(send));
+  }
 
   /// @returns what is to be sent.
-  std::vector<QuotaSend> TakeSends();
+  std::vector<OutgoingQuotaMessage> TakeOutgoing();
 
  private:
   /// A request for which the other lenders are asked, one after the other.
   struct Open {
-    QuotaAsker from;
+    QuotaRequester from;
     QuotaAnswer answer;
     std::vector<QuotaWant> missing;
     LeaseTime since{};
@@ -137,7 +140,7 @@
   std::map<uint64_t, LeaseTime> asked;
   /// Teams for which no other lender has any, and until when.
   std::map<TeamKey, LeaseTime> exhausted;
-  std::vector<QuotaSend> sends;
+  std::vector<OutgoingQuotaMessage> sends;
   uint64_t last_number = 0;
   size_t first_share = 0;  ///< Of `others`, asked first next time.
   bool lends = false;
--- a/packages/decision/include/basilsill/decision/rate_limit.h
+++ b/packages/decision/include/basilsill/decision/rate_limit.h
@@ -11,7 +11,7 @@
 namespace basilsill {
 
 /// What an answer says of a rate limit of its upstream.
-enum class RateLimitWord : uint8_t {
+enum class RateLimitPresence : uint8_t {
   kUnknown,  ///< There was no answer, or it can't be read.
   kNone,     ///< The answer names no limit.
   kNamed,
@@ -20,11 +20,12 @@
 
 /// A rate limit as an upstream tells it: it is the upstream's own, for all VMs
 /// together, and holds for as long as its answers name it.
-struct ToldRateLimit {
-  RateLimitWord word = RateLimitWord::kUnknown;
+struct AdvertisedRateLimit {
+  RateLimitPresence presence = RateLimitPresence::kUnknown;
   double requests_per_second = 0;  ///< Not negative; for kNamed alone.
 
-  friend bool operator==(const ToldRateLimit&, const ToldRateLimit&) = default;
+  friend bool operator==(const AdvertisedRateLimit&,
+                         const AdvertisedRateLimit&) = default;
 };
 
 /// What one VM has heard from an upstream, for another.
@@ -42,10 +43,10 @@
 /// @returns the report of what it told; of no shard if no shard has it.
 RateLimitReport MakeRateLimitReport(const ServiceRow& service,
                                     const UpstreamRow& upstream,
-                                    const ToldRateLimit& told);
+                                    const AdvertisedRateLimit& told);
 
 /// A report, and whom it is for.
-struct RateLimitNews {
+struct RateLimitUpdate {
   VmHandle to;
   RateLimitReport report;
 };
--- a/packages/decision/src/cold_quota.cc
+++ b/packages/decision/src/cold_quota.cc
@@ -33,7 +33,7 @@
   this->oldest = 0;
 }
 
-void ColdQuota::OnTold(TimePoint now, Duration cold_for) {
+void ColdQuota::OnColdTimeReported(TimePoint now, Duration cold_for) {
   this->told_cold_until = now + cold_for;
   if (cold_for <= Duration(0)) {
     this->starts.clear();
--- a/packages/decision/src/cold_quota.h
+++ b/packages/decision/src/cold_quota.h
@@ -41,7 +41,7 @@
   void AssumeCold(TimePoint until) { this->assumed_cold_until = until; }
 
   /// It said how long it stays cold; 0: it is warm.
-  void OnTold(TimePoint now, Duration cold_for);
+  void OnColdTimeReported(TimePoint now, Duration cold_for);
 
   /// It was asked.
   void OnAsk(TimePoint now) { this->asked_at = now; }
--- a/packages/decision/src/direct_path.cc
+++ b/packages/decision/src/direct_path.cc
@@ -109,8 +109,8 @@
 
 void DirectPath::OnRateLimit(TimePoint now,
                              UpstreamHandle upstream,
-                             const ToldRateLimit& told) {
-  if (told.word == RateLimitWord::kNamed) {
+                             const AdvertisedRateLimit& told) {
+  if (told.presence == RateLimitPresence::kNamed) {
     this->StateOf(upstream).rate_limited_until = now + kRateLimitTime;
   }
 }
--- a/packages/decision/src/direct_path.h
+++ b/packages/decision/src/direct_path.h
@@ -35,7 +35,7 @@
   /// What an answer on this way says of a rate limit.
   void OnRateLimit(TimePoint now,
                    UpstreamHandle upstream,
-                   const ToldRateLimit& told);
+                   const AdvertisedRateLimit& told);
 
  private:
   struct UpstreamState {
--- a/packages/decision/src/dispatcher_core.h
+++ b/packages/decision/src/dispatcher_core.h
@@ -8,7 +8,7 @@
 #include "basilsill/decision/dispatch.h"
 #include "dispatch_tables.h"
 #include "fair_queue.h"
-#include "rate_limit_memory.h"
+#include "rate_limit_cache.h"
 #include "shard_table.h"
 #include "upstream_choice.h"
 
@@ -42,7 +42,7 @@
                       UpstreamHandle upstream,
                       const LoadQueryReport& report) override;
   void OnRateLimitReport(TimePoint now, const RateLimitReport& report) override;
-  std::vector<RateLimitNews> TakeRateLimitUpdates(TimePoint now) override;
+  std::vector<RateLimitUpdate> TakeRateLimitUpdates(TimePoint now) override;
   void Cancel(TimePoint now, DispatchHandle request) override;
   void OnDrainSign(TimePoint now, UpstreamHandle upstream) override;
   void Tick(TimePoint now) override;
@@ -203,12 +203,12 @@
                        TimePoint asked_at,
                        ShardState& shard,
                        uint32_t place,
-                       const ToldRateLimit& told);
+                       const AdvertisedRateLimit& told);
   void RemoveRateLimit(TimePoint now, ShardState& shard, uint32_t place);
   void ApplyReceivedLimits(TimePoint now, ShardState& shard);
   uint32_t PlaceOfReported(const RateLimitReport& report) const;
   void AddUpdatesForOwners(const RateLimitReport& report,
-                           std::vector<RateLimitNews>& news) const;
+                           std::vector<RateLimitUpdate>& news) const;
   RateLimitReport ReportOf(const ShardState& shard, uint32_t place) const;
   void HoldForRate(TimePoint now, ShardState& shard, uint32_t request);
   void RefuseBeyondRate(TimePoint now, ShardState& shard);
@@ -238,7 +238,7 @@
   FairQueue queue;
   IndexedHeap<TimePoint> timers;  ///< Rows are those of requests.
   std::vector<uint32_t> active;   ///< Shards with queued or running requests.
-  RateLimitMemory received_limits;
+  RateLimitCache received_limits;
   std::vector<RateLimitReport> ended_limits;  ///< Not yet sent to other VMs.
   bool handing_back = false;
   pcg32 random;  ///< For jitter.
--- a/packages/decision/src/dispatcher_rate_limit.cc
+++ b/packages/decision/src/dispatcher_rate_limit.cc
@@ -44,8 +44,8 @@
                                      TimePoint asked_at,
                                      ShardState& shard,
                                      uint32_t place,
-                                     const ToldRateLimit& told) {
-  const bool is_named = told.word == RateLimitWord::kNamed;
+                                     const AdvertisedRateLimit& told) {
+  const bool is_named = told.presence == RateLimitPresence::kNamed;
   if (!this->options.features.rate_limits) {
     return;
   }
@@ -53,7 +53,7 @@
     return;
   }
   RateLimitedUpstream& limited = LimitOf(shard, place);
-  const RateLimitChange change = limited.quota.OnTold(now, asked_at, told);
+  const RateLimitChange change = limited.quota.Update(now, asked_at, told);
   limited.named_since_update |= is_named;
   const UpstreamSlots& upstream = shard.upstreams[place];
   if (change == RateLimitChange::kNamed) {
@@ -88,12 +88,12 @@
   }
   for (const uint32_t position : found.shard->upstreams) {
     const UpstreamRow& upstream = found.service->upstreams[position];
-    const std::optional<double> limit =
-        this->received_limits.Find(now, KeyOfStart(*found.service, upstream));
+    const std::optional<double> limit = this->received_limits.Find(
+        now, KeyOfIncarnation(*found.service, upstream));
     const uint32_t place = PlaceOf(shard, upstream.handle);
     if (limit && FindRateLimit(shard, place) == nullptr) {
       LimitOf(shard, place)
-          .quota.OnTold(now, now, {RateLimitWord::kNamed, *limit});
+          .quota.Update(now, now, {RateLimitPresence::kNamed, *limit});
     }
   }
   RecountSlots(now, shard);
@@ -113,8 +113,8 @@
   ShardState& shard = this->shards.at(row);
   if (report.named) {
     LimitOf(shard, place)
-        .quota.OnTold(now, now,
-                      {RateLimitWord::kNamed, report.requests_per_second});
+        .quota.Update(now, now,
+                      {RateLimitPresence::kNamed, report.requests_per_second});
     RecountSlots(now, shard);
   } else {
     this->RemoveRateLimit(now, shard, place);
@@ -130,7 +130,7 @@
   }
   for (const uint32_t position : found.shard->upstreams) {
     const UpstreamRow& upstream = found.service->upstreams[position];
-    if (KeyOfStart(*found.service, upstream) == report.upstream) {
+    if (KeyOfIncarnation(*found.service, upstream) == report.upstream) {
       return PlaceOf(this->shards.at(this->shards.Find(report.shard)),
                      upstream.handle);
     }
@@ -146,8 +146,9 @@
   return count;
 }
 
-std::vector<RateLimitNews> DispatcherCore::TakeRateLimitUpdates(TimePoint now) {
-  std::vector<RateLimitNews> news;
+std::vector<RateLimitUpdate> DispatcherCore::TakeRateLimitUpdates(
+    TimePoint now) {
+  std::vector<RateLimitUpdate> news;
   for (const RateLimitReport& report : std::exchange(this->ended_limits, {})) {
     this->AddUpdatesForOwners(report, news);
   }
@@ -173,7 +174,7 @@
 
 void DispatcherCore::AddUpdatesForOwners(
     const RateLimitReport& report,
-    std::vector<RateLimitNews>& news) const {
+    std::vector<RateLimitUpdate>& news) const {
   const ShardTable::InView found = this->shards.Locate(report.shard);
   if (found.shard == nullptr) {
     return;
@@ -196,7 +197,7 @@
           ? FindUpstream(*found.service, shard.upstreams[place].handle)
           : nullptr;
   if (upstream != nullptr) {
-    report.upstream = KeyOfStart(*found.service, *upstream);
+    report.upstream = KeyOfIncarnation(*found.service, *upstream);
   }
   return report;
 }
--- a/packages/decision/src/dispatcher_speed.cc
+++ b/packages/decision/src/dispatcher_speed.cc
@@ -262,11 +262,12 @@
     const auto place = static_cast<uint32_t>(found - shard.upstreams.begin());
     if (report.cold_for && !report.foreign &&
         place < shard.cold_quotas.size()) {
-      shard.cold_quotas[place].OnTold(now, *report.cold_for);
+      shard.cold_quotas[place].OnColdTimeReported(now, *report.cold_for);
     }
     // A health check without a rate limit does not mean that there is none:
     // answers to requests may still have it.
-    if (report.rate_limit.word == RateLimitWord::kNamed && !report.foreign) {
+    if (report.rate_limit.presence == RateLimitPresence::kNamed &&
+        !report.foreign) {
       this->RecordRateLimit(now, now, shard, place, report.rate_limit);
     }
     if (report.load.known) {
--- a/packages/decision/src/entry_core.h
+++ b/packages/decision/src/entry_core.h
@@ -66,7 +66,7 @@
   void OnDrainSign(TimePoint now, UpstreamHandle upstream) override;
   void OnRateLimit(TimePoint now,
                    UpstreamHandle upstream,
-                   const ToldRateLimit& told) override;
+                   const AdvertisedRateLimit& told) override;
   void Tick(TimePoint now) override;
   const EntryCounters& counters() const override;
 
--- a/packages/decision/src/entry_router.cc
+++ b/packages/decision/src/entry_router.cc
@@ -141,7 +141,7 @@
 
 void EntryCore::OnRateLimit(TimePoint now,
                             UpstreamHandle upstream,
-                            const ToldRateLimit& told) {
+                            const AdvertisedRateLimit& told) {
   this->direct.OnRateLimit(now, upstream, told);
 }
 
--- a/packages/decision/src/quota_borrower.cc
+++ b/packages/decision/src/quota_borrower.cc
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-QuotaDecision QuotaBorrower::Enter(LeaseTime now, TeamKey key) {
+QuotaDecision QuotaBorrower::Acquire(LeaseTime now, TeamKey key) {
   Team& team = this->teams[key];
   team.entered.Add(now, 1);
   if (team.waiting.empty() && TakeCredit(now, team)) {
--- a/packages/decision/src/quota_office.cc
+++ b/packages/decision/src/quota_coordinator.cc
@@ -1,4 +1,4 @@
-#include "basilsill/decision/quota_office.h"
+#include "basilsill/decision/quota_coordinator.h"
 
 #include <algorithm>
 #include <utility>
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-QuotaOffice::QuotaOffice(QuotaOfficeOptions given)
+QuotaCoordinator::QuotaCoordinator(QuotaCoordinatorOptions given)
     : options(std::move(given)),
       own_lease(this->options.vm, this->options.incarnation) {
   std::vector<std::string>& shares = this->options.shares;
@@ -41,7 +41,7 @@
   this->own_share = static_cast<uint16_t>(own - shares.begin());
 }
 
-void QuotaOffice::ApplyView(LeaseTime now, const RoutingView& view) {
+void QuotaCoordinator::ApplyView(LeaseTime now, const RoutingView& view) {
   this->self = view.self;
   // VMs that seem gone count as well: they may lend on, unseen.
   const size_t shares =
@@ -61,7 +61,7 @@
   }
 }
 
-void QuotaOffice::SetCandidates(const RoutingView& view) {
+void QuotaCoordinator::SetCandidates(const RoutingView& view) {
   std::vector<std::vector<VmHandle>> others;
   for (const std::string& name : this->options.shares) {
     std::vector<VmHandle> tellers;
@@ -82,11 +82,13 @@
   this->lender.SetOthers(others, std::move(siblings));
 }
 
-bool QuotaOffice::IsFirst() const {
+bool QuotaCoordinator::IsFirst() const {
   return !this->candidates.empty() && this->candidates.front() == this->self;
 }
 
-void QuotaOffice::Ask(LeaseTime now, uint16_t worker, QuotaRequest request) {
+void QuotaCoordinator::Ask(LeaseTime now,
+                           uint16_t worker,
+                           QuotaRequest request) {
   Asked& last = this->asked[worker];
   if (!last.answered) {
     this->choice.PassOver(last.vm);
@@ -102,17 +104,18 @@
     return;
   }
   request.number = NumberOf(worker, request.number);
-  this->lender.Send({{vm, 0}, std::move(request)});
+  this->lender.Enqueue({{vm, 0}, std::move(request)});
 }
 
-void QuotaOffice::Decline(uint16_t worker, uint64_t number) {
+void QuotaCoordinator::Decline(uint16_t worker, uint64_t number) {
   this->asked[worker].answered = true;
   QuotaAnswer answer;
   answer.number = number & kNumberMask;
-  this->lender.Send({{{}, worker}, answer});
+  this->lender.Enqueue({{{}, worker}, answer});
 }
 
-void QuotaOffice::OnUnsent(LeaseTime now, const QuotaSend& send) {
+void QuotaCoordinator::OnUnsent(LeaseTime now,
+                                const OutgoingQuotaMessage& send) {
   const auto* request = std::get_if<QuotaRequest>(&send.message);
   if (request == nullptr) {
     return;
@@ -123,17 +126,17 @@
 }
 
 // A VM may link before this one knows it; it can't be answered.
-void QuotaOffice::OnRequest(LeaseTime now,
-                            VmHandle from,
-                            const QuotaRequest& request) {
+void QuotaCoordinator::OnRequest(LeaseTime now,
+                                 VmHandle from,
+                                 const QuotaRequest& request) {
   if (IsValid(from)) {
     this->Lend(now, {from, 0}, request);
   }
 }
 
-void QuotaOffice::Lend(LeaseTime now,
-                       const QuotaAsker& from,
-                       const QuotaRequest& request) {
+void QuotaCoordinator::Lend(LeaseTime now,
+                            const QuotaRequester& from,
+                            const QuotaRequest& request) {
   if (this->HasShares()) {
     this->own_lease.OnNeeded(now, this->IsFirst());
     this->Sync(now);
@@ -145,9 +148,9 @@
   this->lender.OnRequest(now, from, request);
 }
 
-void QuotaOffice::OnAnswer(LeaseTime now,
-                           VmHandle from,
-                           const QuotaAnswer& answer) {
+void QuotaCoordinator::OnAnswer(LeaseTime now,
+                                VmHandle from,
+                                const QuotaAnswer& answer) {
   const uint64_t asker = answer.number >> kWorkerShift;
   if (asker == 0) {
     this->lender.OnAnswer(now, from, answer);
@@ -163,10 +166,10 @@
   if (!answer.lends) {
     this->choice.PassOver(from);
   }
-  this->lender.Send({{{}, worker}, std::move(own)});
+  this->lender.Enqueue({{{}, worker}, std::move(own)});
 }
 
-void QuotaOffice::Tick(LeaseTime now) {
+void QuotaCoordinator::Tick(LeaseTime now) {
   this->lender.Tick(now);
   if (this->HasShares()) {
     this->Sync(now);
@@ -174,7 +177,7 @@
 }
 
 // Lends exactly as long as the lease holds.
-void QuotaOffice::Sync(LeaseTime now) {
+void QuotaCoordinator::Sync(LeaseTime now) {
   const bool holds = this->own_lease.Holds(now);
   if (holds && !this->is_lending) {
     this->lender.Begin(now, PastOf(this->own_lease));
@@ -184,7 +187,7 @@
   this->is_lending = holds;
 }
 
-QuotaLeaseCall QuotaOffice::NextLeaseCall(LeaseTime now) {
+QuotaLeaseCall QuotaCoordinator::NextLeaseCall(LeaseTime now) {
   if (!this->HasShares()) {
     return QuotaLeaseCall::kNone;
   }
@@ -193,31 +196,32 @@
   return call;
 }
 
-void QuotaOffice::OnLeaseRead(LeaseTime now,
-                              const std::optional<QuotaLeaseRecord>& record,
-                              uint64_t end) {
+void QuotaCoordinator::OnLeaseRead(
+    LeaseTime now,
+    const std::optional<QuotaLeaseRecord>& record,
+    uint64_t end) {
   this->own_lease.OnRead(now, record, end);
 }
 
-void QuotaOffice::OnLeaseWritten(LeaseTime now, uint64_t end) {
+void QuotaCoordinator::OnLeaseWritten(LeaseTime now, uint64_t end) {
   this->own_lease.OnWritten(now, end);
   this->Sync(now);
 }
 
 // Another candidate has to see the record for a whole term before it may lend,
 // so it begins to look at the first sign that this one will not renew it.
-void QuotaOffice::OnLeaseFailed(LeaseTime now) {
+void QuotaCoordinator::OnLeaseFailed(LeaseTime now) {
   this->own_lease.OnFailed(now);
   for (const VmHandle vm : this->candidates) {
     if (vm != this->self) {
       QuotaRequest need;
       need.of_lender = true;
-      this->lender.Send({{vm, 0}, std::move(need)});
+      this->lender.Enqueue({{vm, 0}, std::move(need)});
     }
   }
 }
 
-void QuotaOffice::Leave(LeaseTime now) {
+void QuotaCoordinator::Leave(LeaseTime now) {
   this->own_lease.GiveUp();
   this->Sync(now);
 }
--- a/packages/decision/src/quota_lender.cc
+++ b/packages/decision/src/quota_lender.cc
@@ -60,7 +60,7 @@
 // another VM may lend the share, though the other shares are lent. So one that
 // does not lend asks those that do.
 void QuotaLender::OnRequest(LeaseTime now,
-                            const QuotaAsker& from,
+                            const QuotaRequester& from,
                             const QuotaRequest& request) {
   QuotaAnswer answer;
   answer.number = request.number;
@@ -247,7 +247,7 @@
                 [now](const auto& entry) { return now >= entry.second; });
 }
 
-std::vector<QuotaSend> QuotaLender::TakeSends() {
+std::vector<OutgoingQuotaMessage> QuotaLender::TakeOutgoing() {
   return std::exchange(this->sends, {});
 }
 
--- a/packages/decision/src/rate_limit_memory.cc
+++ b/packages/decision/src/rate_limit_cache.cc
@@ -1,4 +1,4 @@
-#include "rate_limit_memory.h"
+#include "rate_limit_cache.h"
 
 #include <algorithm>
 
@@ -15,7 +15,8 @@
 
 }  // namespace
 
-uint64_t KeyOfStart(const ServiceRow& service, const UpstreamRow& upstream) {
+uint64_t KeyOfIncarnation(const ServiceRow& service,
+                          const UpstreamRow& upstream) {
   const UpstreamIncarnation start = IncarnationOf(service, upstream);
   const uint64_t seed =
       KeyOf(upstream.endpoint) + static_cast<uint64_t>(start.started.count());
@@ -24,10 +25,10 @@
 
 RateLimitReport MakeRateLimitReport(const ServiceRow& service,
                                     const UpstreamRow& upstream,
-                                    const ToldRateLimit& told) {
+                                    const AdvertisedRateLimit& told) {
   RateLimitReport report;
-  report.upstream = KeyOfStart(service, upstream);
-  report.named = told.word == RateLimitWord::kNamed;
+  report.upstream = KeyOfIncarnation(service, upstream);
+  report.named = told.presence == RateLimitPresence::kNamed;
   report.requests_per_second = told.requests_per_second;
   const auto position =
       static_cast<uint32_t>(&upstream - service.upstreams.data());
@@ -40,7 +41,7 @@
   return report;
 }
 
-void RateLimitMemory::OnReport(TimePoint now, const RateLimitReport& report) {
+void RateLimitCache::OnReport(TimePoint now, const RateLimitReport& report) {
   if (!report.named) {
     this->rows.erase(report.upstream);
     return;
@@ -49,8 +50,8 @@
   this->rows[report.upstream] = {report.requests_per_second, now};
 }
 
-std::optional<double> RateLimitMemory::Find(TimePoint now,
-                                            uint64_t upstream) const {
+std::optional<double> RateLimitCache::Find(TimePoint now,
+                                           uint64_t upstream) const {
   const auto found = this->rows.find(upstream);
   if (found == this->rows.end() || now - found->second.heard_at > kKeptFor) {
     return std::nullopt;
@@ -58,7 +59,7 @@
   return found->second.requests_per_second;
 }
 
-void RateLimitMemory::MakeRoom(TimePoint now) {
+void RateLimitCache::MakeRoom(TimePoint now) {
   if (this->rows.size() < limits::kMaxRateLimitReports) {
     return;
   }
--- a/packages/decision/src/rate_limit_memory.h
+++ b/packages/decision/src/rate_limit_cache.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_DECISION_SRC_RATE_LIMIT_MEMORY_H_
-#define BASILSILL_DECISION_SRC_RATE_LIMIT_MEMORY_H_
+#ifndef BASILSILL_DECISION_SRC_RATE_LIMIT_CACHE_H_
+#define BASILSILL_DECISION_SRC_RATE_LIMIT_CACHE_H_
 
 #include <cstdint>
 #include <optional>
@@ -16,9 +16,10 @@
 
 /// @returns the name of this start of `upstream`, a row of `service`, on every
 /// VM.
-uint64_t KeyOfStart(const ServiceRow& service, const UpstreamRow& upstream);
+uint64_t KeyOfIncarnation(const ServiceRow& service,
+                          const UpstreamRow& upstream);
 
-class RateLimitMemory {
+class RateLimitCache {
  public:
   void OnReport(TimePoint now, const RateLimitReport& report);
 
@@ -43,4 +44,4 @@
 
 }  // namespace basilsill
 
-#endif  // BASILSILL_DECISION_SRC_RATE_LIMIT_MEMORY_H_
+#endif  // BASILSILL_DECISION_SRC_RATE_LIMIT_CACHE_H_
--- a/packages/decision/src/rate_limit_quota.cc
+++ b/packages/decision/src/rate_limit_quota.cc
@@ -20,15 +20,15 @@
 
 }  // namespace
 
-RateLimitChange RateLimitQuota::OnTold(TimePoint now,
+RateLimitChange RateLimitQuota::Update(TimePoint now,
                                        TimePoint asked_at,
-                                       const ToldRateLimit& told) {
-  if (told.word == RateLimitWord::kNone && this->named &&
+                                       const AdvertisedRateLimit& told) {
+  if (told.presence == RateLimitPresence::kNone && this->named &&
       asked_at > this->named_at) {
     this->named = false;
     return RateLimitChange::kEnded;
   }
-  if (told.word != RateLimitWord::kNamed) {
+  if (told.presence != RateLimitPresence::kNamed) {
     return RateLimitChange::kNone;
   }
   const bool is_new = !this->named;
@@ -64,7 +64,7 @@
   this->sent_at = now;
 }
 
-bool RateLimitQuota::IsUnheard(TimePoint now) const {
+bool RateLimitQuota::IsStale(TimePoint now) const {
   return now - this->sent_at >= kUnheardAfter;
 }
 
--- a/packages/decision/src/rate_limit_quota.h
+++ b/packages/decision/src/rate_limit_quota.h
@@ -22,9 +22,9 @@
   /// An answer came.
   /// @param asked_at When what it answers was sent. One that was sent before
   /// the limit was named does not end it.
-  RateLimitChange OnTold(TimePoint now,
+  RateLimitChange Update(TimePoint now,
                          TimePoint asked_at,
-                         const ToldRateLimit& told);
+                         const AdvertisedRateLimit& told);
 
   /// @param share Of the limit, that this VM may use.
   bool MayStart(TimePoint now, double share) const;
@@ -37,7 +37,7 @@
 
   /// @returns true if nothing was sent there for so long that the limit may
   /// have ended without anybody noticing.
-  bool IsUnheard(TimePoint now) const;
+  bool IsStale(TimePoint now) const;
 
   /// @returns requests a second that this VM may send with `share`. Never
   /// quite none: an upstream that gets nothing can't say that it takes more.
--- a/packages/decision/src/upstream_choice.cc
+++ b/packages/decision/src/upstream_choice.cc
@@ -96,7 +96,7 @@
 bool SparesRate(TimePoint now, const ShardState& shard, uint32_t place) {
   const RateLimitQuota* quota = FindRateLimit(shard, place);
   return quota != nullptr && IsRateScarce(now, shard, place) &&
-         !quota->IsUnheard(now);
+         !quota->IsStale(now);
 }
 
 // @returns the cost of the upstream, which must have a free slot.
--- a/packages/decision/test/cold_quota_test.cc
+++ b/packages/decision/test/cold_quota_test.cc
@@ -74,16 +74,16 @@
   this->quota.SetShare(5);
   this->SendAll();
   CHECK(this->quota.IsWorthAsking(this->now));
-  this->quota.OnTold(this->now, 0ms);
+  this->quota.OnColdTimeReported(this->now, 0ms);
   CHECK_EQUAL(5, this->SendAll());
 }
 
 // It became cold without a new start. What it got a moment ago counts.
 TEST(ColdQuota, Start_SaysThatItIsCold_NothingMoreThisSecond) {
   this->quota.SetShare(5);
-  this->quota.OnTold(this->now, 0ms);
+  this->quota.OnColdTimeReported(this->now, 0ms);
   this->SendAll();
-  this->quota.OnTold(this->now, 3s);
+  this->quota.OnColdTimeReported(this->now, 3s);
   CHECK_EQUAL(0, this->SendAll());
   CHECK_FALSE(this->quota.IsWorthAsking(this->now + 2s));
   CHECK(this->quota.IsWorthAsking(this->now + 3s) ||
@@ -130,12 +130,12 @@
 /// An upstream with many slots and short work, cold from time to time, and
 /// whoever dispatches for it. Questions are answered after a moment; some get
 /// no answer.
-class ColdWorld {
+class ColdUpstreamSimulation {
  public:
   static constexpr uint32_t kVms = 3;
   static constexpr uint16_t kSlots = 16;
 
-  explicit ColdWorld(uint64_t seed) : random(seed) {
+  explicit ColdUpstreamSimulation(uint64_t seed) : random(seed) {
     for (uint32_t i = 0; i < kVms; ++i) {
       this->vms.push_back(this->MakeVm());
     }
@@ -309,7 +309,7 @@
 TEST(ColdUpstream, RandomHistory_ColdAtAnyMoment_NeverAboveTheBound) {
   size_t sent = 0;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    ColdWorld world(seed);
+    ColdUpstreamSimulation world(seed);
     world.Run(20s);
     CHECK_TEXT(world.worst() <= kBound, std::to_string(seed).c_str());
     sent += world.sent();
--- a/packages/decision/test/configuration_freshness_test.cc
+++ b/packages/decision/test/configuration_freshness_test.cc
@@ -81,9 +81,9 @@
 
 /// VMs with clocks of their own that read a store whose state changes all the
 /// time, and tell each other, over links on which messages take any time.
-class FreshnessWorld {
+class FreshnessSimulation {
  public:
-  explicit FreshnessWorld(uint64_t seed) : random(seed) {
+  explicit FreshnessSimulation(uint64_t seed) : random(seed) {
     for (uint32_t i = 0; i < kVms; ++i) {
       Vm vm{ConfigurationFreshness(random()), {}, {}};
       vm.clock = std::chrono::seconds(1 + random() % 100000);
@@ -227,7 +227,7 @@
 // A VM goes by a key that was taken away since it takes old news for new ones.
 TEST(ConfigurationFreshness, Histories_AnyDelaysAndClocks_NeverClaimTooMuch) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
-    FreshnessWorld world(seed);
+    FreshnessSimulation world(seed);
     for (int i = 0; i < 600; ++i) {
       world.Step();
       CHECK_TRUE(world.IsTruthful());
--- a/packages/decision/test/entry_test.cc
+++ b/packages/decision/test/entry_test.cc
@@ -13,7 +13,7 @@
 using basilsill::EntryOptions;
 using basilsill::EntryRequest;
 using basilsill::EntryRouter;
-using basilsill::RateLimitWord;
+using basilsill::RateLimitPresence;
 using basilsill::Refusal;
 using basilsill::Retry;
 using basilsill::RetryDecision;
@@ -210,7 +210,7 @@
 // Any number of VMs may send past the dispatchers: each would have the limit.
 TEST(Entry, OnRateLimit_DirectPath_UpstreamGetsNoMoreForAMinute) {
   this->LoseAllVms();
-  this->router->OnRateLimit(this->now, {0, 0}, {RateLimitWord::kNamed, 50});
+  this->router->OnRateLimit(this->now, {0, 0}, {RateLimitPresence::kNamed, 50});
   for (int i = 0; i < 20; ++i) {
     CHECK(UpstreamHandle(0, 0) != this->Choose(this->Admit()).upstream);
   }
--- a/packages/decision/test/quota_history_test.cc
+++ b/packages/decision/test/quota_history_test.cc
@@ -3,13 +3,13 @@
 
 #include <pcg_random.hpp>
 
-#include "quota_world.h"
+#include "quota_simulation.h"
 
 #include <CppUTest/TestHarness.h>
 
 using basilsill::Duration;
-using basilsill::QuotaWorld;
-using basilsill::QuotaWorldOptions;
+using basilsill::QuotaSimulation;
+using basilsill::QuotaSimulationOptions;
 using basilsill::TeamLimits;
 using namespace std::chrono_literals;
 
@@ -37,7 +37,7 @@
   return asked * (1 + kOver) + kSlack;
 }
 
-double UsedPart(const QuotaWorld& world,
+double UsedPart(const QuotaSimulation& world,
                 const TeamLimits& limits,
                 Duration from,
                 Duration to) {
@@ -56,7 +56,7 @@
   return chosen;
 }
 
-void Trouble(pcg64& random, QuotaWorld& world) {
+void Trouble(pcg64& random, QuotaSimulation& world) {
   const size_t vm = random() % world.CountVms();
   const auto length = std::chrono::milliseconds(200 + random() % 6000);
   switch (random() % 8) {
@@ -96,10 +96,10 @@
 TEST(QuotaHistory, AnyTrouble_DemandFarBeyond_StaysWithinTheBound) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     pcg64 random(seed);
-    QuotaWorldOptions options;
+    QuotaSimulationOptions options;
     options.seed = seed;
     options.teams = {Quota(100, 0), Quota(3, 3)};
-    QuotaWorld world(options);
+    QuotaSimulation world(options);
     world.Load(0, world.AllVms(), 300);
     world.Load(1, world.AllVms(), 12);
     for (int i = 0; i < 10; ++i) {
@@ -115,19 +115,19 @@
 }
 
 TEST(QuotaHistory, AllCallersAtOneVm_DemandBeyond_UsesNearlyAll) {
-  QuotaWorldOptions options;
+  QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
-  QuotaWorld world(options);
+  QuotaSimulation world(options);
   world.Load(0, {5}, 180);
   world.Run(32s);
   CHECK_COMPARE(UsedPart(world, options.teams[0], 2s, 32s), >=, 0.95);
 }
 
 TEST(QuotaHistory, CallersEverywhere_DemandBeyond_UsesNearlyAll) {
-  QuotaWorldOptions options;
+  QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
   options.vms_each = 12;
-  QuotaWorld world(options);
+  QuotaSimulation world(options);
   world.Load(0, world.AllVms(), 240);
   world.Run(32s);
   CHECK_COMPARE(UsedPart(world, options.teams[0], 2s, 32s), >=, 0.95);
@@ -136,9 +136,9 @@
 // A data centre is cut off from the others and from the store, and its share
 // lies idle.
 TEST(QuotaHistory, AThirdCutOff_DemandBeyond_TheRestUsesItsShares) {
-  QuotaWorldOptions options;
+  QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
-  QuotaWorld world(options);
+  QuotaSimulation world(options);
   world.Load(0, world.AllVms(), 240);
   world.Run(5s);
   world.Cut(world.VmsOf(1), 20s);
@@ -150,10 +150,10 @@
 // A team of few requests is refused since each entry VM has a part of its quota
 // that is less than one.
 TEST(QuotaHistory, SmallTeamWithinItsQuota_ManyVms_IsHardlyRefused) {
-  QuotaWorldOptions options;
+  QuotaSimulationOptions options;
   options.teams = {Quota(3, 3)};
   options.vms_each = 30;
-  QuotaWorld world(options);
+  QuotaSimulation world(options);
   world.Load(0, world.AllVms(), 2);
   world.Run(120s);
   CHECK_COMPARE(static_cast<double>(world.CountRefused(0)), <=,
@@ -162,10 +162,10 @@
 
 // The way without leases: a team at one VM has that VM's part alone.
 TEST(QuotaHistory, WithoutLeases_CallersAtOneVm_UsesThePartOfThatVm) {
-  QuotaWorldOptions options;
+  QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
   options.has_leases = false;
-  QuotaWorld world(options);
+  QuotaSimulation world(options);
   world.Load(0, {5}, 180);
   world.Run(32s);
   const double part = 1.0 / static_cast<double>(world.CountVms());
@@ -175,10 +175,10 @@
 }
 
 TEST(QuotaHistory, WithoutLeases_DemandEverywhere_StaysWithinTheBound) {
-  QuotaWorldOptions options;
+  QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
   options.has_leases = false;
-  QuotaWorld world(options);
+  QuotaSimulation world(options);
   world.Load(0, world.AllVms(), 240);
   world.Run(20s);
   CHECK_TRUE(static_cast<double>(world.MostIn(0, kWindow)) <=
@@ -188,9 +188,9 @@
 // The lender of a data centre dies: its share is back within the lease's term,
 // and the others' are lent all the while.
 TEST(QuotaHistory, LenderDies_DemandWithinTwoThirds_IsServedOn) {
-  QuotaWorldOptions options;
+  QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
-  QuotaWorld world(options);
+  QuotaSimulation world(options);
   world.Load(0, world.VmsOf(1), 35);
   world.Run(5s);
   const size_t before = world.CountRefused(0);
@@ -206,9 +206,9 @@
 // are refused all requests of teams with a quota, for as long as it takes
 // another to lend there.
 TEST(QuotaHistory, StoreRefusesTwoLenders_DemandWithinTheQuota_ServedOn) {
-  QuotaWorldOptions options;
+  QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
-  QuotaWorld world(options);
+  QuotaSimulation world(options);
   world.Load(0, world.AllVms(), 36);
   world.Run(5s);
   std::vector<size_t> lenders = world.Lenders();
@@ -225,10 +225,10 @@
 // Leases cost the store the same however many VMs and requests there are.
 TEST(QuotaHistory, StoreCalls_TenTimesTheVms_AreTheSame) {
   const auto calls = [](size_t vms_each, double per_second) {
-    QuotaWorldOptions options;
+    QuotaSimulationOptions options;
     options.teams = {Quota(60, 60)};
     options.vms_each = vms_each;
-    QuotaWorld world(options);
+    QuotaSimulation world(options);
     world.Load(0, world.AllVms(), per_second);
     world.Run(20s);
     return static_cast<double>(world.store_calls());
--- a/packages/decision/test/quota_world.cc
+++ b/packages/decision/test/quota_simulation.cc
@@ -1,4 +1,4 @@
-#include "quota_world.h"
+#include "quota_simulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-QuotaWorld::QuotaWorld(const QuotaWorldOptions& given)
+QuotaSimulation::QuotaSimulation(const QuotaSimulationOptions& given)
     : options(given),
       random(given.seed),
       shares(given.data_centres),
@@ -47,15 +47,15 @@
   this->ApplyViews();
 }
 
-void QuotaWorld::At(Duration at, std::function<void()> run) {
+void QuotaSimulation::At(Duration at, std::function<void()> run) {
   this->events.push({at, ++this->last_event, std::move(run)});
 }
 
-void QuotaWorld::After(Duration delay, std::function<void()> run) {
+void QuotaSimulation::After(Duration delay, std::function<void()> run) {
   this->At(this->time + delay, std::move(run));
 }
 
-void QuotaWorld::Run(Duration length) {
+void QuotaSimulation::Run(Duration length) {
   const Duration end = this->time + length;
   while (!this->events.empty() && this->events.top().at <= end) {
     const Event event = this->events.top();
@@ -66,19 +66,19 @@
   this->time = end;
 }
 
-LeaseTime QuotaWorld::ClockOf(const Vm& vm) const {
+LeaseTime QuotaSimulation::ClockOf(const Vm& vm) const {
   const auto passed = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(this->time) * vm.speed);
   return LeaseTime(vm.clock + passed);
 }
 
-Duration QuotaWorld::Hop() {
+Duration QuotaSimulation::Hop() {
   return microseconds(300 + this->random() % 2000);
 }
 
-void QuotaWorld::OnVm(size_t index,
-                      uint64_t process,
-                      std::function<void()> run) {
+void QuotaSimulation::OnVm(size_t index,
+                           uint64_t process,
+                           std::function<void()> run) {
   Vm& vm = this->vms[index];
   if (!vm.alive || vm.process != process) {
     return;
@@ -90,13 +90,13 @@
   run();
 }
 
-void QuotaWorld::Start(size_t index) {
+void QuotaSimulation::Start(size_t index) {
   Vm& vm = this->vms[index];
   vm.alive = true;
   vm.process = ++this->processes;
   vm.held.clear();
   vm.waiting.clear();
-  QuotaOfficeOptions office;
+  QuotaCoordinatorOptions office;
   office.vm = vm.name;
   office.incarnation = vm.process;
   office.data_centre = "dc-" + std::to_string(vm.data_centre);
@@ -108,7 +108,7 @@
   this->Tick(index, vm.process);
 }
 
-RoutingView QuotaWorld::ViewOf(size_t self) const {
+RoutingView QuotaSimulation::ViewOf(size_t self) const {
   RoutingView view;
   view.self = {static_cast<uint32_t>(self), 0};
   for (uint32_t i = 0; i < this->shares.size(); ++i) {
@@ -132,7 +132,7 @@
   return view;
 }
 
-void QuotaWorld::ApplyViews() {
+void QuotaSimulation::ApplyViews() {
   for (size_t i = 0; i < this->vms.size(); ++i) {
     const uint64_t process = this->vms[i].process;
     this->OnVm(i, process, [this, i] {
@@ -143,7 +143,7 @@
   }
 }
 
-void QuotaWorld::Tick(size_t index, uint64_t process) {
+void QuotaSimulation::Tick(size_t index, uint64_t process) {
   this->OnVm(index, process, [this, index, process] {
     Vm& vm = this->vms[index];
     const LeaseTime now = this->ClockOf(vm);
@@ -154,7 +154,7 @@
   });
 }
 
-void QuotaWorld::Pump(size_t index) {
+void QuotaSimulation::Pump(size_t index) {
   Vm& vm = this->vms[index];
   const LeaseTime now = this->ClockOf(vm);
   for (const QuotaDecision& decision : vm.borrower->TakeSettled()) {
@@ -170,15 +170,15 @@
     vm.office->Ask(now, 0, *std::move(request));
   }
   this->CallStore(index, vm.office->NextLeaseCall(now));
-  for (std::vector<QuotaSend> sends = vm.office->TakeSends(); !sends.empty();
-       sends = vm.office->TakeSends()) {
-    for (const QuotaSend& send : sends) {
+  for (std::vector<OutgoingQuotaMessage> sends = vm.office->TakeOutgoing();
+       !sends.empty(); sends = vm.office->TakeOutgoing()) {
+    for (const OutgoingQuotaMessage& send : sends) {
       this->Deliver(index, send);
     }
   }
 }
 
-void QuotaWorld::Deliver(size_t from, const QuotaSend& send) {
+void QuotaSimulation::Deliver(size_t from, const OutgoingQuotaMessage& send) {
   Vm& sender = this->vms[from];
   if (!IsValid(send.to.vm)) {
     const auto* answer = std::get_if<QuotaAnswer>(&send.message);
@@ -215,7 +215,7 @@
   });
 }
 
-void QuotaWorld::CallStore(size_t index, QuotaLeaseCall call) {
+void QuotaSimulation::CallStore(size_t index, QuotaLeaseCall call) {
   if (call == QuotaLeaseCall::kNone) {
     return;
   }
@@ -245,8 +245,8 @@
   });
 }
 
-void QuotaWorld::WriteLease(size_t index, uint64_t process) {
-  const QuotaOffice& office = *this->vms[index].office;
+void QuotaSimulation::WriteLease(size_t index, uint64_t process) {
+  const QuotaCoordinator& office = *this->vms[index].office;
   const uint16_t number = office.share();
   const uint64_t end = office.lease().end();
   const QuotaLeaseRecord record = office.lease().record();
@@ -284,11 +284,13 @@
   }
 }
 
-void QuotaWorld::Load(size_t team, std::vector<size_t> at, double per_second) {
+void QuotaSimulation::Load(size_t team,
+                           std::vector<size_t> at,
+                           double per_second) {
   this->Arrive({team, std::move(at), per_second});
 }
 
-void QuotaWorld::Arrive(const Source& source) {
+void QuotaSimulation::Arrive(const Source& source) {
   const double wait = -std::log(1 - Uniform(this->random)) / source.per_second;
   const auto pause =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait));
@@ -298,7 +300,7 @@
     ++this->sent[source.team];
     this->OnVm(index, this->vms[index].process, [this, index, source] {
       Vm& vm = this->vms[index];
-      const QuotaDecision decision = vm.borrower->Enter(
+      const QuotaDecision decision = vm.borrower->Acquire(
           this->ClockOf(vm), MakeTeamKey(TeamName(source.team)));
       if (decision.verdict == QuotaVerdict::kGranted) {
         this->Admit(index, source.team);
@@ -312,18 +314,18 @@
   });
 }
 
-void QuotaWorld::Admit(size_t, size_t team) {
+void QuotaSimulation::Admit(size_t, size_t team) {
   this->admitted[team].push_back(this->time);
 }
 
-void QuotaWorld::Kill(size_t index, Duration down) {
+void QuotaSimulation::Kill(size_t index, Duration down) {
   this->vms[index].alive = false;
   this->After(down, [this, index] { this->Start(index); });
   this->After(kNoticed, [this] { this->ApplyViews(); });
   this->After(down + kNoticed, [this] { this->ApplyViews(); });
 }
 
-void QuotaWorld::Freeze(size_t index, Duration length) {
+void QuotaSimulation::Freeze(size_t index, Duration length) {
   Vm& vm = this->vms[index];
   vm.frozen_until = std::max(vm.frozen_until, this->time + length);
   this->After(length + microseconds(1), [this, index] {
@@ -339,7 +341,7 @@
   this->After(length + kNoticed, [this] { this->ApplyViews(); });
 }
 
-void QuotaWorld::Cut(const std::vector<size_t>& apart, Duration length) {
+void QuotaSimulation::Cut(const std::vector<size_t>& apart, Duration length) {
   for (const size_t vm : apart) {
     this->vms[vm].side = 1;
   }
@@ -352,7 +354,8 @@
   this->After(length + kNoticed, [this] { this->ApplyViews(); });
 }
 
-void QuotaWorld::CutStore(const std::vector<size_t>& apart, Duration length) {
+void QuotaSimulation::CutStore(const std::vector<size_t>& apart,
+                               Duration length) {
   for (const size_t vm : apart) {
     this->vms[vm].store_cut = true;
   }
@@ -363,12 +366,12 @@
   });
 }
 
-void QuotaWorld::LoseAnswers(Duration length) {
+void QuotaSimulation::LoseAnswers(Duration length) {
   this->loses_answers = true;
   this->After(length, [this] { this->loses_answers = false; });
 }
 
-std::vector<size_t> QuotaWorld::AllVms() const {
+std::vector<size_t> QuotaSimulation::AllVms() const {
   std::vector<size_t> all(this->vms.size());
   for (size_t i = 0; i < all.size(); ++i) {
     all[i] = i;
@@ -376,7 +379,7 @@
   return all;
 }
 
-std::vector<size_t> QuotaWorld::VmsOf(size_t data_centre) const {
+std::vector<size_t> QuotaSimulation::VmsOf(size_t data_centre) const {
   std::vector<size_t> found;
   for (size_t i = 0; i < this->vms.size(); ++i) {
     if (this->vms[i].data_centre == data_centre) {
@@ -386,7 +389,7 @@
   return found;
 }
 
-std::vector<size_t> QuotaWorld::Lenders() const {
+std::vector<size_t> QuotaSimulation::Lenders() const {
   std::vector<size_t> found;
   for (size_t i = 0; i < this->vms.size(); ++i) {
     if (this->vms[i].office->lends()) {
@@ -396,16 +399,16 @@
   return found;
 }
 
-size_t QuotaWorld::CountAdmitted(size_t team,
-                                 Duration from,
-                                 Duration to) const {
+size_t QuotaSimulation::CountAdmitted(size_t team,
+                                      Duration from,
+                                      Duration to) const {
   const std::vector<Duration>& times = this->admitted[team];
   const auto first = std::lower_bound(times.begin(), times.end(), from);
   const auto last = std::lower_bound(times.begin(), times.end(), to);
   return static_cast<size_t>(last - first);
 }
 
-size_t QuotaWorld::MostIn(size_t team, Duration window) const {
+size_t QuotaSimulation::MostIn(size_t team, Duration window) const {
   const std::vector<Duration>& times = this->admitted[team];
   size_t most = 0;
   size_t first = 0;
--- a/packages/decision/test/quota_world.h
+++ b/packages/decision/test/quota_simulation.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_DECISION_TEST_QUOTA_WORLD_H_
-#define BASILSILL_DECISION_TEST_QUOTA_WORLD_H_
+#ifndef BASILSILL_DECISION_TEST_QUOTA_SIMULATION_H_
+#define BASILSILL_DECISION_TEST_QUOTA_SIMULATION_H_
 
 #include <cstdint>
 #include <deque>
@@ -13,7 +13,7 @@
 #include <pcg_random.hpp>
 
 #include "basilsill/decision/quota_borrower.h"
-#include "basilsill/decision/quota_office.h"
+#include "basilsill/decision/quota_coordinator.h"
 
 /// Quotas of a fleet in virtual time: the decision code of every VM, messages
 /// between them, and a store that keeps the leases. VMs have clocks of their
@@ -21,7 +21,7 @@
 
 namespace basilsill {
 
-struct QuotaWorldOptions {
+struct QuotaSimulationOptions {
   uint64_t seed = 1;
   size_t data_centres = 3;
   size_t vms_each = 4;
@@ -29,9 +29,9 @@
   std::vector<TeamLimits> teams;
 };
 
-class QuotaWorld {
+class QuotaSimulation {
  public:
-  explicit QuotaWorld(const QuotaWorldOptions& options);
+  explicit QuotaSimulation(const QuotaSimulationOptions& options);
 
   /// Sends requests of `team` to random ones of `vms` from now on.
   void Load(size_t team, std::vector<size_t> vms, double per_second);
@@ -73,7 +73,7 @@
     bool store_cut = false;
     int side = 0;  ///< VMs of two sides don't hear each other.
     std::vector<std::function<void()>> held;  ///< Until it wakes.
-    std::optional<QuotaOffice> office;
+    std::optional<QuotaCoordinator> office;
     std::optional<QuotaBorrower> borrower;
     std::map<uint64_t, size_t> waiting;  ///< Team, by ticket.
   };
@@ -111,13 +111,13 @@
   RoutingView ViewOf(size_t vm) const;
   void Tick(size_t vm, uint64_t process);
   void Pump(size_t vm);
-  void Deliver(size_t from, const QuotaSend& send);
+  void Deliver(size_t from, const OutgoingQuotaMessage& send);
   void CallStore(size_t vm, QuotaLeaseCall call);
   void WriteLease(size_t vm, uint64_t process);
   void Arrive(const Source& source);
   void Admit(size_t vm, size_t team);
 
-  QuotaWorldOptions options;
+  QuotaSimulationOptions options;
   pcg64 random;
   Duration time{0};
   uint64_t last_event = 0;
@@ -135,4 +135,4 @@
 
 }  // namespace basilsill
 
-#endif  // BASILSILL_DECISION_TEST_QUOTA_WORLD_H_
+#endif  // BASILSILL_DECISION_TEST_QUOTA_SIMULATION_H_
--- a/packages/decision/test/quota_test.cc
+++ b/packages/decision/test/quota_test.cc
@@ -106,7 +106,7 @@
 };
 
 TEST(QuotaBorrower, Enter_NoCredit_AsksAndGoesOn) {
-  const QuotaDecision first = this->borrower.Enter(this->now, kTeam);
+  const QuotaDecision first = this->borrower.Acquire(this->now, kTeam);
   CHECK(first.verdict == QuotaVerdict::kWait);
   const auto request = this->borrower.NextRequest(this->now);
   CHECK(request.has_value());
@@ -115,35 +115,36 @@
   const auto settled = this->borrower.TakeSettled();
   CHECK_EQUAL(1, settled.size());
   CHECK(settled.front().verdict == QuotaVerdict::kGranted);
-  CHECK(this->borrower.Enter(this->now, kTeam).verdict ==
+  CHECK(this->borrower.Acquire(this->now, kTeam).verdict ==
         QuotaVerdict::kGranted);
 }
 
 TEST(QuotaBorrower, Enter_CreditIsOld_AsksAgain) {
-  this->borrower.Enter(this->now, kTeam);
+  this->borrower.Acquire(this->now, kTeam);
   const auto request = this->borrower.NextRequest(this->now);
   this->borrower.OnAnswer(this->now + 5ms, this->Grant(*request, 3));
   this->now += kCreditLife;
-  CHECK(this->borrower.Enter(this->now, kTeam).verdict == QuotaVerdict::kWait);
+  CHECK(this->borrower.Acquire(this->now, kTeam).verdict ==
+        QuotaVerdict::kWait);
 }
 
 TEST(QuotaBorrower, OnAnswer_TooFew_TheOthersAreToldWhen) {
-  this->borrower.Enter(this->now, kTeam);
-  this->borrower.Enter(this->now, kTeam);
+  this->borrower.Acquire(this->now, kTeam);
+  this->borrower.Acquire(this->now, kTeam);
   const auto request = this->borrower.NextRequest(this->now);
   this->borrower.OnAnswer(this->now, this->Grant(*request, 1, 200ms));
   const auto settled = this->borrower.TakeSettled();
   CHECK(settled[0].verdict == QuotaVerdict::kGranted);
   CHECK(settled[1].verdict == QuotaVerdict::kExhausted);
   CHECK(settled[1].retry_after >= 200ms);
-  const QuotaDecision later = this->borrower.Enter(this->now, kTeam);
+  const QuotaDecision later = this->borrower.Acquire(this->now, kTeam);
   CHECK(later.verdict == QuotaVerdict::kExhausted);
   CHECK(later.retry_after > settled[1].retry_after);
 }
 
 // A lender that grants too few and does not say when to come back.
 TEST(QuotaBorrower, OnAnswer_NothingAndNoTime_NotAskedAgainAtOnce) {
-  this->borrower.Enter(this->now, kTeam);
+  this->borrower.Acquire(this->now, kTeam);
   const auto request = this->borrower.NextRequest(this->now);
   this->borrower.OnAnswer(this->now, this->Grant(*request, 0));
   CHECK_FALSE(this->borrower.NextRequest(this->now).has_value());
@@ -151,7 +152,7 @@
 }
 
 TEST(QuotaBorrower, NobodyLends_RequestIsToldSoSoon) {
-  this->borrower.Enter(this->now, kTeam);
+  this->borrower.Acquire(this->now, kTeam);
   for (int i = 0; i < 40; ++i) {
     if (const auto request = this->borrower.NextRequest(this->now)) {
       this->borrower.OnAnswer(this->now, {request->number, false, 0, {}});
@@ -165,7 +166,7 @@
 }
 
 TEST(QuotaBorrower, Return_WhileTheCreditLives_GoesBack) {
-  this->borrower.Enter(this->now, kTeam);
+  this->borrower.Acquire(this->now, kTeam);
   const auto request = this->borrower.NextRequest(this->now);
   this->borrower.OnAnswer(this->now, this->Grant(*request, 1));
   const auto settled = this->borrower.TakeSettled();
@@ -177,7 +178,7 @@
 }
 
 TEST(QuotaBorrower, Return_CreditIsVoid_IsLost) {
-  this->borrower.Enter(this->now, kTeam);
+  this->borrower.Acquire(this->now, kTeam);
   const auto request = this->borrower.NextRequest(this->now);
   this->borrower.OnAnswer(this->now, this->Grant(*request, 1));
   const auto settled = this->borrower.TakeSettled();
--- a/packages/decision/test/rate_limit_world.cc
+++ b/packages/decision/test/rate_limit_simulation.cc
@@ -1,4 +1,4 @@
-#include "rate_limit_world.h"
+#include "rate_limit_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -21,8 +21,9 @@
 
 }  // namespace
 
-RateLimitWorld::RateLimitWorld(uint64_t seed,
-                               const RateLimitWorldOptions& options)
+RateLimitSimulation::RateLimitSimulation(
+    uint64_t seed,
+    const RateLimitSimulationOptions& options)
     : options(options), random(seed), upstreams(options.upstreams) {
   for (uint32_t i = 0; i < options.vms; ++i) {
     this->vms.push_back(this->MakeVm(i));
@@ -30,7 +31,8 @@
 }
 
 // The VMs of the world are the first owners of the shard, in their order.
-std::unique_ptr<RateLimitWorld::Vm> RateLimitWorld::MakeVm(uint32_t number) {
+std::unique_ptr<RateLimitSimulation::Vm> RateLimitSimulation::MakeVm(
+    uint32_t number) {
   auto vm = std::make_unique<Vm>(DispatcherOptions{});
   DispatchHarness& harness = vm->harness;
   harness.now = this->now;
@@ -47,8 +49,8 @@
   return vm;
 }
 
-void RateLimitWorld::SetLimit(uint32_t upstream,
-                              std::optional<double> per_second) {
+void RateLimitSimulation::SetLimit(uint32_t upstream,
+                                   std::optional<double> per_second) {
   Upstream& row = this->upstreams.at(upstream);
   if (!row.limit && per_second) {
     row.first_named = this->now;
@@ -61,11 +63,11 @@
   row.limit = per_second;
 }
 
-void RateLimitWorld::SetDispatches(uint32_t vm, bool dispatches) {
+void RateLimitSimulation::SetDispatches(uint32_t vm, bool dispatches) {
   this->vms.at(vm)->dispatches = dispatches;
 }
 
-void RateLimitWorld::SetCutOff(uint32_t vm, bool cut_off) {
+void RateLimitSimulation::SetCutOff(uint32_t vm, bool cut_off) {
   this->vms.at(vm)->cut_off = cut_off;
   for (uint32_t i = 0; i < this->vms.size(); ++i) {
     this->TellWhoAnswers(i);
@@ -73,7 +75,7 @@
 }
 
 // The VMs of the view that are not in the world stay live.
-void RateLimitWorld::TellWhoAnswers(uint32_t number) {
+void RateLimitSimulation::TellWhoAnswers(uint32_t number) {
   DispatchHarness& harness = this->vms[number]->harness;
   for (uint32_t i = 0; i < this->vms.size(); ++i) {
     const bool answers =
@@ -86,7 +88,7 @@
   harness.Apply();
 }
 
-void RateLimitWorld::Restart(uint32_t vm) {
+void RateLimitSimulation::Restart(uint32_t vm) {
   const bool dispatches = this->vms.at(vm)->dispatches;
   const bool cut_off = this->vms.at(vm)->cut_off;
   this->vms.at(vm) = this->MakeVm(vm);
@@ -95,7 +97,7 @@
   this->TellWhoAnswers(vm);
 }
 
-void RateLimitWorld::Run(Duration time) {
+void RateLimitSimulation::Run(Duration time) {
   for (const TimePoint end = this->now + time; this->now < end;) {
     this->now += kStep;
     for (uint32_t i = 0; i < this->vms.size(); ++i) {
@@ -110,7 +112,7 @@
   }
 }
 
-void RateLimitWorld::Step(uint32_t number) {
+void RateLimitSimulation::Step(uint32_t number) {
   Vm& vm = *this->vms[number];
   vm.harness.now = this->now;
   vm.harness.dispatcher->Tick(this->now);
@@ -127,13 +129,13 @@
 }
 
 // Some times a second, to those that it reaches.
-void RateLimitWorld::TellOthers(uint32_t number) {
+void RateLimitSimulation::TellOthers(uint32_t number) {
   Vm& vm = *this->vms[number];
   if (this->now < vm.tells_at) {
     return;
   }
   vm.tells_at = this->now + kTellInterval;
-  for (const RateLimitNews& news :
+  for (const RateLimitUpdate& news :
        vm.harness.dispatcher->TakeRateLimitUpdates(this->now)) {
     for (const auto& other : this->vms) {
       const bool is_meant = other->harness.fixture.view.self == news.to;
@@ -145,7 +147,7 @@
   }
 }
 
-void RateLimitWorld::EndWork(uint32_t number, Vm& vm) {
+void RateLimitSimulation::EndWork(uint32_t number, Vm& vm) {
   for (const Work& work : std::exchange(vm.works, {})) {
     if (work.ends > this->now) {
       vm.works.push_back(work);
@@ -155,7 +157,7 @@
   }
 }
 
-void RateLimitWorld::EndOne(uint32_t number, Vm& vm, const Work& work) {
+void RateLimitSimulation::EndOne(uint32_t number, Vm& vm, const Work& work) {
   const auto& running = vm.harness.running;
   const auto found = std::find_if(
       running.begin(), running.end(),
@@ -175,17 +177,18 @@
   vm.harness.EndAt(static_cast<size_t>(found - running.begin()), report);
 }
 
-ToldRateLimit RateLimitWorld::Say(uint32_t number, UpstreamHandle upstream) {
+AdvertisedRateLimit RateLimitSimulation::Say(uint32_t number,
+                                             UpstreamHandle upstream) {
   const std::optional<double>& limit = this->upstreams.at(upstream.index).limit;
   if (!limit) {
-    return {RateLimitWord::kNone, 0};
+    return {RateLimitPresence::kNone, 0};
   }
   TimePoint& told = this->vms[number]->told.at(upstream.index);
   told = std::min(told, this->now);
-  return {RateLimitWord::kNamed, *limit};
+  return {RateLimitPresence::kNamed, *limit};
 }
 
-void RateLimitWorld::TakeSends(uint32_t number, Vm& vm) {
+void RateLimitSimulation::TakeSends(uint32_t number, Vm& vm) {
   for (const DispatchAction& action :
        std::vector<DispatchAction>(vm.harness.running)) {
     const bool known = std::any_of(
@@ -205,7 +208,7 @@
   }
 }
 
-void RateLimitWorld::TakeQuestions(uint32_t number, Vm& vm) {
+void RateLimitSimulation::TakeQuestions(uint32_t number, Vm& vm) {
   for (const UpstreamHandle upstream : std::exchange(vm.harness.asked, {})) {
     this->Arrive(number, upstream);
     ++this->upstreams.at(upstream.index).questions;
@@ -214,20 +217,20 @@
 }
 
 // A health check names no limit: what must not hang on it does not.
-void RateLimitWorld::Answer(uint32_t, Vm& vm) {
+void RateLimitSimulation::Answer(uint32_t, Vm& vm) {
   while (!vm.questions.empty() && vm.questions.front().due <= this->now) {
     const UpstreamHandle upstream = vm.questions.front().upstream;
     vm.questions.pop_front();
     LoadQueryReport report;
     report.answered = true;
     report.load = {true, true, 0, 0, this->options.slots, 1};
-    report.rate_limit = {RateLimitWord::kNone, 0};
+    report.rate_limit = {RateLimitPresence::kNone, 0};
     vm.harness.dispatcher->OnLoadQueryEnd(this->now, upstream, report);
     vm.harness.Collect();
   }
 }
 
-void RateLimitWorld::Arrive(uint32_t number, UpstreamHandle upstream) {
+void RateLimitSimulation::Arrive(uint32_t number, UpstreamHandle upstream) {
   Upstream& row = this->upstreams.at(upstream.index);
   ++row.arrivals;
   const TimePoint told = this->vms[number]->told.at(upstream.index);
@@ -236,7 +239,7 @@
   }
 }
 
-void RateLimitWorld::Judge(Upstream& upstream) {
+void RateLimitSimulation::Judge(Upstream& upstream) {
   const double step = std::chrono::duration<double>(kStep).count();
   const bool just_fell = this->now - upstream.fell_at < kToldAfter;
   const double limit = std::max(upstream.limit.value_or(kNoLimit),
@@ -260,15 +263,16 @@
   this->worst = std::max(this->worst, got - bound);
 }
 
-size_t RateLimitWorld::arrivals(uint32_t upstream) const {
+size_t RateLimitSimulation::arrivals(uint32_t upstream) const {
   return this->upstreams.at(upstream).arrivals;
 }
 
-size_t RateLimitWorld::questions(uint32_t upstream) const {
+size_t RateLimitSimulation::questions(uint32_t upstream) const {
   return this->upstreams.at(upstream).questions;
 }
 
-const std::vector<DispatchAction>& RateLimitWorld::refused(uint32_t vm) const {
+const std::vector<DispatchAction>& RateLimitSimulation::refused(
+    uint32_t vm) const {
   return this->vms.at(vm)->harness.refused;
 }
 
--- a/packages/decision/test/rate_limit_world.h
+++ b/packages/decision/test/rate_limit_simulation.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_DECISION_TEST_RATE_LIMIT_WORLD_H_
-#define BASILSILL_DECISION_TEST_RATE_LIMIT_WORLD_H_
+#ifndef BASILSILL_DECISION_TEST_RATE_LIMIT_SIMULATION_H_
+#define BASILSILL_DECISION_TEST_RATE_LIMIT_SIMULATION_H_
 
 #include <cstdint>
 #include <deque>
@@ -17,7 +17,7 @@
 
 namespace basilsill {
 
-struct RateLimitWorldOptions {
+struct RateLimitSimulationOptions {
   uint32_t upstreams = 3;
   uint16_t slots = 2;
   double requests_per_second = 25;  ///< For each VM that dispatches.
@@ -28,9 +28,9 @@
   uint32_t shed_percent = 0;   ///< Of attempts, refused by the upstream.
 };
 
-class RateLimitWorld {
+class RateLimitSimulation {
  public:
-  RateLimitWorld(uint64_t seed, const RateLimitWorldOptions& options);
+  RateLimitSimulation(uint64_t seed, const RateLimitSimulationOptions& options);
 
   /// From now on the upstream names this limit; nothing: none.
   void SetLimit(uint32_t upstream, std::optional<double> per_second);
@@ -104,12 +104,12 @@
   void TakeQuestions(uint32_t number, Vm& vm);
   void Answer(uint32_t number, Vm& vm);
   void Arrive(uint32_t number, UpstreamHandle upstream);
-  ToldRateLimit Say(uint32_t number, UpstreamHandle upstream);
+  AdvertisedRateLimit Say(uint32_t number, UpstreamHandle upstream);
   void Judge(Upstream& upstream);
   void TellOthers(uint32_t number);
   bool Chance(uint32_t percent) { return this->random(100) < percent; }
 
-  RateLimitWorldOptions options;
+  RateLimitSimulationOptions options;
   pcg32 random;
   TimePoint now{std::chrono::seconds(100)};
   std::vector<std::unique_ptr<Vm>> vms;
@@ -120,4 +120,4 @@
 
 }  // namespace basilsill
 
-#endif  // BASILSILL_DECISION_TEST_RATE_LIMIT_WORLD_H_
+#endif  // BASILSILL_DECISION_TEST_RATE_LIMIT_SIMULATION_H_
--- a/packages/decision/test/rate_limit_test.cc
+++ b/packages/decision/test/rate_limit_test.cc
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "decision_fixture.h"
-#include "rate_limit_world.h"
+#include "rate_limit_simulation.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -21,9 +21,9 @@
 using basilsill::Duration;
 using basilsill::Fingerprint;
 using basilsill::Quarantine;
-using basilsill::RateLimitWord;
-using basilsill::RateLimitWorld;
-using basilsill::RateLimitWorldOptions;
+using basilsill::RateLimitPresence;
+using basilsill::RateLimitSimulation;
+using basilsill::RateLimitSimulationOptions;
 using basilsill::Refusal;
 using basilsill::TrafficClass;
 using basilsill::UpstreamEvent;
@@ -32,7 +32,7 @@
 
 TEST_GROUP(RateLimit){// What an upstream gets in ten seconds, once it has named
                       // `limit` for a while.
-                      static size_t CountIn10s(RateLimitWorld & world,
+                      static size_t CountIn10s(RateLimitSimulation & world,
                                                double limit){world.Run(2s);
 world.SetLimit(0, limit);
 world.Run(3s);
@@ -47,7 +47,7 @@
 // questions.
 TEST(RateLimit, Upstream_NamesALimit_GetsNoMoreThanThat) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    RateLimitWorld world(seed, RateLimitWorldOptions{});
+    RateLimitSimulation world(seed, RateLimitSimulationOptions{});
     const size_t got = CountIn10s(world, 1.7);
     const std::string told = std::to_string(got) + " of 17, " +
                              std::to_string(world.questions(0)) + " questions";
@@ -57,9 +57,9 @@
 }
 
 TEST(RateLimit, Upstream_WhileOthersAreBusy_GetsWhatItTakes) {
-  RateLimitWorldOptions options;
+  RateLimitSimulationOptions options;
   options.requests_per_second = 40;
-  RateLimitWorld world(1, options);
+  RateLimitSimulation world(1, options);
   const size_t got = CountIn10s(world, 3);
   CHECK(got >= 25);
   CHECK(got <= 31);
@@ -67,13 +67,13 @@
 
 // A limit that slots could not use up must cost nothing.
 TEST(RateLimit, Upstream_NamesAMillion_GetsAsMuchAsBefore) {
-  RateLimitWorld named(1, RateLimitWorldOptions{});
+  RateLimitSimulation named(1, RateLimitSimulationOptions{});
   CHECK(CountIn10s(named, 1e6) > 100);
 }
 
 // An upstream that gets nothing can't say that it takes work again.
 TEST(RateLimit, Upstream_NamesZeroAndEndsIt_IsUsedAgain) {
-  RateLimitWorld world(1, RateLimitWorldOptions{});
+  RateLimitSimulation world(1, RateLimitSimulationOptions{});
   const size_t got = CountIn10s(world, 0);
   CHECK(got >= 1);
   CHECK(got <= 2);
@@ -85,9 +85,9 @@
 }
 
 TEST(RateLimit, Upstream_LimitEndsInCalm_IsUsedAgainSoon) {
-  RateLimitWorldOptions options;
+  RateLimitSimulationOptions options;
   options.requests_per_second = 5;
-  RateLimitWorld world(1, options);
+  RateLimitSimulation world(1, options);
   CountIn10s(world, 1.7);
   world.SetLimit(0, std::nullopt);
   world.Run(3s);
@@ -101,12 +101,12 @@
 TEST(RateLimit, RandomHistory_OfThreeVms_NeverAboveTheBound) {
   size_t answered = 0;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    RateLimitWorldOptions options;
+    RateLimitSimulationOptions options;
     options.vms = 3;
     options.stale_percent = 5;
     options.died_percent = 3;
     options.shed_percent = 5;
-    RateLimitWorld world(seed, options);
+    RateLimitSimulation world(seed, options);
     std::array<std::optional<double>, 6> limits = {0,   0.1, 1.7,
                                                    4.5, 30,  std::nullopt};
     for (int i = 0; i < 200; ++i) {
@@ -136,9 +136,9 @@
 // A VM starts, or begins to dispatch in another's place, and sends a limited
 // upstream as much as any until its first answer.
 TEST(RateLimit, Vm_ThatStarts_IsToldByTheOneThatDispatched) {
-  RateLimitWorldOptions options;
+  RateLimitSimulationOptions options;
   options.vms = 2;
-  RateLimitWorld world(1, options);
+  RateLimitSimulation world(1, options);
   world.SetDispatches(1, false);
   world.SetLimit(0, 0.5);
   world.Run(5s);
@@ -164,7 +164,7 @@
   second.Apply();
   const uint64_t cookie = first.Offer();
   AttemptReport report = DispatchHarness::Report(AttemptEnd::kAnswered);
-  report.rate_limit = {RateLimitWord::kNamed, 0};
+  report.rate_limit = {RateLimitPresence::kNamed, 0};
   first.End(cookie, report);
   const auto news = first.dispatcher->TakeRateLimitUpdates(first.now);
   CHECK(!news.empty());
@@ -207,7 +207,7 @@
 
   static AttemptReport Limited(double per_second) {
     AttemptReport report = DispatchHarness::Report(AttemptEnd::kAnswered);
-    report.rate_limit = {RateLimitWord::kNamed, per_second};
+    report.rate_limit = {RateLimitPresence::kNamed, per_second};
     return report;
   }
 
@@ -343,7 +343,7 @@
   this->harness->EndOn(this->limited, Limited(0));
   this->harness->Advance(1ms);
   AttemptReport silent = DispatchHarness::Report(AttemptEnd::kAnswered);
-  silent.rate_limit = {RateLimitWord::kNone, 0};
+  silent.rate_limit = {RateLimitPresence::kNone, 0};
   this->harness->EndOn(this->limited, silent);
   this->EndAll();
   this->OfferMany();
@@ -381,7 +381,7 @@
   this->harness->Advance(3s);
   this->OfferMany(4);
   AttemptReport silent = DispatchHarness::Report(AttemptEnd::kAnswered);
-  silent.rate_limit = {RateLimitWord::kNone, 0};
+  silent.rate_limit = {RateLimitPresence::kNone, 0};
   this->harness->EndOn(this->limited, silent);
   size_t named = 0;
   size_t ended = 0;
--- a/packages/node/src/control.cc
+++ b/packages/node/src/control.cc
@@ -52,9 +52,9 @@
   return links;
 }
 
-QuotaOfficeOptions QuotaOptions(const Settings& settings,
-                                const ControlOptions& options) {
-  QuotaOfficeOptions quotas;
+QuotaCoordinatorOptions QuotaOptions(const Settings& settings,
+                                     const ControlOptions& options) {
+  QuotaCoordinatorOptions quotas;
   quotas.vm = settings.vm.name;
   quotas.incarnation = options.incarnation;
   quotas.data_centre = settings.vm.data_centre;
@@ -433,9 +433,9 @@
 }
 
 // What a VM without a link misses comes again soon.
-void Control::SendRateLimits(const std::vector<RateLimitNews>& news) {
+void Control::SendRateLimits(const std::vector<RateLimitUpdate>& news) {
   std::map<VmHandle, wire::Heartbeat> messages;
-  for (const RateLimitNews& item : news) {
+  for (const RateLimitUpdate& item : news) {
     const auto [place, is_new] =
         messages.try_emplace(item.to, this->MakeHeartbeat(false));
     std::vector<RateLimitReport>& reports = place->second.rate_limits;
--- a/packages/node/src/control.h
+++ b/packages/node/src/control.h
@@ -70,7 +70,7 @@
   void SendCrashes(std::vector<CrashReport> crashes);
 
   /// Tells each VM what it has to know of rate limits.
-  void SendRateLimits(const std::vector<RateLimitNews>& news);
+  void SendRateLimits(const std::vector<RateLimitUpdate>& news);
 
   /// A worker needs credits of teams' quotas.
   void AskQuota(uint16_t worker, QuotaRequest request) {
--- a/packages/node/src/dispatch_host.cc
+++ b/packages/node/src/dispatch_host.cc
@@ -204,7 +204,7 @@
   metrics.attempts_in_flight.Add(-1);
   request.on_caller_gone = nullptr;
   this->direct_attempts.erase(place);
-  if (report.rate_limit.word == RateLimitWord::kNamed) {
+  if (report.rate_limit.presence == RateLimitPresence::kNamed) {
     // This VM may dispatch for it a moment later.
     this->ImportRateLimit(
         MonotonicClock::now(),
--- a/packages/node/src/dispatch_host.h
+++ b/packages/node/src/dispatch_host.h
@@ -44,7 +44,7 @@
   void ImportRateLimit(TimePoint now, const RateLimitReport& report);
 
   /// @returns what other VMs have to be told of rate limits.
-  std::vector<RateLimitNews> TakeRateLimitUpdates(TimePoint now) {
+  std::vector<RateLimitUpdate> TakeRateLimitUpdates(TimePoint now) {
     return this->dispatcher->TakeRateLimitUpdates(now);
   }
 
--- a/packages/node/src/http_message.h
+++ b/packages/node/src/http_message.h
@@ -115,7 +115,7 @@
   Duration retry_after{0};
   uint8_t sends = 0;  ///< To upstreams, as far as that is told.
   // What the upstream said, where the request was sent to it past dispatchers.
-  ToldRateLimit rate_limit{};
+  AdvertisedRateLimit rate_limit{};
   bool drain_sign = false;  ///< It is leaving.
 };
 
--- a/packages/node/src/node.cc
+++ b/packages/node/src/node.cc
@@ -108,7 +108,7 @@
     options.on_crashes = [this, i](std::vector<CrashReport> crashes) {
       this->SpreadCrashes(i, std::move(crashes));
     };
-    options.on_rate_limits = [this](std::vector<RateLimitNews> news) {
+    options.on_rate_limits = [this](std::vector<RateLimitUpdate> news) {
       boost::asio::post(this->context, [this, news = std::move(news)] {
         this->control_side->SendRateLimits(news);
       });
--- a/packages/node/src/quota_host.cc
+++ b/packages/node/src/quota_host.cc
@@ -19,8 +19,8 @@
 constexpr milliseconds kWatchInterval{20};
 
 // Without leases to keep, each VM has a share of its own.
-QuotaOfficeOptions OptionsFor(QuotaOfficeOptions options,
-                              const QuotaLeaseStore* leases) {
+QuotaCoordinatorOptions OptionsFor(QuotaCoordinatorOptions options,
+                                   const QuotaLeaseStore* leases) {
   if (leases == nullptr) {
     options.shares.clear();
   }
@@ -30,7 +30,7 @@
 }  // namespace
 
 QuotaHost::QuotaHost(IoContext& context,
-                     QuotaOfficeOptions options,
+                     QuotaCoordinatorOptions options,
                      QuotaLeaseStore* leases,
                      ControlMetrics& counts,
                      QuotaHostHandlers handlers)
@@ -97,20 +97,21 @@
       break;
   }
   // One that can't be sent may make others.
-  for (std::vector<QuotaSend> sends = this->office.TakeSends(); !sends.empty();
-       sends = this->office.TakeSends()) {
-    for (const QuotaSend& send : sends) {
+  for (std::vector<OutgoingQuotaMessage> sends = this->office.TakeOutgoing();
+       !sends.empty(); sends = this->office.TakeOutgoing()) {
+    for (const OutgoingQuotaMessage& send : sends) {
       this->Send(now, send);
     }
   }
-  if (this->office.waits() && !std::exchange(this->watches, true)) {
+  if (this->office.has_pending_requests() &&
+      !std::exchange(this->watches, true)) {
     asio::co_spawn(this->context, this->WatchOthers(),
                    Unattended{"quota-watch"});
   }
   this->NoteLending();
 }
 
-void QuotaHost::Send(LeaseTime now, const QuotaSend& send) {
+void QuotaHost::Send(LeaseTime now, const OutgoingQuotaMessage& send) {
   const auto* answer = std::get_if<QuotaAnswer>(&send.message);
   if (!IsValid(send.to.vm)) {
     if (answer != nullptr) {
@@ -138,7 +139,7 @@
 }
 
 asio::awaitable<void> QuotaHost::WatchOthers() {
-  while (!this->stopped && this->office.waits()) {
+  while (!this->stopped && this->office.has_pending_requests()) {
     this->timer.expires_after(kWatchInterval);
     co_await this->timer.async_wait(asio::as_tuple(asio::use_awaitable));
     this->Tick();
--- a/packages/node/src/quota_host.h
+++ b/packages/node/src/quota_host.h
@@ -7,13 +7,13 @@
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/steady_timer.hpp>
 
-#include "basilsill/decision/quota_office.h"
+#include "basilsill/decision/quota_coordinator.h"
 #include "basilsill/node/quota_lease_store.h"
 #include "basilsill/wire/message.h"
 #include "metrics.h"
 #include "net.h"
 
-/// Carries out what a VM's QuotaOffice decides, on the control thread.
+/// Carries out what a VM's QuotaCoordinator decides, on the control thread.
 
 namespace basilsill {
 
@@ -28,7 +28,7 @@
  public:
   /// @param leases Outlives the host; null: the platform keeps none.
   QuotaHost(IoContext& context,
-            QuotaOfficeOptions options,
+            QuotaCoordinatorOptions options,
             QuotaLeaseStore* leases,
             ControlMetrics& counts,
             QuotaHostHandlers handlers);
@@ -43,7 +43,7 @@
 
  private:
   void Pump(LeaseTime now);
-  void Send(LeaseTime now, const QuotaSend& send);
+  void Send(LeaseTime now, const OutgoingQuotaMessage& send);
   void NoteLending();
   void NoteFailed(LeaseTime now, const Failure& failure);
   boost::asio::awaitable<void> Read();
@@ -51,7 +51,7 @@
   boost::asio::awaitable<void> WatchOthers();
 
   IoContext& context;
-  QuotaOffice office;
+  QuotaCoordinator office;
   QuotaLeaseStore* leases;
   ControlMetrics& counts;
   QuotaHostHandlers handlers;
--- a/packages/node/src/rate_limit_header.cc
+++ b/packages/node/src/rate_limit_header.cc
@@ -9,14 +9,14 @@
 
 namespace basilsill {
 
-Result<ToldRateLimit> ParseRateLimit(const HttpFields& answer,
-                                     const std::string& name) {
+Result<AdvertisedRateLimit> ParseRateLimit(const HttpFields& answer,
+                                           const std::string& name) {
   if (name.empty()) {
-    return ToldRateLimit{RateLimitWord::kNone, 0};
+    return AdvertisedRateLimit{RateLimitPresence::kNone, 0};
   }
   const auto found = answer.find(name);
   if (found == answer.end()) {
-    return ToldRateLimit{RateLimitWord::kNone, 0};
+    return AdvertisedRateLimit{RateLimitPresence::kNone, 0};
   }
   if (answer.count(name) > 1) {
     return Failure{FailureKind::kDuplicate, name, "stands there twice"};
@@ -30,13 +30,13 @@
   if (!std::isfinite(*limit) || *limit < 0) {
     return Failure{FailureKind::kOutOfRange, name, "negative or not finite"};
   }
-  return ToldRateLimit{RateLimitWord::kNamed, *limit};
+  return AdvertisedRateLimit{RateLimitPresence::kNamed, *limit};
 }
 
-ToldRateLimit ReadRateLimit(const HttpFields& answer,
-                            const std::string& name,
-                            const Endpoint& upstream) {
-  const Result<ToldRateLimit> told = ParseRateLimit(answer, name);
+AdvertisedRateLimit ReadRateLimit(const HttpFields& answer,
+                                  const std::string& name,
+                                  const Endpoint& upstream) {
+  const Result<AdvertisedRateLimit> told = ParseRateLimit(answer, name);
   if (told) {
     return told.value();
   }
--- a/packages/node/src/rate_limit_header.h
+++ b/packages/node/src/rate_limit_header.h
@@ -15,13 +15,13 @@
 /// @param name Of the header; empty if upstreams have none.
 /// @returns what `answer` says; kSyntax if it is no decimal number, kOutOfRange
 /// if it is negative or not finite, kDuplicate if it stands there twice.
-Result<ToldRateLimit> ParseRateLimit(const HttpFields& answer,
-                                     const std::string& name);
+Result<AdvertisedRateLimit> ParseRateLimit(const HttpFields& answer,
+                                           const std::string& name);
 
 /// As `ParseRateLimit`; what can't be read is logged, and says nothing.
-ToldRateLimit ReadRateLimit(const HttpFields& answer,
-                            const std::string& name,
-                            const Endpoint& upstream);
+AdvertisedRateLimit ReadRateLimit(const HttpFields& answer,
+                                  const std::string& name,
+                                  const Endpoint& upstream);
 
 }  // namespace basilsill
 
--- a/packages/node/src/upstream_attempt.h
+++ b/packages/node/src/upstream_attempt.h
@@ -90,7 +90,7 @@
   UpstreamConnectionPtr connection;
   std::optional<HeldAnswer> held_answer;
   UpstreamLoad load;
-  ToldRateLimit rate_limit;
+  AdvertisedRateLimit rate_limit;
   AttemptEnd aborted = AttemptEnd::kCount;
   bool drain_sign = false;
   bool has_started = false;
--- a/packages/node/src/worker.cc
+++ b/packages/node/src/worker.cc
@@ -250,7 +250,7 @@
 Task<QuotaDecision> Worker::TakeQuota(TeamKey team) {
   this->uses_quotas = true;
   const LeaseTime now = LeaseClock::now();
-  const QuotaDecision decision = this->borrower.Enter(now, team);
+  const QuotaDecision decision = this->borrower.Acquire(now, team);
   if (decision.verdict != QuotaVerdict::kWait) {
     co_return decision;
   }
@@ -394,7 +394,7 @@
 }
 
 void Worker::ReportRateLimits(TimePoint now) {
-  std::vector<RateLimitNews> news =
+  std::vector<RateLimitUpdate> news =
       this->dispatch_host.TakeRateLimitUpdates(now);
   if (!news.empty() && this->options.on_rate_limits) {
     this->options.on_rate_limits(std::move(news));
--- a/packages/node/src/worker.h
+++ b/packages/node/src/worker.h
@@ -37,7 +37,7 @@
   /// Called on the worker's thread with deaths of upstreams that it saw.
   std::function<void(std::vector<CrashReport>)> on_crashes;
   /// Called there with what other VMs have to be told of rate limits.
-  std::function<void(std::vector<RateLimitNews>)> on_rate_limits;
+  std::function<void(std::vector<RateLimitUpdate>)> on_rate_limits;
   /// Called there with what a lender of quotas is to be asked.
   std::function<void(QuotaRequest)> on_quota_request;
 };
--- a/packages/node/test/rate_limit_header_test.cc
+++ b/packages/node/test/rate_limit_header_test.cc
@@ -9,7 +9,7 @@
 using basilsill::FailureKind;
 using basilsill::HttpFields;
 using basilsill::ParseRateLimit;
-using basilsill::RateLimitWord;
+using basilsill::RateLimitPresence;
 using basilsill::ReadRateLimit;
 
 TEST_GROUP(RateLimitHeader) {
@@ -25,7 +25,7 @@
 
   void CheckNamed(const std::string& value, double expected) {
     this->Set(value);
-    CHECK(RateLimitWord::kNamed == this->Parse().value().word);
+    CHECK(RateLimitPresence::kNamed == this->Parse().value().presence);
     DOUBLES_EQUAL(expected, this->Parse().value().requests_per_second, 1e-9);
   }
   void CheckFault(const std::string& value, FailureKind fault) {
@@ -36,12 +36,13 @@
 };
 
 TEST(RateLimitHeader, Parse_Absent_NamesNone) {
-  CHECK(RateLimitWord::kNone == this->Parse().value().word);
+  CHECK(RateLimitPresence::kNone == this->Parse().value().presence);
 }
 
 TEST(RateLimitHeader, Parse_UpstreamsHaveNone_NamesNone) {
   this->Set("3");
-  CHECK(RateLimitWord::kNone == ParseRateLimit(this->answer, "").value().word);
+  CHECK(RateLimitPresence::kNone ==
+        ParseRateLimit(this->answer, "").value().presence);
 }
 
 TEST(RateLimitHeader, Parse_DecimalNumbers_Named) {
@@ -75,5 +76,5 @@
 TEST(RateLimitHeader, Read_Malformed_SaysNothing) {
   this->Set("many");
   const auto told = ReadRateLimit(this->answer, this->name, {"10.0.0.1", 80});
-  CHECK(RateLimitWord::kUnknown == told.word);
+  CHECK(RateLimitPresence::kUnknown == told.presence);
 }
