--- a/packages/decision/include/basilsill/decision/api_keys.h
+++ b/packages/decision/include/basilsill/decision/api_keys.h
@@ -12,13 +12,14 @@
 
 #include "basilsill/decision/view.h"
 
-/// API keys, by which callers say for which team they ask. The product keeps
-/// and compares digests alone: a key itself is seen only in the head of a
-/// request, and where an operator declares it.
+/// API keys identify the team on whose behalf a caller sends a request.
+/// Basilsill stores and compares only digests: a plain key appears only in
+/// request headers and where an operator declares it.
 
 namespace basilsill {
 
-/// One-way digest of an API key. Keys are long and random, so it needs no salt.
+/// One-way digest of an API key. It needs no salt, because keys are long and
+/// random.
 struct ApiKeyDigest {
   static constexpr size_t kBytes = 32;
 
@@ -27,19 +28,20 @@
   friend auto operator<=>(const ApiKeyDigest&, const ApiKeyDigest&) = default;
 };
 
-/// @returns true if `text` can be a key: visible ASCII characters, one to
-/// limits::kMaxApiKeyBytes.
+/// @returns true if `text` is a well-formed key: visible ASCII characters,
+/// between one and limits::kMaxApiKeyBytes of them.
 bool IsApiKey(std::string_view text);
 
 ApiKeyDigest DigestApiKey(std::string_view key);
 
-/// @returns `digest` as configuration writes it, in hexadecimal digits.
+/// @returns `digest` in hexadecimal digits, as in the configuration.
 std::string ToHex(const ApiKeyDigest& digest);
 
-/// @returns the digest that ToHex wrote, or nothing.
+/// @returns the digest that ToHex encoded as `hex`; nullopt if `hex` is not
+/// such an encoding.
 std::optional<ApiKeyDigest> ParseApiKeyDigest(std::string_view hex);
 
-/// The keys of all teams. Immutable.
+/// The key digests of all teams. Immutable.
 class ApiKeyTable {
  public:
   struct Row {
@@ -49,8 +51,9 @@
 
   static std::shared_ptr<const ApiKeyTable> Create(std::vector<Row> rows);
 
-  /// @returns whose key it is; invalid if it is nobody's. How long it takes
-  /// tells nothing of the keys in the table.
+  /// @returns the team that owns the key, an invalid handle if no team does.
+  /// The time that the look-up takes reveals nothing about the keys in the
+  /// table.
   TeamHandle Find(const ApiKeyDigest& digest) const;
 
   size_t size() const { return this->rows.size(); }
@@ -58,7 +61,7 @@
  private:
   explicit ApiKeyTable(std::vector<Row> rows) : rows(std::move(rows)) {}
 
-  std::vector<Row> rows;  ///< By digest.
+  std::vector<Row> rows;  ///< Sorted by digest.
 };
 
 }  // namespace basilsill
--- a/packages/decision/include/basilsill/decision/entry.h
+++ b/packages/decision/include/basilsill/decision/entry.h
@@ -11,8 +11,9 @@
 #include "basilsill/decision/dispatch.h"
 #include "basilsill/decision/view.h"
 
-/// The entry side of a request: admission under the team's limits, choice of
-/// a shard and its dispatcher, and the decision to try again elsewhere. Pure.
+/// The entry side of a request: admission under the team's limits, choice of a
+/// shard and its dispatcher, and retry at another shard or dispatcher. Pure: it
+/// does no I/O.
 
 namespace basilsill {
 
@@ -25,22 +26,21 @@
   TrafficClass traffic_class = TrafficClass::kOrdinary;
   TimePoint deadline = kNever;
   bool idempotent = false;
-  bool replayable = false;  ///< The shell still holds the whole body.
+  bool replayable = false;  ///< The shell still has the whole body.
   Fingerprint fingerprint = 0;
   uint8_t max_attempts = 0;  ///< As in DispatchRequest.
 };
 
-/// Outcome of admission.
 struct Admission {
   EntryHandle entry;  ///< Valid if admitted.
   Refusal refusal = Refusal::kNone;
   Duration retry_after{0};
 };
 
-/// Where an admitted request goes next.
+/// Where to send an admitted request next.
 enum class TargetKind : uint8_t {
-  kDispatcher,  ///< To `vm`, which dispatches for `shard`; may be self.
-  kDirect,      ///< Straight to `upstream`: no dispatcher can be reached.
+  kDispatcher,  ///< To `vm`, the dispatcher of `shard`; may be this VM.
+  kDirect,      ///< To `upstream`: no dispatcher can be reached.
   kRefuse,
   kCount
 };
@@ -50,58 +50,59 @@
   VmHandle vm;
   ShardKey shard = 0;
   UpstreamHandle upstream;
-  /// Goes into DispatchRequest: above this wait the dispatcher hands back.
+  /// For DispatchRequest: the dispatcher hands the request back if its expected
+  /// wait is longer than this.
   Duration max_wait = Duration::max();
   uint8_t sends = 0;  ///< As in DispatchRequest.
   Refusal refusal = Refusal::kNone;
   Duration retry_after{0};
 };
 
-/// What the entry VM does after an attempt did not give an answer.
+/// What the entry VM does after an attempt without an answer.
 struct RetryDecision {
   bool retry = false;
-  Retry reason = Retry::kNone;  ///< Why again, or why not.
-  /// What the caller is told if there is no retry. Differs from the last
-  /// refusal when an earlier attempt may have run: then `not-run` would lie.
+  Retry reason = Retry::kNone;  ///< Reason for the retry or for its denial.
+  /// What the caller gets if there is no retry. It differs from the last
+  /// refusal if an earlier attempt may have run: `not-run` would be wrong then.
   Refusal refusal = Refusal::kNone;
 };
 
-/// Mechanisms of the entry side, each of which can be switched off to measure
-/// what it buys.
+/// Features of the entry side. Each can be switched off to measure its effect.
 struct EntryFeatures {
-  bool overflow = true;   ///< Off: the near data centre only.
-  bool hand_back = true;  ///< Dispatchers hand back what waits too long.
-  bool retry = true;      ///< Retries at another shard.
-  bool limits = true;     ///< Team limits.
-  bool direct = true;     ///< Direct path when no dispatcher is reached.
-  bool silence = true;    ///< A dispatcher that falls silent is passed over.
+  bool overflow = true;  ///< Off: only the near data centre is used.
+  /// Dispatchers hand back requests that would wait too long.
+  bool hand_back = true;
+  bool retry = true;    ///< Retries at another shard.
+  bool limits = true;   ///< Team limits.
+  bool direct = true;   ///< Direct path while no dispatcher can be reached.
+  bool silence = true;  ///< Dispatchers that stop answering are avoided.
 };
 
 struct EntryOptions {
   size_t max_requests = limits::kMaxRequestsPerWorker;
   uint64_t seed = 1;
-  /// What a request to another data centre costs there and back.
+  /// Network round trip to another data centre.
   Duration far_round_trip = std::chrono::milliseconds(3);
   EntryFeatures features;
   RatioBudgetOptions retry_budget = kEntryRetryBudget;
-  /// Bound on repeats of the whole fleet, if there is one; its slack is shared
-  /// by all VMs.
+  /// Bound on retries of the whole fleet, if there is one. All VMs share its
+  /// slack equally.
   std::optional<RepeatBudgetOptions> repeats;
   /// Shared with the Dispatcher of the same worker; null: no quarantine.
   std::shared_ptr<Quarantine> quarantine;
 };
 
-/// Totals since the start, by reason.
+/// Totals since the process started, by reason.
 struct EntryCounters {
   std::array<uint64_t, static_cast<size_t>(Refusal::kCount)> refusals{};
   std::array<uint64_t, static_cast<size_t>(Retry::kCount)> retries{};
   uint64_t admitted = 0;
-  uint64_t near = 0;    ///< Choices of a shard in the own data centre.
-  uint64_t far = 0;     ///< Choices of a shard elsewhere.
-  uint64_t direct = 0;  ///< Choices without a dispatcher.
+  uint64_t near = 0;    ///< Chosen shards in this VM's data centre.
+  uint64_t far = 0;     ///< Chosen shards in other data centres.
+  uint64_t direct = 0;  ///< Requests sent on the direct path.
 };
 
-/// Entry state of one worker. Belongs to one thread.
+/// Entry state of one worker. Used by one thread only.
 class EntryRouter {
  public:
   static std::unique_ptr<EntryRouter> Create(const EntryOptions& options);
@@ -109,40 +110,42 @@
 
   virtual void ApplyView(TimePoint now, const RoutingViewPtr& view) = 0;
 
-  /// Takes a request in, or refuses it under its team's limits.
+  /// Admits a request, or refuses it under its team's limits.
   virtual Admission Admit(TimePoint now, const EntryRequest& request) = 0;
 
-  /// Chooses where the request goes. Called again after a granted retry.
+  /// Chooses where the request goes. To be called again after a granted retry.
   virtual Target Choose(TimePoint now, EntryHandle entry) = 0;
 
-  /// An attempt through `Choose` was refused or lost. `refusal` is what its
-  /// dispatcher answered, or kPeerUnreachable (nothing was sent), kPeerLost
-  /// (the link broke after), or RefusalOf the end of a direct attempt.
-  /// @param sends Times that it was sent to upstreams there, as far as that is
-  /// told.
+  /// The attempt that the last `Choose` began was refused or lost.
+  /// @param refusal What the dispatcher answered, kPeerUnreachable (nothing was
+  /// sent), kPeerLost (the link broke after sending), or the refusal that
+  /// stands for the end of a direct attempt, by RefusalOf.
+  /// @param sends How often that dispatcher sent the request to upstreams, as
+  /// far as it reported that.
   virtual RetryDecision OnRefused(TimePoint now,
                                   EntryHandle entry,
                                   Refusal refusal,
                                   uint8_t sends) = 0;
 
-  /// The request has its final answer; its share of the limits is free.
+  /// The request has its final answer. Releases what it holds of the team's
+  /// limits.
   virtual void Finish(TimePoint now, EntryHandle entry) = 0;
 
-  /// A dispatcher told how loaded its shard is.
+  /// A dispatcher has reported the load of its shard.
   virtual void OnSummary(TimePoint now,
                          VmHandle from,
                          const ShardSummary& summary) = 0;
 
-  /// A link to a VM was lost or works again, as this worker saw it.
+  /// The link of this worker to a VM was lost or is usable again.
   virtual void OnLink(TimePoint now, VmHandle vm, bool usable) = 0;
 
-  /// An upstream is leaving, as an answer on the direct path told.
+  /// An answer on the direct path says that its upstream is leaving.
   virtual void OnDrainSign(TimePoint now, UpstreamHandle upstream) = 0;
 
-  /// What an answer on the direct path says of a rate limit.
+  /// Rate limit that an answer on the direct path advertises.
   virtual void OnRateLimit(TimePoint now,
                            UpstreamHandle upstream,
-                           const AdvertisedRateLimit& told) = 0;
+                           const AdvertisedRateLimit& advertised) = 0;
 
   virtual void Tick(TimePoint now) = 0;
 
--- a/packages/decision/include/basilsill/decision/quota.h
+++ b/packages/decision/include/basilsill/decision/quota.h
@@ -8,34 +8,36 @@
 #include "basilsill/decision/claim_key.h"
 #include "basilsill/decision/view.h"
 
-/// A team's quota: a rate of requests, and a burst beyond it, that hold for all
-/// VMs together.
+/// A team's quota is a rate of requests and a burst beyond it, which hold for
+/// all VMs together.
 ///
-/// | header            | job                                             |
-/// | ----------------- | ----------------------------------------------- |
-/// | quota.h           | what VMs say to each other                      |
-/// | quota_borrower.h  | an entry thread takes credits for its requests  |
-/// | quota_lender.h    | one VM of a data centre lends its share         |
-/// | quota_lease.h     | which VM that is, by the platform's store       |
-/// | quota_office.h    | these on one VM, and whom it asks               |
+/// | header              | purpose                                         |
+/// | ------------------- | ----------------------------------------------- |
+/// | quota.h             | messages between VMs, shared types              |
+/// | quota_borrower.h    | an entry thread takes credits for its requests  |
+/// | quota_lender.h      | one VM of a data centre lends its share         |
+/// | quota_lease.h       | which VM that is, by a lease in the store       |
+/// | quota_coordinator.h | all of these on one VM; chooses the lender      |
 ///
-/// Each data centre has an equal share of every quota, and one VM that lends
-/// it: a token bucket a team, of the share's rate and burst. An entry VM
-/// borrows credits for the requests that it has, and a few more for those that
-/// will follow; a lender whose bucket is empty borrows from those of other data
-/// centres. A credit that is not used in time is void.
+/// Each data centre has an equal share of every quota. One VM of the data
+/// centre lends that share from a token bucket for each team, with the rate and
+/// burst of the share. An entry VM borrows credits for the requests that it
+/// has, and a few more for those that are likely to follow. A lender whose
+/// bucket is empty borrows from the lenders of other data centres. A credit
+/// that is not used in time becomes void.
 ///
-/// In any window a team's requests are at most the burst, and the rate times
-/// the window and twice the life of a credit: buckets never give more, what
-/// comes back was lent within that life, two VMs never lend one share at a
-/// time, and a new lender begins with one credit a team.
+/// In any window, a team's requests are at most the burst, plus the rate times
+/// the sum of the window and twice the lifetime of a credit: buckets never
+/// grant more than that, a returned credit was lent within that lifetime, no
+/// two VMs lend the same share at the same time, and a new lender starts with
+/// one credit for each team.
 
 namespace basilsill {
 
-/// How long a credit may be used, from when it was asked for.
+/// How long a credit is valid, counted from when it was requested.
 inline constexpr Duration kCreditLife = std::chrono::milliseconds(250);
 
-/// Credits that are asked for.
+/// Credits that a borrower requests.
 struct QuotaWant {
   TeamKey team = 0;
   uint32_t wanted = 0;
@@ -43,18 +45,19 @@
   friend bool operator==(const QuotaWant&, const QuotaWant&) = default;
 };
 
-/// Credits of requests that were refused without having run.
+/// Credits that come back since their requests were refused without having run.
 struct QuotaReturn {
   TeamKey team = 0;
   uint32_t count = 0;
-  uint64_t lent_at = 0;  ///< QuotaAnswer::lent_at of the credits.
+  uint64_t lent_at = 0;  ///< QuotaAnswer::lent_at of these credits.
 
   friend bool operator==(const QuotaReturn&, const QuotaReturn&) = default;
 };
 
 struct QuotaRequest {
-  uint64_t number = 0;     ///< Of the asker's; comes back with the answer.
-  bool of_lender = false;  ///< It lends itself: nobody else is asked for it.
+  uint64_t number = 0;  ///< Chosen by the requester; the answer repeats it.
+  /// The requester is a lender: the request is not forwarded to other lenders.
+  bool of_lender = false;
   std::vector<QuotaWant> wants;
   std::vector<QuotaReturn> returns;
 
@@ -64,7 +67,8 @@
 struct QuotaGrant {
   TeamKey team = 0;
   uint32_t granted = 0;
-  /// If that is less than was wanted: when to ask again.
+  /// How long to wait before the next request, if fewer were granted than
+  /// wanted.
   Duration retry_after{0};
 
   friend bool operator==(const QuotaGrant&, const QuotaGrant&) = default;
@@ -72,42 +76,44 @@
 
 struct QuotaAnswer {
   uint64_t number = 0;
-  /// False: another VM may lend, this one does not. What it says then is what
-  /// others granted; nothing, if nobody lends.
+  /// False if this VM does not lend. The grants are then what lenders of other
+  /// shares granted; empty if there is no lender.
   bool lends = false;
-  /// When, by the lender's clock; means nothing to anybody else.
+  /// When the credits were lent, by the lender's clock. Opaque to others.
   uint64_t lent_at = 0;
   std::vector<QuotaGrant> grants;
 
   friend bool operator==(const QuotaAnswer&, const QuotaAnswer&) = default;
 };
 
-/// Counts events of the last moments: an event weighs less the older it is.
+/// Counts recent events. The weight of an event decays exponentially with its
+/// age.
 class RecentCount {
  public:
   void Add(LeaseTime now, double count);
 
-  /// @returns the count, of about the last `kSpan`.
+  /// @returns the weighted count, roughly the number of events within the last
+  /// `kSpan`.
   double At(LeaseTime now) const;
 
   static constexpr Duration kSpan = std::chrono::milliseconds(500);
 
  private:
   double count = 0;
-  LeaseTime counted{};
+  LeaseTime counted_at{};
 };
 
-/// Which of the VMs that may lend a share is asked. One that does not answer or
-/// does not lend is passed over for the next.
+/// Chooses which of the VMs that may lend a share gets the requests. A VM that
+/// does not answer or does not lend is skipped in favour of the next.
 class LenderChoice {
  public:
-  /// @param vms In the order in which they should lend.
+  /// @param vms In order of preference.
   void SetCandidates(std::vector<VmHandle> vms);
 
-  /// @returns the VM to ask; invalid if there is none.
+  /// @returns the VM to send requests to; invalid if there is none.
   VmHandle current() const;
 
-  /// `vm` was asked and does not lend, or said nothing.
+  /// `vm` does not lend, or did not answer.
   void PassOver(VmHandle vm);
 
  private:
--- a/packages/decision/include/basilsill/decision/quota_borrower.h
+++ b/packages/decision/include/basilsill/decision/quota_borrower.h
@@ -9,49 +9,52 @@
 
 #include "basilsill/decision/quota.h"
 
-/// Takes credits of teams' quotas for the requests of one entry thread.
+/// Borrows credits of teams' quotas for the requests of one entry thread.
 
 namespace basilsill {
 
 enum class QuotaVerdict : uint8_t {
   kGranted,
-  kWait,         ///< A lender is asked; see QuotaBorrower::TakeSettled.
-  kExhausted,    ///< The team is beyond its quota.
-  kUnavailable,  ///< Nobody could be asked: it may be within its quota.
+  kWait,         ///< Awaits a lender's answer; see QuotaBorrower::TakeSettled.
+  kExhausted,    ///< The team has used up its quota.
+  kUnavailable,  ///< No lender answered: the team may be within its quota.
   kCount
 };
 
-/// Where a credit came from, for giving it back.
+/// Origin of a credit, needed to return it.
 struct QuotaCredit {
   uint64_t lent_at = 0;  ///< QuotaAnswer::lent_at.
-  LeaseTime until{};     ///< Void from then on.
+  LeaseTime until{};     ///< The credit is void from then on.
 };
 
 struct QuotaDecision {
   QuotaVerdict verdict = QuotaVerdict::kCount;
-  uint64_t ticket = 0;      ///< Names a request that waits.
-  Duration retry_after{0};  ///< Of a request that is refused.
-  QuotaCredit credit{};     ///< Of a request that may go on.
+  uint64_t ticket = 0;      ///< Identifies a waiting request.
+  Duration retry_after{0};  ///< For a refused request.
+  QuotaCredit credit{};     ///< For a granted request.
 };
 
 class QuotaBorrower {
  public:
-  /// A request of `team` came. Whether it may go on is told now or later.
+  /// Takes a credit for a request of `team`.
+  /// @returns the decision. After kWait, TakeSettled returns the final one
+  /// later.
   QuotaDecision Acquire(LeaseTime now, TeamKey team);
 
   /// A request that was granted `credit` has ended without having run.
   void Return(LeaseTime now, TeamKey team, const QuotaCredit& credit);
 
-  /// @returns what a lender is to be asked now. One request is under way at a
-  /// time; what comes meanwhile goes with the next.
+  /// @returns the request to send to a lender now, if any. Only one is in
+  /// flight at a time; what is needed meanwhile goes with the next one.
   std::optional<QuotaRequest> NextRequest(LeaseTime now);
 
   void OnAnswer(LeaseTime now, const QuotaAnswer& answer);
 
-  /// Ends the waits that are too long.
+  /// Ends waits that take too long, and evicts idle teams.
   void Tick(LeaseTime now);
 
-  /// @returns the requests that waited and wait no more.
+  /// @returns the decisions for waiting requests that were made since the last
+  /// call.
   std::vector<QuotaDecision> TakeSettled();
 
  private:
@@ -61,12 +64,13 @@
   };
 
   struct Team {
-    uint32_t credits = 0;  ///< Left of the last answer.
-    QuotaCredit credit;    ///< Each of these.
+    uint32_t credits = 0;  ///< Left from the last answer.
+    QuotaCredit credit;    ///< Origin of each of these credits.
     std::deque<Waiting> waiting;
-    LeaseTime closed_until{};  ///< The lender has nothing before then.
-    LeaseTime next_return{};   ///< Told to the next request that is refused.
-    RecentCount entered;
+    LeaseTime exhausted_until{};  ///< The quota is used up until then.
+    /// Latest retry time given to a refused request.
+    LeaseTime next_retry_at{};
+    RecentCount arrivals;
     RecentCount granted;
   };
 
@@ -81,19 +85,19 @@
   void AddReturns(LeaseTime now, QuotaRequest& request);
   void Settle(Team& team, QuotaDecision decision);
   void TakeGrant(LeaseTime now, const QuotaGrant& grant, uint64_t lent_at);
-  void ForgetIdle(LeaseTime now);
+  void EvictIdle(LeaseTime now);
 
   std::map<TeamKey, Team> teams;
-  std::vector<Returned> returned;  ///< To be given back.
-  LeaseTime returned_since{};      ///< The first of them.
+  std::vector<Returned> returned;  ///< Not yet sent back to the lender.
+  LeaseTime returned_since{};      ///< When the first of them came back.
   size_t waiting_count = 0;
   std::vector<QuotaDecision> settled;
   uint64_t last_ticket = 0;
   uint64_t last_number = 0;
-  bool asking = false;
-  LeaseTime asked_at{};
-  LeaseTime ask_again_at{};  ///< Nobody lent.
-  LeaseTime forgotten_at{};
+  bool request_in_flight = false;
+  LeaseTime requested_at{};
+  LeaseTime next_request_at{};  ///< No request goes out before then.
+  LeaseTime evicted_at{};
 };
 
 }  // namespace basilsill
--- a/packages/decision/include/basilsill/decision/quota_coordinator.h
+++ b/packages/decision/include/basilsill/decision/quota_coordinator.h
@@ -10,9 +10,10 @@
 #include "basilsill/decision/quota_lender.h"
 #include "basilsill/decision/view.h"
 
-/// Quotas on one VM's control thread: takes what the workers of this VM want to
-/// the VM that lends the share of its data centre, and lends where this VM
-/// does. Pure; the shell sends, and calls the store.
+/// Coordinates quotas on one VM's control thread: forwards the requests of this
+/// VM's workers to the VM that lends the share of its data centre, and lends if
+/// this VM is that lender. Pure: the shell sends the messages and calls the
+/// store.
 
 namespace basilsill {
 
@@ -20,8 +21,8 @@
   std::string vm;
   uint64_t incarnation = 0;
   std::string data_centre;
-  /// All data centres of the installation, each with a share. Empty: the
-  /// platform keeps no leases, and each VM has an equal share of its own.
+  /// All data centres of the installation, each with a share. Empty if the
+  /// platform keeps no leases: each VM then has an equal share of its own.
   std::vector<std::string> shares;
 };
 
@@ -31,38 +32,40 @@
 
   void ApplyView(LeaseTime now, const RoutingView& view);
 
-  /// A worker of this VM asks.
+  /// A worker of this VM requests credits.
   void Ask(LeaseTime now, uint16_t worker, QuotaRequest request);
 
-  // From other VMs.
+  // Messages from other VMs.
   void OnRequest(LeaseTime now, VmHandle from, const QuotaRequest& request);
   void OnAnswer(LeaseTime now, VmHandle from, const QuotaAnswer& answer);
 
-  /// There is no link for a message of `TakeSends`.
+  /// A message of `TakeOutgoing` can't be sent: there is no link.
   void OnUnsent(LeaseTime now, const OutgoingQuotaMessage& send);
 
   void Tick(LeaseTime now);
 
-  /// Lends no more; another VM may at once.
+  /// Releases the lease, so that another VM may lend at once.
   void Leave(LeaseTime now);
 
-  /// @returns what is to be sent, to VMs and to workers of this VM.
+  /// @returns the messages to send to VMs and to workers of this VM, and clears
+  /// them.
   std::vector<OutgoingQuotaMessage> TakeOutgoing() {
     return this->lender.TakeOutgoing();
   }
 
-  /// @returns true while `Tick` is needed soon.
+  /// @returns true while answers are awaited, so `Tick` has to be called soon.
   bool has_pending_requests() const {
     return this->lender.has_pending_requests();
   }
 
-  /// @returns the call to make for the lease; its result goes to `OnLease`.
+  /// @returns the call to make for the lease. Its result goes to one of the
+  /// OnLease methods.
   QuotaLeaseCall NextLeaseCall(LeaseTime now);
   const QuotaLease& lease() const { return this->own_lease; }
-  /// @returns the number of the share that this VM may lend.
+  /// @returns the index of the share that this VM may lend.
   uint16_t share() const { return this->own_share; }
 
-  // Results of the call.
+  // Results of that call.
   void OnLeaseRead(LeaseTime now,
                    const std::optional<QuotaLeaseRecord>& record,
                    uint64_t end);
@@ -70,21 +73,21 @@
   void OnLeaseConflict(LeaseTime now) { this->own_lease.OnConflict(now); }
   void OnLeaseFailed(LeaseTime now);
 
-  /// @returns true while this VM lends.
+  /// @returns true while this VM lends the share under its lease.
   bool lends() const { return this->is_lending; }
 
  private:
-  /// What a worker asked last.
-  struct Asked {
+  /// The last request of a worker.
+  struct LastRequest {
     VmHandle vm;
     uint64_t number = 0;
     bool answered = true;
   };
 
   bool HasShares() const { return !this->options.shares.empty(); }
-  bool IsFirst() const;
+  bool IsFirstCandidate() const;
   void SetCandidates(const RoutingView& view);
-  void Sync(LeaseTime now);
+  void SyncWithLease(LeaseTime now);
   void Lend(LeaseTime now,
             const QuotaRequester& from,
             const QuotaRequest& request);
@@ -93,11 +96,12 @@
   QuotaCoordinatorOptions options;
   VmHandle self;
   uint16_t own_share = 0;
-  std::vector<VmHandle> candidates;  ///< For the share of this data centre.
-  LenderChoice choice;
+  /// VMs that may lend this data centre's share.
+  std::vector<VmHandle> candidates;
+  LenderChoice lender_choice;
   QuotaLender lender;
   QuotaLease own_lease;
-  std::map<uint16_t, Asked> asked;  ///< By worker.
+  std::map<uint16_t, LastRequest> last_requests;  ///< By index of the worker.
   bool is_lending = false;
 };
 
--- a/packages/decision/include/basilsill/decision/quota_lease.h
+++ b/packages/decision/include/basilsill/decision/quota_lease.h
@@ -8,19 +8,20 @@
 
 #include "basilsill/base/time.h"
 
-/// The lease of one share of all quotas, in the platform's store. A record says
-/// who holds it, and each write of it names the end of the log that it was
-/// based on, so of two that write the first wins. A holder goes by its lease
-/// for a term from when it began the write; another VM takes the share over
-/// once it has seen one record for as long. Both measure time spans only. Pure;
-/// the shell makes the calls.
+/// The lease for one share of all quotas, kept in the platform's store. The
+/// newest record of a log names the holder. Each write states the end of the
+/// log on which it is based, so the first of two concurrent writes wins and the
+/// second fails. A holder relies on its lease for one term, counted from when
+/// it began the write. Another VM takes the share over once it has seen the
+/// same record for that long. Both measure only durations, so clocks need not
+/// agree. Pure: the shell makes the calls.
 
 namespace basilsill {
 
-/// A share's newest record, as it stands in the store.
+/// The newest record of a share in the store.
 struct QuotaLeaseRecord {
-  std::string holder;    ///< Name of the VM; empty: nobody, it was given up.
-  uint64_t process = 0;  ///< Of that VM, by incarnation.
+  std::string holder;    ///< Name of the VM; empty if the lease was released.
+  uint64_t process = 0;  ///< Incarnation of that VM's process.
 
   friend bool operator==(const QuotaLeaseRecord&,
                          const QuotaLeaseRecord&) = default;
@@ -35,37 +36,37 @@
 
 class QuotaLease {
  public:
-  /// How long a lease lasts. The shell of a VM that is suspended measures it by
-  /// LeaseClock.
+  /// Duration of a lease. A VM's suspension counts as elapsed time, since the
+  /// shell measures by LeaseClock.
   static constexpr std::chrono::milliseconds kTerm{3500};
 
   QuotaLease(std::string vm, uint64_t process);
 
-  /// A lender is needed. The first candidate takes a free share at once, others
-  /// when they go on being asked.
+  /// A lender is needed. The first candidate takes a free share at once, the
+  /// others only when requests for a lender go on.
   void OnNeeded(LeaseTime now, bool is_first);
 
-  /// Gives the share up, as soon as the call under way has ended.
+  /// Releases the lease as soon as the call in flight has ended.
   void GiveUp() { this->given_up = true; }
 
-  /// @returns the call to make now; the next one comes after its result.
+  /// @returns the call to make now. No other call is due before its result.
   QuotaLeaseCall NextCall(LeaseTime now);
 
-  /// Results of the call under way.
+  /// Results of the call in flight. `end` is the end of the log.
   void OnRead(LeaseTime now,
               const std::optional<QuotaLeaseRecord>& record,
               uint64_t end);
   void OnWritten(LeaseTime now, uint64_t end);
-  /// Another record came before the one that was written.
+  /// Another record was appended first, so the write failed.
   void OnConflict(LeaseTime now);
   void OnFailed(LeaseTime now);
 
   bool Holds(LeaseTime now) const { return now < this->held_until; }
 
-  /// @returns true if nobody ever held the share before this holding.
+  /// @returns true if no VM had ever held the share before this lease.
   bool was_unused() const { return this->unused; }
 
-  /// @returns true if this process was the last to hold it before this holding.
+  /// @returns true if this process was also the previous holder.
   bool was_own() const { return this->own; }
 
   const QuotaLeaseRecord& record() const { return this->to_write; }
@@ -78,18 +79,18 @@
 
   QuotaLeaseRecord self;
   QuotaLeaseRecord to_write;
-  std::optional<QuotaLeaseRecord> seen;
+  std::optional<QuotaLeaseRecord> known_record;
   uint64_t log_end = 0;
-  bool is_known = false;     ///< `seen` and `log_end` were read.
-  bool reads_again = false;  ///< They may have changed.
-  LeaseTime seen_since{};    ///< The record has not changed since.
+  bool is_known = false;        ///< `known_record` and `log_end` were read.
+  bool must_reread = false;     ///< They may have changed since.
+  LeaseTime unchanged_since{};  ///< When the record was first seen as it is.
   LeaseTime needed_since{};
   LeaseTime needed_at = LeaseTime::min();
   bool needed_first = false;
   LeaseTime held_until = LeaseTime::min();
   LeaseTime call_begun{};
   LeaseTime next_call_at{};
-  QuotaLeaseCall under_way = QuotaLeaseCall::kNone;
+  QuotaLeaseCall call_in_flight = QuotaLeaseCall::kNone;
   bool given_up = false;
   bool unused = false;
   bool own = false;
--- a/packages/decision/include/basilsill/decision/quota_lender.h
+++ b/packages/decision/include/basilsill/decision/quota_lender.h
@@ -9,39 +9,42 @@
 
 #include "basilsill/decision/quota.h"
 
-/// Lends a share of each team's quota, on the VM that holds the lease of the
-/// share. Belongs to the control thread.
+/// Lends a share of each team's quota, on the VM that holds the share's lease.
+/// Used by the control thread.
 
 namespace basilsill {
 
-/// Token buckets, one a team.
+/// One token bucket for each team.
 class QuotaBuckets {
  public:
-  /// Takes over the limits of the teams that have a quota.
-  /// @param part The share, of each quota.
+  /// Sets the limits of all teams that have a quota, and drops all other
+  /// buckets.
+  /// @param part Fraction of each quota that this VM lends.
   void SetTeams(LeaseTime now, const std::vector<TeamRow>& teams, double part);
 
-  /// Empties all buckets: how much was lent a moment ago is not known.
+  /// Leaves one credit in each bucket. For a new lender that does not know how
+  /// much was lent just before.
   void Empty(LeaseTime now);
 
-  /// Fills all buckets: nothing was lent by anybody.
+  /// Fills all buckets. For a share that was never lent.
   void Fill(LeaseTime now);
 
-  /// Takes credits of `team`, as many as there are of those that are wanted.
+  /// Takes up to `wanted` credits of `team`, as many as there are.
   QuotaGrant Take(LeaseTime now, TeamKey team, uint32_t wanted);
 
-  /// Puts credits into the bucket, as far as they fit.
+  /// Puts credits into the bucket, up to its capacity.
   void Put(LeaseTime now, TeamKey team, uint32_t count);
 
   bool empty() const { return this->buckets.empty(); }
 
  private:
   struct Bucket {
-    double rate = 0;  ///< Credits a second.
+    double rate = 0;  ///< Credits per second.
     double capacity = 0;
     double level = 0;
     LeaseTime filled{};
-    LeaseTime next_return{};  ///< Told to the next one that gets too few.
+    /// Latest retry time given to a requester that got too few.
+    LeaseTime next_retry_at{};
     bool is_listed = true;
   };
 
@@ -51,10 +54,10 @@
   std::map<TeamKey, Bucket> buckets;
 };
 
-/// Who asks: a thread of this VM, or another VM.
+/// A requester: a worker of this VM, or another VM.
 struct QuotaRequester {
-  VmHandle vm;          ///< Invalid: this VM.
-  uint16_t worker = 0;  ///< Of this VM.
+  VmHandle vm;          ///< Invalid for this VM.
+  uint16_t worker = 0;  ///< If `vm` is this VM.
 
   friend bool operator==(const QuotaRequester&,
                          const QuotaRequester&) = default;
@@ -67,82 +70,87 @@
 
 class QuotaLender {
  public:
-  /// Says who lends the other shares.
-  /// @param shares For each of them the VMs that may, in their order.
-  /// @param siblings Others that may lend this VM's share.
-  void SetOthers(const std::vector<std::vector<VmHandle>>& shares,
-                 std::vector<VmHandle> siblings);
+  /// Sets the VMs that may lend.
+  /// @param shares For each other share its possible lenders, in order of
+  /// preference.
+  /// @param siblings Other VMs that may lend this VM's share.
+  void SetOtherLenders(const std::vector<std::vector<VmHandle>>& shares,
+                       std::vector<VmHandle> siblings);
 
   void SetTeams(LeaseTime now, const std::vector<TeamRow>& teams, double part) {
     this->buckets.SetTeams(now, teams, part);
   }
 
-  /// What is known of the share when its lease begins.
-  enum class Past : uint8_t {
-    kUnknown,  ///< Others may just have lent.
-    kUnused,   ///< Nobody has lent it.
-    kOwn,      ///< Nobody else has since this VM did.
+  /// What is known about earlier lending of the share when its lease begins.
+  enum class ShareHistory : uint8_t {
+    kUnknown,  ///< Another VM may have lent just before.
+    kUnused,   ///< The share was never lent.
+    kOwn,      ///< No other VM has lent since this one did.
     kCount
   };
-  void Begin(LeaseTime now, Past past);
+  void Begin(LeaseTime now, ShareHistory history);
   void End() { this->lends = false; }
 
   void OnRequest(LeaseTime now,
                  const QuotaRequester& from,
                  const QuotaRequest& request);
-  /// Another lender answers.
+  /// Another lender has answered.
   void OnAnswer(LeaseTime now, VmHandle from, const QuotaAnswer& answer);
   void Tick(LeaseTime now);
 
-  /// @returns true while other lenders are asked; then it needs a `Tick`.
-  bool has_pending_requests() const { return !this->opened.empty(); }
+  /// @returns true while answers of other lenders are awaited. `Tick` has to be
+  /// called meanwhile.
+  bool has_pending_requests() const { return !this->pending_requests.empty(); }
 
-  /// Adds to what is to be sent.
-  void Enqueue(OutgoingQuotaMessage send) {
-    this->sends.push_back(std::move(send));
+  /// Adds a message to those that TakeOutgoing returns.
+  void Enqueue(OutgoingQuotaMessage outgoing_message) {
+    this->outgoing.push_back(std::move(outgoing_message));
   }
 
-  /// @returns what is to be sent.
+  /// @returns the messages to send, and clears them.
   std::vector<OutgoingQuotaMessage> TakeOutgoing();
 
  private:
-  /// A request for which the other lenders are asked, one after the other.
-  struct Open {
+  /// A request that is forwarded to the other lenders, one after the other.
+  struct PendingRequest {
     QuotaRequester from;
     QuotaAnswer answer;
     std::vector<QuotaWant> missing;
     LeaseTime since{};
-    LeaseTime asked{};  ///< The lender that is asked now.
+    LeaseTime forwarded_at{};  ///< When it was forwarded to `current_lender`.
     size_t next_share = 0;
     size_t shares_left = 0;
-    VmHandle asking;
-    uint64_t asked_number = 0;
-    bool is_lent = false;       ///< Somebody lends.
-    bool asks_sibling = false;  ///< Not yet, and this VM does not lend.
+    VmHandle current_lender;
+    uint64_t forwarded_number = 0;
+    bool has_lender = false;  ///< Some VM lends.
+    /// Siblings may still be tried: this VM does not lend.
+    bool may_ask_sibling = false;
   };
 
-  void TakeBack(LeaseTime now, const QuotaRequest& request);
-  std::vector<QuotaWant> MissingOf(LeaseTime now,
-                                   const QuotaRequest& request,
-                                   const QuotaAnswer& answer) const;
-  bool AskNext(LeaseTime now, Open& open);
-  void Ask(LeaseTime now, Open& open, VmHandle vm);
-  void Close(LeaseTime now, Open& open);
-  void Answer(Open& open);
-  void KeepLate(LeaseTime now, const QuotaAnswer& answer);
-  static void Merge(Open& open, const QuotaAnswer& answer);
+  void ApplyReturns(LeaseTime now, const QuotaRequest& request);
+  std::vector<QuotaWant> FindMissing(LeaseTime now,
+                                     const QuotaRequest& request,
+                                     const QuotaAnswer& answer) const;
+  bool ForwardToNext(LeaseTime now, PendingRequest& pending);
+  void Forward(LeaseTime now, PendingRequest& pending, VmHandle vm);
+  void Close(LeaseTime now, PendingRequest& pending);
+  void Answer(PendingRequest& pending);
+  void KeepLateGrants(LeaseTime now, const QuotaAnswer& answer);
+  static void Merge(PendingRequest& pending, const QuotaAnswer& answer);
 
   QuotaBuckets buckets;
-  std::vector<LenderChoice> others;
+  std::vector<LenderChoice> other_shares;
   LenderChoice sibling;
-  std::vector<Open> opened;
-  /// Requests to other lenders that may still be answered, and when they went.
-  std::map<uint64_t, LeaseTime> asked;
-  /// Teams for which no other lender has any, and until when.
-  std::map<TeamKey, LeaseTime> exhausted;
-  std::vector<OutgoingQuotaMessage> sends;
+  std::vector<PendingRequest> pending_requests;
+  /// When each request to another lender was sent, by number, while its answer
+  /// may still come.
+  std::map<uint64_t, LeaseTime> forwarded_at;
+  /// Teams whose quota is used up at all lenders, and until when.
+  std::map<TeamKey, LeaseTime> exhausted_until;
+  std::vector<OutgoingQuotaMessage> outgoing;
   uint64_t last_number = 0;
-  size_t first_share = 0;  ///< Of `others`, asked first next time.
+  /// Index in `other_shares` that the next request is forwarded to first.
+  size_t first_share = 0;
   bool lends = false;
 };
 
--- a/packages/decision/include/basilsill/decision/rate_limit.h
+++ b/packages/decision/include/basilsill/decision/rate_limit.h
@@ -5,34 +5,36 @@
 
 #include "basilsill/decision/view.h"
 
-/// Rate limits that upstreams name in their answers, and what VMs tell each
-/// other of them.
+/// Rate limits that upstreams advertise in their answers, and the reports about
+/// them between VMs.
 
 namespace basilsill {
 
-/// What an answer says of a rate limit of its upstream.
+/// Whether an answer advertises a rate limit.
 enum class RateLimitPresence : uint8_t {
-  kUnknown,  ///< There was no answer, or it can't be read.
-  kNone,     ///< The answer names no limit.
+  kUnknown,  ///< No answer, or one that can't be parsed.
+  kNone,     ///< The answer advertises no limit.
   kNamed,
   kCount
 };
 
-/// A rate limit as an upstream tells it: it is the upstream's own, for all VMs
-/// together, and holds for as long as its answers name it.
+/// A rate limit as advertised in an upstream's answer. It applies to the
+/// requests of all VMs together, for as long as the upstream's answers include
+/// it.
 struct AdvertisedRateLimit {
   RateLimitPresence presence = RateLimitPresence::kUnknown;
-  double requests_per_second = 0;  ///< Not negative; for kNamed alone.
+  double requests_per_second = 0;  ///< Not negative; only for kNamed.
 
   friend bool operator==(const AdvertisedRateLimit&,
                          const AdvertisedRateLimit&) = default;
 };
 
-/// What one VM has heard from an upstream, for another.
+/// Report to another VM about the rate limit of an upstream.
 struct RateLimitReport {
   ShardKey shard = 0;
-  uint64_t upstream = 0;  ///< Names one start of one upstream on every VM.
-  bool named = false;     ///< False: its answers do not name a limit any more.
+  /// Identifies one incarnation of the upstream, the same on all VMs.
+  uint64_t upstream = 0;
+  bool named = false;  ///< False: the upstream advertises no limit any more.
   double requests_per_second = 0;
 
   friend bool operator==(const RateLimitReport&,
@@ -40,12 +42,13 @@
 };
 
 /// @param upstream A row of `service`.
-/// @returns the report of what it told; of no shard if no shard has it.
+/// @returns the report of what the upstream advertised. Its shard is 0 if the
+/// upstream belongs to no shard of the service.
 RateLimitReport MakeRateLimitReport(const ServiceRow& service,
                                     const UpstreamRow& upstream,
-                                    const AdvertisedRateLimit& told);
+                                    const AdvertisedRateLimit& advertised);
 
-/// A report, and whom it is for.
+/// A report and the VM to send it to.
 struct RateLimitUpdate {
   VmHandle to;
   RateLimitReport report;
--- a/packages/decision/include/basilsill/decision/split_chooser.h
+++ b/packages/decision/include/basilsill/decision/split_chooser.h
@@ -8,11 +8,11 @@
 
 #include "basilsill/decision/view.h"
 
-/// Shares the requests of a rule among its services by weight. Each entry VM
-/// steps through the unit interval by the golden ratio from a place drawn at
-/// random: after n requests each part is off its share by about log(n) / n,
-/// where independent draws are off by 1 / sqrt(n), and VMs that have few
-/// requests each don't all begin with the same part.
+/// Splits the requests of a rule among its services by weight. Each entry VM
+/// steps through the unit interval by the golden ratio, starting at a random
+/// position: after n requests each part is off its share by about log(n) / n,
+/// while independent draws would be off by 1 / sqrt(n). The random start keeps
+/// VMs with few requests each from all beginning with the same part.
 
 namespace basilsill {
 
@@ -20,12 +20,13 @@
  public:
   explicit SplitChooser(uint64_t seed) : random(seed) {}
 
-  /// @param rule Has a split.
+  /// @param rule Must have a split.
   ServiceHandle Choose(const RuleRow& rule);
 
  private:
   pcg32 random;
-  boost::unordered_flat_map<uint32_t, uint32_t> places;  ///< By rule's index.
+  /// By index of the rule's handle.
+  boost::unordered_flat_map<uint32_t, uint32_t> positions;
 };
 
 }  // namespace basilsill
--- a/packages/decision/src/api_keys.cc
+++ b/packages/decision/src/api_keys.cc
@@ -8,8 +8,9 @@
 namespace basilsill {
 namespace {
 
-// Digests of keys are digests of nothing else.
-constexpr std::string_view kDomain = "basilsill api key";
+// Key of the hash: it keeps digests of API keys distinct from any other
+// digests.
+constexpr std::string_view kDigestContext = "basilsill api key";
 
 constexpr size_t kDigitsPerByte = 2;
 constexpr size_t kHexDigits = kDigitsPerByte * ApiKeyDigest::kBytes;
@@ -31,7 +32,8 @@
   crypto_generichash(
       digest.bytes.data(), digest.bytes.size(),
       reinterpret_cast<const unsigned char*>(key.data()), key.size(),
-      reinterpret_cast<const unsigned char*>(kDomain.data()), kDomain.size());
+      reinterpret_cast<const unsigned char*>(kDigestContext.data()),
+      kDigestContext.size());
   return digest;
 }
 
@@ -39,7 +41,7 @@
   std::string hex(kHexDigits + 1, '\0');
   sodium_bin2hex(hex.data(), hex.size(), digest.bytes.data(),
                  digest.bytes.size());
-  hex.pop_back();  // The end that the library writes.
+  hex.pop_back();  // The terminating zero that the library writes.
   return hex;
 }
 
@@ -61,7 +63,8 @@
   return std::shared_ptr<const ApiKeyTable>(new ApiKeyTable(std::move(rows)));
 }
 
-// The search looks at digests, of which a caller can't choose the beginning.
+// The duration of the binary search depends on the digest alone, and a caller
+// can't choose how its digest begins. So it reveals nothing about the keys.
 TeamHandle ApiKeyTable::Find(const ApiKeyDigest& digest) const {
   const auto found =
       std::lower_bound(this->rows.begin(), this->rows.end(), digest, &IsBefore);
--- a/packages/decision/src/cold_quota.cc
+++ b/packages/decision/src/cold_quota.cc
@@ -5,19 +5,22 @@
 namespace basilsill {
 namespace {
 
-// A second, and as long as a connection may take to open: requests that were
-// begun in two seconds may reach an upstream within one.
+// One second, and the time that opening a connection may take: without it,
+// requests started within two different seconds could reach an upstream within
+// one.
 constexpr Duration kWindow = std::chrono::milliseconds(1200);
 
-// VMs that may believe at one time that they dispatch for an upstream.
-constexpr uint32_t kDispatchers = ShardRow::kOwners;
+// VMs that may consider themselves the dispatcher of an upstream at the same
+// time.
+constexpr uint32_t kMaxDispatchers = ShardRow::kOwners;
 
-// It is asked while so many requests may still be sent, so that its answer
-// comes before the first one has to wait for it.
-constexpr uint32_t kAskFrom = 1;
+// An upstream is probed when at most this many requests may still be sent, so
+// that its answer arrives before the first request has to wait for it.
+constexpr uint32_t kProbeThreshold = 1;
 
-// One that has not answered by now is busy, cut off or gone.
-constexpr Duration kLoadQueryTimeout = std::chrono::milliseconds(20);
+// An upstream that has not answered a probe by now is busy, unreachable or
+// gone, and may be probed again.
+constexpr Duration kProbeTimeout = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -25,7 +28,7 @@
   if (terms.requests_per_second == 0) {
     return 0;
   }
-  return std::max<uint32_t>(1, terms.requests_per_second / kDispatchers);
+  return std::max<uint32_t>(1, terms.requests_per_second / kMaxDispatchers);
 }
 
 void ColdQuota::BeginDispatch(TimePoint now) {
@@ -34,7 +37,7 @@
 }
 
 void ColdQuota::OnColdTimeReported(TimePoint now, Duration cold_for) {
-  this->told_cold_until = now + cold_for;
+  this->reported_cold_until = now + cold_for;
   if (cold_for <= Duration(0)) {
     this->starts.clear();
     this->oldest = 0;
@@ -62,17 +65,17 @@
   return used < this->share ? this->share - used : 0;
 }
 
-bool ColdQuota::MayStart(TimePoint now, bool is_told) const {
-  if (this->share == 0 || (!is_told && now >= this->assumed_cold_until)) {
+bool ColdQuota::MayStart(TimePoint now, bool reports_cold) const {
+  if (this->share == 0 || (!reports_cold && now >= this->assumed_cold_until)) {
     return true;
   }
   return this->CountLeft(now) > 0;
 }
 
 bool ColdQuota::IsWorthAsking(TimePoint now) const {
-  return this->share > 0 && now >= this->told_cold_until &&
-         now - this->asked_at >= kLoadQueryTimeout &&
-         this->CountLeft(now) <= kAskFrom;
+  return this->share > 0 && now >= this->reported_cold_until &&
+         now - this->probed_at >= kProbeTimeout &&
+         this->CountLeft(now) <= kProbeThreshold;
 }
 
 }  // namespace basilsill
--- a/packages/decision/src/cold_quota.h
+++ b/packages/decision/src/cold_quota.h
@@ -8,63 +8,68 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/view.h"
 
-/// What one VM may send to an upstream that is cold, or may be cold without
-/// having said so. Pure.
+/// Limits what one VM sends to an upstream that is cold, or that may have
+/// become cold without having reported it. Pure.
 ///
-/// Failure: an upstream becomes cold at any moment, also without a new start,
-/// and dies if it then gets as much work as before. Its entry says so some
-/// seconds late, and for a moment several VMs may believe that they dispatch
-/// for it, one of them just restarted. It shows as upstreams that die one after
-/// the other as soon as they are back.
+/// Failure: an upstream can become cold at any moment, even without a restart,
+/// and crashes if it then gets as much work as before. Its registry entry
+/// reports this some seconds late, and for a short time several VMs may
+/// consider themselves its dispatcher, one of them just restarted. As a result,
+/// upstreams crash one after the other as soon as they are back.
 ///
 /// So each VM sends no more than its share in any second, unless the upstream
-/// has said since that it is warm: each such word is good for one share more.
-/// The sum holds while no more VMs dispatch for an upstream than have a share.
-/// An upstream that gets less than the share is never asked.
+/// has reported since then that it is warm. Each such report allows one more
+/// share. The total bound holds as long as no more VMs dispatch for an upstream
+/// than there are shares. An upstream that gets less than the share is never
+/// probed.
 
 namespace basilsill {
 
-/// @returns the part of a service's bound that one VM may use, at least 1; 0
-/// if the service has none.
+/// @returns the part of a service's bound for cold upstreams that one VM may
+/// use, in requests per second: at least 1, or 0 if the service has no bound.
 uint32_t ColdShareOf(const ColdTerms& terms);
 
 class ColdQuota {
  public:
-  /// @param share Requests in any second; 0: any number.
+  /// @param share Requests in any second; 0 for no limit.
   void SetShare(uint32_t share) { this->share = share; }
 
-  /// This VM begins to dispatch for the upstream. Whoever did so before, also
-  /// itself before a restart, may have sent its share a moment ago.
+  /// This VM begins to dispatch for the upstream. The previous dispatcher,
+  /// which may be this VM before a restart, may have used its share just
+  /// before.
   void BeginDispatch(TimePoint now);
 
-  /// The upstream is taken for cold until then, if it can't say so itself.
+  /// Treats the upstream as cold until then, if it can't report that itself.
   void AssumeCold(TimePoint until) { this->assumed_cold_until = until; }
 
-  /// It said how long it stays cold; 0: it is warm.
+  /// The upstream has reported how long it stays cold; 0 if it is warm.
   void OnColdTimeReported(TimePoint now, Duration cold_for);
 
-  /// It was asked.
-  void OnAsk(TimePoint now) { this->asked_at = now; }
+  /// A probe was sent to the upstream.
+  void OnAsk(TimePoint now) { this->probed_at = now; }
 
-  /// A request is sent there.
+  /// A request is sent to the upstream.
   void OnStart(TimePoint now);
 
-  /// @param is_told Upstreams say when asked whether they are cold. One that
-  /// has not said that it is warm is taken for cold then.
-  bool MayStart(TimePoint now, bool is_told) const;
+  /// @param reports_cold Upstreams of the service report in answers to probes
+  /// whether they are cold. Such an upstream is treated as cold until it has
+  /// reported that it is warm.
+  bool MayStart(TimePoint now, bool reports_cold) const;
 
-  /// @returns true if it may get more if it says that it is warm.
+  /// @returns true if a probe is useful now: the upstream may get more requests
+  /// if it reports that it is warm.
   bool IsWorthAsking(TimePoint now) const;
 
  private:
   uint32_t CountLeft(TimePoint now) const;
 
   uint32_t share = 0;
-  size_t oldest = 0;              ///< Of `starts`, once it is full.
-  std::vector<TimePoint> starts;  ///< The last ones, at most one share.
+  size_t oldest = 0;  ///< Index in `starts`, once that is full.
+  /// Times of the latest requests, at most one share of them.
+  std::vector<TimePoint> starts;
   TimePoint assumed_cold_until{};
-  TimePoint told_cold_until{};
-  TimePoint asked_at{};
+  TimePoint reported_cold_until{};
+  TimePoint probed_at{};
 };
 
 }  // namespace basilsill
--- a/packages/decision/src/configuration_freshness.cc
+++ b/packages/decision/src/configuration_freshness.cc
@@ -18,9 +18,9 @@
                                      const FreshnessVouch& vouch) {
   for (const Stamp& stamp : this->sent) {
     if (stamp.at != LeaseTime() && stamp.number == vouch.stamp) {
-      // Its clock may run faster than this one.
-      const LeaseTime told = std::min(now, stamp.at + vouch.held);
-      this->newest_at = std::max(this->newest_at, told - vouch.age);
+      // The other VM's clock may run faster than this one.
+      const LeaseTime vouched_at = std::min(now, stamp.at + vouch.held);
+      this->newest_at = std::max(this->newest_at, vouched_at - vouch.age);
     }
   }
 }
--- a/packages/decision/src/direct_path.cc
+++ b/packages/decision/src/direct_path.cc
@@ -7,14 +7,15 @@
 
 constexpr Duration kFailurePause = std::chrono::milliseconds(100);
 constexpr Duration kMaxPause = std::chrono::seconds(5);
-constexpr Duration kDrainTime = std::chrono::minutes(2);
+constexpr Duration kDrainPause = std::chrono::minutes(2);
 constexpr uint8_t kMaxFailures = 8;
 
-// How long one that names a rate limit gets nothing this way.
-constexpr Duration kRateLimitTime = std::chrono::minutes(1);
+// How long an upstream that advertises a rate limit gets no requests on the
+// direct path.
+constexpr Duration kRateLimitPause = std::chrono::minutes(1);
 
-// Requests a second to an upstream that may be cold.
-constexpr uint32_t kShare = 1;
+// Requests per second to an upstream that may be cold.
+constexpr uint32_t kColdShare = 1;
 
 }  // namespace
 
@@ -27,21 +28,24 @@
                          : this->Draw(now, service, near, false, avoid);
 }
 
-// Reservoir sampling of two candidates, then the one with less in flight.
+// Draws two candidates by reservoir sampling and takes the one with less in
+// flight.
 UpstreamHandle DirectPath::Draw(TimePoint now,
                                 const ServiceRow& service,
                                 DataCentreHandle near,
                                 bool only_near,
                                 UpstreamHandle avoid) {
   std::array<UpstreamHandle, 2> drawn;
-  uint32_t seen = 0;
+  uint32_t candidates = 0;
   for (const UpstreamRow& row : service.upstreams) {
-    const bool wanted = !only_near || row.data_centre == near;
-    if (!wanted || row.handle == avoid || !this->Takes(now, service, row)) {
+    const bool is_in_scope = !only_near || row.data_centre == near;
+    if (!is_in_scope || row.handle == avoid ||
+        !this->IsEligible(now, service, row)) {
       continue;
     }
-    ++seen;
-    const uint32_t place = seen <= 2 ? seen - 1 : this->random(seen);
+    ++candidates;
+    const uint32_t place =
+        candidates <= 2 ? candidates - 1 : this->random(candidates);
     if (place < drawn.size()) {
       drawn[place] = row.handle;
     }
@@ -54,16 +58,17 @@
   return first ? drawn[0] : drawn[1];
 }
 
-// Any number of VMs may send past the dispatchers at one time, and none of them
-// can ask. So where cold upstreams are bounded, one that is known to be cold
-// gets nothing, and any other as little as is of use. One that names a rate
-// limit gets nothing either: no part of the limit is safe for all.
-bool DirectPath::Takes(TimePoint now,
-                       const ServiceRow& service,
-                       const UpstreamRow& row) {
+// Any number of VMs may use the direct path at the same time, and none of them
+// can probe. So if the service bounds requests to cold upstreams, an upstream
+// known to be cold gets nothing, and any other gets only kColdShare. An
+// upstream that advertises a rate limit gets nothing either: no part of the
+// limit is safe if every VM uses it.
+bool DirectPath::IsEligible(TimePoint now,
+                            const ServiceRow& service,
+                            const UpstreamRow& row) {
   UpstreamState& state = this->StateOf(row.handle);
   const bool is_bounded = service.cold.requests_per_second > 0;
-  state.cold_quota.SetShare(is_bounded ? kShare : 0);
+  state.cold_quota.SetShare(is_bounded ? kColdShare : 0);
   return !row.leaving && !row.drained && row.slots > 0 &&
          state.paused_until <= now && state.rate_limited_until <= now &&
          !(is_bounded && row.cold) && state.cold_quota.MayStart(now, true);
@@ -104,14 +109,14 @@
 }
 
 void DirectPath::OnDrainSign(TimePoint now, UpstreamHandle upstream) {
-  this->StateOf(upstream).paused_until = now + kDrainTime;
+  this->StateOf(upstream).paused_until = now + kDrainPause;
 }
 
 void DirectPath::OnRateLimit(TimePoint now,
                              UpstreamHandle upstream,
-                             const AdvertisedRateLimit& told) {
-  if (told.presence == RateLimitPresence::kNamed) {
-    this->StateOf(upstream).rate_limited_until = now + kRateLimitTime;
+                             const AdvertisedRateLimit& advertised) {
+  if (advertised.presence == RateLimitPresence::kNamed) {
+    this->StateOf(upstream).rate_limited_until = now + kRateLimitPause;
   }
 }
 
--- a/packages/decision/src/direct_path.h
+++ b/packages/decision/src/direct_path.h
@@ -9,9 +9,10 @@
 #include "basilsill/decision/dispatch.h"
 #include "cold_quota.h"
 
-/// The way to upstreams while no dispatcher of a service can be reached: two
-/// choices among its upstreams by what this worker itself has in flight there.
-/// It knows nothing of what others send, so it is for emergencies.
+/// Sends requests straight to upstreams while no dispatcher of a service can be
+/// reached. Draws two upstreams and takes the one with less in flight from this
+/// worker. It does not know what other workers and VMs send, so it is only a
+/// fallback.
 
 namespace basilsill {
 
@@ -19,23 +20,23 @@
  public:
   explicit DirectPath(uint64_t seed) : random(seed) {}
 
-  /// @param avoid Upstream that failed the request last.
-  /// @returns an upstream of `service`, in `near` if there is one that takes
-  /// work; invalid if none does.
+  /// @param avoid Upstream at which the request failed last.
+  /// @returns an eligible upstream of `service`, preferably in `near`; invalid
+  /// if there is none.
   UpstreamHandle Choose(TimePoint now,
                         const ServiceRow& service,
                         DataCentreHandle near,
                         UpstreamHandle avoid);
 
-  /// A request goes to `upstream`, until its End.
+  /// A request is sent to `upstream`. It is in flight until `End`.
   void Begin(TimePoint now, UpstreamHandle upstream);
-  /// @param refusal How it ended, kNone for an answer.
+  /// @param refusal How the request ended; kNone if it was answered.
   void End(TimePoint now, UpstreamHandle upstream, Refusal refusal);
   void OnDrainSign(TimePoint now, UpstreamHandle upstream);
-  /// What an answer on this way says of a rate limit.
+  /// An answer on the direct path advertises a rate limit, or none.
   void OnRateLimit(TimePoint now,
                    UpstreamHandle upstream,
-                   const AdvertisedRateLimit& told);
+                   const AdvertisedRateLimit& advertised);
 
  private:
   struct UpstreamState {
@@ -48,7 +49,9 @@
   };
 
   UpstreamState& StateOf(UpstreamHandle handle);
-  bool Takes(TimePoint now, const ServiceRow& service, const UpstreamRow& row);
+  bool IsEligible(TimePoint now,
+                  const ServiceRow& service,
+                  const UpstreamRow& row);
   UpstreamHandle Draw(TimePoint now,
                       const ServiceRow& service,
                       DataCentreHandle near,
@@ -56,7 +59,7 @@
                       UpstreamHandle avoid);
 
   pcg32 random;
-  std::vector<UpstreamState> upstreams;  ///< By index of the handle.
+  std::vector<UpstreamState> upstreams;  ///< By index of the upstream's handle.
 };
 
 }  // namespace basilsill
--- a/packages/decision/src/dispatcher_rate_limit.cc
+++ b/packages/decision/src/dispatcher_rate_limit.cc
@@ -7,9 +7,9 @@
 namespace basilsill {
 namespace {
 
-// Others are told of a limit so often while it is named, so that a VM that
-// comes, or begins to dispatch, knows it soon.
-constexpr Duration kTellInterval = std::chrono::seconds(2);
+// How often other VMs get a report of a limit while the upstream advertises it,
+// so that a VM that joins or begins to dispatch soon knows the limit.
+constexpr Duration kReportInterval = std::chrono::seconds(2);
 
 std::vector<RateLimitedUpstream>::iterator FindLimited(ShardState& shard,
                                                        uint32_t place) {
@@ -18,7 +18,7 @@
       [place](const auto& limited) { return limited.place == place; });
 }
 
-// @returns the row of the upstream's limit, made if there is none.
+// @returns the state of the upstream's rate limit, created if there is none.
 RateLimitedUpstream& LimitOf(ShardState& shard, uint32_t place) {
   const auto found = FindLimited(shard, place);
   if (found != shard.rate_limited.end()) {
@@ -29,7 +29,7 @@
   return shard.rate_limited.emplace_back(limited);
 }
 
-uint32_t PlaceOf(const ShardState& shard, UpstreamHandle handle) {
+uint32_t PlaceOfUpstream(const ShardState& shard, UpstreamHandle handle) {
   const auto found = std::find_if(
       shard.upstreams.begin(), shard.upstreams.end(),
       [handle](const UpstreamSlots& up) { return up.handle == handle; });
@@ -78,8 +78,9 @@
   }
 }
 
-// Failure: a VM begins to dispatch, after a restart or in another's place, and
-// sends a limited upstream as much as any until its first answer.
+// Failure: a VM begins to dispatch, after a restart or in place of another VM,
+// and sends an upstream with a rate limit as much as any other upstream until
+// its first answer. So limits reported by other VMs are applied from the start.
 void DispatcherCore::ApplyReceivedLimits(TimePoint now, ShardState& shard) {
   const ShardTable::InView found = this->shards.Locate(shard.key);
   if (this->received_limits.empty() || !shard.in_use ||
@@ -90,7 +91,7 @@
     const UpstreamRow& upstream = found.service->upstreams[position];
     const std::optional<double> limit = this->received_limits.Find(
         now, KeyOfIncarnation(*found.service, upstream));
-    const uint32_t place = PlaceOf(shard, upstream.handle);
+    const uint32_t place = PlaceOfUpstream(shard, upstream.handle);
     if (limit && FindRateLimit(shard, place) == nullptr) {
       LimitOf(shard, place)
           .quota.Update(now, now, {RateLimitPresence::kNamed, *limit});
@@ -122,7 +123,8 @@
   this->Pump(now, row);
 }
 
-// @returns the upstream of `report` in its shard, which is open.
+// @returns the position of the upstream of `report` in its shard, which must be
+// open; kNoRow if it is not there.
 uint32_t DispatcherCore::PlaceOfReported(const RateLimitReport& report) const {
   const ShardTable::InView found = this->shards.Locate(report.shard);
   if (found.shard == nullptr) {
@@ -131,8 +133,8 @@
   for (const uint32_t position : found.shard->upstreams) {
     const UpstreamRow& upstream = found.service->upstreams[position];
     if (KeyOfIncarnation(*found.service, upstream) == report.upstream) {
-      return PlaceOf(this->shards.at(this->shards.Find(report.shard)),
-                     upstream.handle);
+      return PlaceOfUpstream(this->shards.at(this->shards.Find(report.shard)),
+                             upstream.handle);
     }
   }
   return kNoRow;
@@ -156,7 +158,7 @@
     ShardState& shard = this->shards.at(row);
     for (RateLimitedUpstream& limited : shard.rate_limited) {
       const bool is_due = limited.last_update_limit != limited.quota.limit() ||
-                          now - limited.last_update_at >= kTellInterval;
+                          now - limited.last_update_at >= kReportInterval;
       if (!limited.named_since_update || !is_due) {
         continue;
       }
@@ -186,7 +188,8 @@
   }
 }
 
-// @returns a report without limit; of no upstream if the view has it no more.
+// @returns a report that the upstream has no limit. Its `upstream` is 0 if the
+// upstream is no longer in the view.
 RateLimitReport DispatcherCore::ReportOf(const ShardState& shard,
                                          uint32_t place) const {
   RateLimitReport report;
@@ -202,7 +205,8 @@
   return report;
 }
 
-// Nothing else wakes a queue whose next request waits for an upstream's rate.
+// No other event resumes a queue whose next request waits for an upstream's
+// rate limit, so the next scan is scheduled here.
 void DispatcherCore::HoldForRate(TimePoint now,
                                  ShardState& shard,
                                  uint32_t row) {
@@ -220,8 +224,9 @@
   }
 }
 
-// Limits come and fall while requests wait. Those that they leave no time for
-// are told at once, the newest of whoever has most waiting first.
+// Limits may appear or shrink while requests wait. Requests that would miss
+// their deadlines are refused at once, starting with the newest request of the
+// team that has most waiting.
 void DispatcherCore::RefuseBeyondRate(TimePoint now, ShardState& shard) {
   while (shard.rate_bound) {
     const uint32_t last = this->queue.NewestOfLongest(shard, 0);
--- a/packages/decision/src/entry_choice.cc
+++ b/packages/decision/src/entry_choice.cc
@@ -6,33 +6,36 @@
 namespace basilsill {
 namespace {
 
-// A shard without upstreams comes after any other.
+// Cost of a shard without upstreams: above that of any other shard.
 constexpr Duration kUnusableWait = std::chrono::hours(1);
 
-// A request moves if its wait here is above this part of what it is thought to
-// cost elsewhere: by moving it also spares those that come behind it.
-constexpr int kMovePercent = 75;
+// A request moves to another shard if its wait here exceeds this percentage of
+// the expected cost there. It is below 100, since a request that moves also
+// shortens the wait of those behind it.
+constexpr int kMaxWaitPercent = 75;
 
-// A background request waits near for this part of its time before it moves.
-constexpr int kPatientPart = 4;
+// A background request waits in the near data centre for up to one fourth of
+// the time to its deadline before it moves.
+constexpr int kBackgroundWaitDivisor = 4;
 
 constexpr Duration kRetryAfter = std::chrono::milliseconds(100);
 
-// A data centre that is drained stays so for seconds at least.
+// A data centre stays drained for seconds at least.
 constexpr Duration kDrainedRetryAfter = std::chrono::seconds(1);
 
-// Callers that were refused for one reason come back over half as long again,
-// and not all at once.
-constexpr uint32_t kSpreadPercent = 50;
+// Retry times are extended by a random 0 to 50 per cent, so that callers
+// refused for the same reason do not all come back at once.
+constexpr uint32_t kMaxJitterPercent = 50;
 
 template <typename T>
 bool Contains(const std::array<T, kMaxChoices>& all, T value) {
   return std::find(all.begin(), all.end(), value) != all.end();
 }
 
-// A dispatcher was reached and said no. It knows more of its upstreams than
-// this VM: the way past it is for those that reach none.
-bool WasAnswered(const EntryRow& entry) {
+// True if a dispatcher was reached and refused the request. It knows more about
+// its upstreams than this VM does, so the direct path is not used then: it is
+// for VMs that reach no dispatcher.
+bool WasRefusedByDispatcher(const EntryRow& entry) {
   return std::any_of(entry.tried_shards.begin(), entry.tried_shards.end(),
                      [](ShardKey shard) { return shard != 0; });
 }
@@ -45,8 +48,8 @@
 
 }  // namespace
 
-Duration EntryCore::Spread(Duration duration) {
-  const uint32_t percent = 100 + this->random(kSpreadPercent + 1);
+Duration EntryCore::AddJitter(Duration duration) {
+  const uint32_t percent = 100 + this->random(kMaxJitterPercent + 1);
   return duration * percent / 100;
 }
 
@@ -60,14 +63,15 @@
          (!link.lost && link.avoided_until <= now);
 }
 
-// The first owner that can be used works for the shard. One that has gone
-// silent is only passed over for another that has not.
+// The first usable owner dispatches for the shard. A silent owner is only
+// skipped in favour of another that is not silent.
 VmHandle EntryCore::OwnerOf(TimePoint now,
                             const EntryRow& entry,
                             const ShardRow& shard) const {
   const Duration expected =
-      this->beliefs.WaitAt(now, shard.key, entry.request.traffic_class, 1) +
-      this->beliefs.ServiceTimeAt(shard.key);
+      this->shard_estimates.WaitAt(now, shard.key, entry.request.traffic_class,
+                                   1) +
+      this->shard_estimates.ServiceTimeAt(shard.key);
   VmHandle silent;
   for (const VmHandle owner : shard.owners) {
     if (Contains(entry.tried_vms, owner) || !this->IsUsable(now, owner)) {
@@ -82,49 +86,51 @@
   return silent;
 }
 
-// A first choice may try a shard that seems to have no upstream, a later one
-// may not: it would only be refused for the same reason. One in a drained data
-// centre is none, whatever its last summary said: it was told before.
-bool EntryCore::MayGo(TimePoint now,
-                      const EntryRow& entry,
-                      const ShardRow& shard) const {
+// The first choice may be a shard that seems to have no upstream; later choices
+// may not, since the request would only be refused for the same reason. A shard
+// in a drained data centre is never a candidate, whatever its last summary
+// says: the summary may be older than the drain.
+bool EntryCore::IsCandidate(TimePoint now,
+                            const EntryRow& entry,
+                            const ShardRow& shard) const {
   return !shard.drained && !Contains(entry.tried_shards, shard.key) &&
-         (entry.choices == 0 || this->beliefs.IsUsable(now, shard.key));
+         (entry.choices == 0 || this->shard_estimates.IsUsable(now, shard.key));
 }
 
-bool EntryCore::HasOtherPlace(TimePoint now, const EntryRow& entry) const {
+bool EntryCore::HasOtherShard(TimePoint now, const EntryRow& entry) const {
   const ServiceRow* service = FindService(*this->view, entry.request.service);
   return service != nullptr &&
          std::any_of(service->shards.begin(), service->shards.end(),
                      [&](const ShardRow& shard) {
-                       return this->MayGo(now, entry, shard);
+                       return this->IsCandidate(now, entry, shard);
                      });
 }
 
 Duration EntryCore::CostOf(TimePoint now,
                            const ShardRow& shard,
                            TrafficClass traffic_class) const {
-  if (!this->beliefs.IsUsable(now, shard.key)) {
+  if (!this->shard_estimates.IsUsable(now, shard.key)) {
     return kUnusableWait;
   }
   const bool near = shard.data_centre == this->view->own_data_centre;
-  const Duration way = near ? Duration(0) : this->options.far_round_trip;
-  return way + this->beliefs.WaitAt(now, shard.key, traffic_class,
-                                    near ? 1 : this->near_vms);
+  const Duration round_trip = near ? Duration(0) : this->options.far_round_trip;
+  return round_trip + this->shard_estimates.WaitAt(now, shard.key,
+                                                   traffic_class,
+                                                   near ? 1 : this->near_vms);
 }
 
-// Two choices: of the shards in question two are drawn, and the cheaper is
-// taken. Taking the cheapest of all would send every entry VM that has the
-// same news to the same place.
-Candidate EntryCore::Best(TimePoint now,
-                          const ServiceRow& service,
-                          const EntryRow& entry,
-                          bool near) {
+// Power of two choices: draws two candidate shards and takes the cheaper one.
+// If each took the cheapest of all, all entry VMs with the same summaries would
+// choose the same shard.
+Candidate EntryCore::PickCandidate(TimePoint now,
+                                   const ServiceRow& service,
+                                   const EntryRow& entry,
+                                   bool near) {
   std::array<Candidate, 2> drawn;
   uint32_t seen = 0;
   for (const ShardRow& shard : service.shards) {
     const bool is_near = shard.data_centre == this->view->own_data_centre;
-    if (is_near != near || !this->MayGo(now, entry, shard)) {
+    if (is_near != near || !this->IsCandidate(now, entry, shard)) {
       continue;
     }
     const VmHandle owner = this->OwnerOf(now, entry, shard);
@@ -145,17 +151,17 @@
   return drawn[0].cost < drawn[1].cost ? drawn[0] : drawn[1];
 }
 
-Target EntryCore::ToDispatcher(TimePoint now,
-                               const ServiceRow& service,
-                               const EntryRow& entry) {
-  const Candidate near = this->Best(now, service, entry, true);
-  const Candidate far = this->Best(now, service, entry, false);
+Target EntryCore::ChooseDispatcher(TimePoint now,
+                                   const ServiceRow& service,
+                                   const EntryRow& entry) {
+  const Candidate near = this->PickCandidate(now, service, entry, true);
+  const Candidate far = this->PickCandidate(now, service, entry, false);
   const bool overflow = this->options.features.overflow;
   const bool by_cost =
       !this->options.features.hand_back || near.cost >= kUnusableWait;
-  const bool go_far =
+  const bool use_far =
       near.shard == nullptr || (overflow && by_cost && far.cost < near.cost);
-  const Candidate& chosen = go_far ? far : near;
+  const Candidate& chosen = use_far ? far : near;
   Target target;
   if (chosen.shard == nullptr) {
     return target;
@@ -170,45 +176,48 @@
   if (may_move) {
     target.max_wait = this->MaxWait(now, entry, far);
   }
-  this->beliefs.OnSent(now, target.shard,
-                       this->GuessOf(service, *chosen.shard));
+  this->shard_estimates.OnSent(now, target.shard,
+                               this->EstimateSummary(service, *chosen.shard));
   ++(chosen.near ? this->counts.near : this->counts.far);
   return target;
 }
 
-// What a shard that has told nothing yet is like: the slots that the view
-// gives it, all free, and the service time of another shard.
-ShardSummary EntryCore::GuessOf(const ServiceRow& service,
-                                const ShardRow& shard) const {
-  ShardSummary guess;
+// Estimates the summary of a shard that has not reported yet: the slots that
+// the view gives it, all free, and the longest service time of the service's
+// other shards.
+ShardSummary EntryCore::EstimateSummary(const ServiceRow& service,
+                                        const ShardRow& shard) const {
+  ShardSummary estimate;
   if (!shard.upstreams.empty()) {
     const UpstreamRow& first = service.upstreams[shard.upstreams.front()];
-    guess.slots = static_cast<uint16_t>(first.slots * shard.upstreams.size());
+    estimate.slots =
+        static_cast<uint16_t>(first.slots * shard.upstreams.size());
   }
   for (const ShardRow& other : service.shards) {
-    guess.service_time =
-        std::max(guess.service_time, this->beliefs.ServiceTimeAt(other.key));
+    estimate.service_time = std::max(
+        estimate.service_time, this->shard_estimates.ServiceTimeAt(other.key));
   }
-  return guess;
+  return estimate;
 }
 
-// The dispatcher knows its queue exactly, the entry VM only from the last
-// answer. So the request goes to the near one, which hands it back at once if
-// its wait is longer than what the entry VM expects elsewhere.
+// The dispatcher knows its queue exactly, while the entry VM knows it only from
+// the last answer. So the request goes to the near dispatcher, which hands it
+// back at once if its wait would be longer than what the entry VM expects
+// elsewhere.
 Duration EntryCore::MaxWait(TimePoint now,
                             const EntryRow& entry,
                             const Candidate& other) const {
   if (entry.request.traffic_class == TrafficClass::kBackground) {
     return entry.request.deadline == kNever
                ? Duration::max()
-               : (entry.request.deadline - now) / kPatientPart;
+               : (entry.request.deadline - now) / kBackgroundWaitDivisor;
   }
-  return other.cost * kMovePercent / 100;
+  return other.cost * kMaxWaitPercent / 100;
 }
 
-Target EntryCore::ToUpstream(TimePoint now,
-                             const ServiceRow& service,
-                             const EntryRow& entry) {
+Target EntryCore::ChooseUpstream(TimePoint now,
+                                 const ServiceRow& service,
+                                 const EntryRow& entry) {
   Target target;
   target.upstream = this->direct.Choose(
       now, service, this->view->own_data_centre, entry.failed_upstream);
@@ -226,20 +235,21 @@
                        : nullptr;
   Target target;
   if (service != nullptr && entry->choices < kMaxChoices) {
-    target = this->ToDispatcher(now, *service, *entry);
+    target = this->ChooseDispatcher(now, *service, *entry);
     if (target.kind == TargetKind::kCount && this->options.features.direct &&
-        !WasAnswered(*entry)) {
-      target = this->ToUpstream(now, *service, *entry);
+        !WasRefusedByDispatcher(*entry)) {
+      target = this->ChooseUpstream(now, *service, *entry);
     }
   }
   if (target.kind == TargetKind::kCount) {
     target.kind = TargetKind::kRefuse;
     const bool drained = service != nullptr && IsDrained(*service);
-    const bool unknown = entry != nullptr && entry->unknown != Refusal::kNone;
+    const bool uncertain_refusal =
+        entry != nullptr && entry->uncertain_refusal != Refusal::kNone;
     const Refusal own = drained ? Refusal::kDrained : Refusal::kNoUpstream;
-    target.refusal = unknown ? entry->unknown : own;
+    target.refusal = uncertain_refusal ? entry->uncertain_refusal : own;
     target.retry_after =
-        this->Spread(drained ? kDrainedRetryAfter : kRetryAfter);
+        this->AddJitter(drained ? kDrainedRetryAfter : kRetryAfter);
     ++this->counts.refusals[static_cast<size_t>(target.refusal)];
     return target;
   }
@@ -250,7 +260,8 @@
   return target;
 }
 
-// Only requests that are answered soon tell whether a dispatcher is silent.
+// Only interactive requests count for the silence of a dispatcher, since only
+// they are answered soon.
 void EntryCore::BeginAttempt(TimePoint now, EntryRow& entry) {
   const Target& target = entry.target;
   const TrafficClass traffic_class = entry.request.traffic_class;
@@ -258,9 +269,9 @@
     this->direct.Begin(now, target.upstream);
     return;
   }
-  entry.watched = target.vm != this->view->self &&
-                  RingOf(traffic_class) == RingKind::kInteractive;
-  if (entry.watched) {
+  entry.counts_for_silence = target.vm != this->view->self &&
+                             RingOf(traffic_class) == RingKind::kInteractive;
+  if (entry.counts_for_silence) {
     this->silence.OnSent(now, target.vm);
   }
 }
--- a/packages/decision/src/entry_core.h
+++ b/packages/decision/src/entry_core.h
@@ -15,12 +15,12 @@
 #include "shard_load_estimates.h"
 #include "team_admission.h"
 
-/// The entry router itself: entry_router.cc takes requests in, judges retries
-/// and lets requests go; entry_choice.cc chooses where they go.
+/// Implementation of the entry router. entry_router.cc admits requests, decides
+/// on retries and finishes requests; entry_choice.cc chooses where requests go.
 
 namespace basilsill {
 
-/// Places that a request may be sent to, all in all.
+/// Maximum number of attempts that the entry side makes for a request.
 inline constexpr uint32_t kMaxChoices = 3;
 
 struct EntryRow {
@@ -28,14 +28,15 @@
   Target target;
   TimePoint admitted;
   uint32_t choices = 0;
-  uint8_t sends = 0;  ///< To upstreams, as far as this VM can tell.
-  /// Shards that could not help, and VMs that could not dispatch.
+  uint8_t sends = 0;  ///< Sent to upstreams so often, as far as this VM knows.
+  /// Shards that refused the request, and VMs that could not dispatch it.
   std::array<ShardKey, kMaxChoices> tried_shards{};
   std::array<VmHandle, kMaxChoices> tried_vms{};
   UpstreamHandle failed_upstream;
-  /// What an attempt that may have run ended with; kNone if none may have.
-  Refusal unknown = Refusal::kNone;
-  bool watched = false;  ///< Counts for the silence of its dispatcher.
+  /// Refusal of an attempt that may have run; kNone if there was none.
+  Refusal uncertain_refusal = Refusal::kNone;
+  bool counts_for_silence =
+      false;  ///< Counts for the silence of its dispatcher.
 };
 
 /// A shard that a request could go to.
@@ -66,7 +67,7 @@
   void OnDrainSign(TimePoint now, UpstreamHandle upstream) override;
   void OnRateLimit(TimePoint now,
                    UpstreamHandle upstream,
-                   const AdvertisedRateLimit& told) override;
+                   const AdvertisedRateLimit& advertised) override;
   void Tick(TimePoint now) override;
   const EntryCounters& counters() const override;
 
@@ -74,17 +75,17 @@
   struct LinkState {
     VmHandle vm;
     bool lost = false;
-    TimePoint avoided_until{};  ///< It said that it shuts down.
+    TimePoint avoided_until{};  ///< The VM has reported that it shuts down.
   };
 
   // entry_router.cc
   Admission Reject(Refusal refusal, Duration retry_after);
   void EndAttempt(TimePoint now, EntryRow& entry, Refusal refusal);
-  void TellCrash(TimePoint now, const EntryRow& entry);
-  Retry JudgeRetry(TimePoint now,
-                   const EntryRow& entry,
-                   Refusal refusal,
-                   bool is_direct);
+  void ReportCrash(TimePoint now, const EntryRow& entry);
+  Retry DecideRetry(TimePoint now,
+                    const EntryRow& entry,
+                    Refusal refusal,
+                    bool is_direct);
   LinkState& LinkOf(VmHandle vm);
   RatioBudget& BudgetOf(const EntryRequest& request);
   RepeatBudget& FleetBudgetOf(const EntryRequest& request);
@@ -96,42 +97,45 @@
   VmHandle OwnerOf(TimePoint now,
                    const EntryRow& entry,
                    const ShardRow& shard) const;
-  bool MayGo(TimePoint now, const EntryRow& entry, const ShardRow& shard) const;
-  bool HasOtherPlace(TimePoint now, const EntryRow& entry) const;
+  bool IsCandidate(TimePoint now,
+                   const EntryRow& entry,
+                   const ShardRow& shard) const;
+  bool HasOtherShard(TimePoint now, const EntryRow& entry) const;
   Duration CostOf(TimePoint now,
                   const ShardRow& shard,
                   TrafficClass traffic_class) const;
-  Candidate Best(TimePoint now,
-                 const ServiceRow& service,
-                 const EntryRow& entry,
-                 bool near);
-  Target ToDispatcher(TimePoint now,
-                      const ServiceRow& service,
-                      const EntryRow& entry);
-  Duration Spread(Duration duration);
+  Candidate PickCandidate(TimePoint now,
+                          const ServiceRow& service,
+                          const EntryRow& entry,
+                          bool near);
+  Target ChooseDispatcher(TimePoint now,
+                          const ServiceRow& service,
+                          const EntryRow& entry);
+  Duration AddJitter(Duration duration);
   Duration MaxWait(TimePoint now,
                    const EntryRow& entry,
                    const Candidate& other) const;
-  Target ToUpstream(TimePoint now,
-                    const ServiceRow& service,
-                    const EntryRow& entry);
-  ShardSummary GuessOf(const ServiceRow& service, const ShardRow& shard) const;
+  Target ChooseUpstream(TimePoint now,
+                        const ServiceRow& service,
+                        const EntryRow& entry);
+  ShardSummary EstimateSummary(const ServiceRow& service,
+                               const ShardRow& shard) const;
   void BeginAttempt(TimePoint now, EntryRow& entry);
 
   EntryOptions options;
   RoutingViewPtr view;
-  uint32_t near_vms = 1;     ///< Live VMs in the own data centre.
-  uint32_t known_vms = 1;    ///< Live or not.
-  TimePoint began = kNever;  ///< With the first view.
+  uint32_t near_vms = 1;             ///< Live VMs in this VM's data centre.
+  uint32_t known_vms = 1;            ///< All VMs in the view, live or not.
+  TimePoint first_view_at = kNever;  ///< When the first view came.
   HandleTable<EntryRow, EntryTag> entries;
   TeamAdmission teams;
-  ShardLoadEstimates beliefs;
+  ShardLoadEstimates shard_estimates;
   DirectPath direct;
   PeerSilence silence;
   std::vector<LinkState> links;  ///< By index of the VM's handle.
-  /// What retries are paid from, by service and team.
+  /// Retry budgets, by service and team.
   boost::unordered_flat_map<uint64_t, RatioBudget> budgets;
-  /// The same by service, where the fleet has a bound.
+  /// Retry budgets by service, if the fleet has a bound.
   boost::unordered_flat_map<uint32_t, std::unique_ptr<RepeatBudget>>
       fleet_budgets;
   pcg32 random;
--- a/packages/decision/src/entry_router.cc
+++ b/packages/decision/src/entry_router.cc
@@ -9,8 +9,8 @@
 
 constexpr Duration kRetryAfter = std::chrono::milliseconds(100);
 
-// A VM that shuts down is passed over until the view says so.
-constexpr Duration kAvoidTime = std::chrono::seconds(1);
+// A VM that shuts down is avoided for this long, by when the view shows it.
+constexpr Duration kShutdownAvoidTime = std::chrono::seconds(1);
 
 constexpr size_t kBudgetReserve = 2 * limits::kMaxServices;
 
@@ -31,18 +31,19 @@
   }
 }
 
-// Failures of upstreams are the dispatcher's to retry; it has tried, or its
-// budget forbids it. Only on the direct path they are the entry's.
-bool IsOfUpstream(Refusal refusal) {
+// Upstream failures are retried by the dispatcher; if it refuses the request,
+// it has retried already or its budget forbids it. The entry side only retries
+// them on the direct path.
+bool IsUpstreamFailure(Refusal refusal) {
   return refusal == Refusal::kUpstreamShed ||
          refusal == Refusal::kUpstreamConnectFailed ||
          refusal == Refusal::kUpstreamDied;
 }
 
-// Being handed back costs upstreams nothing, so it is no matter of budgets:
-// from a dispatcher that can't help never, from a full queue once, as all
-// queues may be full.
-bool IsFree(Refusal refusal, uint32_t choices) {
+// A request that was handed back has cost upstreams nothing, so its retry is
+// not charged to a budget: always after a dispatcher that can't help, but only
+// once after a full queue, since all queues may be full.
+bool NeedsNoBudget(Refusal refusal, uint32_t choices) {
   switch (refusal) {
     case Refusal::kNoUpstream:
     case Refusal::kShuttingDown:
@@ -57,15 +58,16 @@
   }
 }
 
-// The shard can't serve it; its dispatcher is well, and knows that.
-bool IsOfShard(Refusal refusal) {
+// The shard can't serve the request, though its dispatcher is working.
+bool IsShardRefusal(Refusal refusal) {
   return refusal == Refusal::kNoUpstream || refusal == Refusal::kQueueFull ||
          refusal == Refusal::kDeadlineUnmeetable ||
          refusal == Refusal::kUpstreamRateLimit;
 }
 
-// The dispatcher's VM is the trouble, not the shard: its successor may help.
-bool IsOfPeer(Refusal refusal) {
+// The dispatcher's VM failed, not the shard: the shard's next owner may serve
+// the request.
+bool IsPeerFailure(Refusal refusal) {
   return refusal == Refusal::kPeerUnreachable ||
          refusal == Refusal::kPeerLost || refusal == Refusal::kShuttingDown;
 }
@@ -90,7 +92,7 @@
 }
 
 void EntryCore::ApplyView(TimePoint now, const RoutingViewPtr& new_view) {
-  this->began = std::min(this->began, now);
+  this->first_view_at = std::min(this->first_view_at, now);
   this->view = new_view;
   this->teams.ApplyView(*new_view);
   const auto near = std::count_if(
@@ -108,12 +110,13 @@
 void EntryCore::OnSummary(TimePoint now,
                           VmHandle from,
                           const ShardSummary& summary) {
-  // Failure: a VM opens a link before this one knows it, and sends a summary
-  // first. It has no row here, and the process would die at the look-up.
+  // Failure: a VM opens a link before this VM has it in its view, and sends a
+  // summary first. Without this check, the process would crash when it looks up
+  // the unknown VM.
   if (IsValid(from)) {
     this->silence.OnWord(now, from);
   }
-  this->beliefs.OnSummary(now, summary);
+  this->shard_estimates.OnSummary(now, summary);
 }
 
 EntryCore::LinkState& EntryCore::LinkOf(VmHandle vm) {
@@ -141,12 +144,12 @@
 
 void EntryCore::OnRateLimit(TimePoint now,
                             UpstreamHandle upstream,
-                            const AdvertisedRateLimit& told) {
-  this->direct.OnRateLimit(now, upstream, told);
+                            const AdvertisedRateLimit& advertised) {
+  this->direct.OnRateLimit(now, upstream, advertised);
 }
 
 void EntryCore::Tick(TimePoint now) {
-  this->beliefs.Tick(now);
+  this->shard_estimates.Tick(now);
 }
 
 const EntryCounters& EntryCore::counters() const {
@@ -198,7 +201,7 @@
   return place->second;
 }
 
-// The fleet's bound is one of each service, whichever team asks.
+// The fleet's bound applies to a service as a whole, for all teams together.
 RepeatBudget& EntryCore::FleetBudgetOf(const EntryRequest& request) {
   const auto [place, is_new] =
       this->fleet_budgets.try_emplace(request.service.index);
@@ -215,46 +218,46 @@
   }
 }
 
-// Every VM that is known counts, also one that seems gone: VMs that do not see
-// each other must not spend the same part of the fleet's slack.
+// Every VM in the view counts, even one that seems to be gone: VMs that can't
+// see each other must not spend the same part of the fleet's slack.
 bool EntryCore::TakeRetry(TimePoint now, const EntryRequest& request) {
   if (!this->options.repeats) {
     return this->BudgetOf(request).Take();
   }
   RepeatBudgetOptions part = *this->options.repeats;
   part.slack /= this->known_vms;
-  return IsSettled(now, this->began, part.window) &&
+  return IsSettled(now, this->first_view_at, part.window) &&
          this->FleetBudgetOf(request).Take(now, part);
 }
 
-// The attempt that `Choose` began is over.
-// @param refusal How it ended, kNone if it did not fail.
+// The attempt that `Choose` began has ended.
+// @param refusal How it ended; kNone if it did not fail.
 void EntryCore::EndAttempt(TimePoint now, EntryRow& entry, Refusal refusal) {
   const Target target = entry.target;
-  if (entry.watched) {
+  if (entry.counts_for_silence) {
     this->silence.OnDone(target.vm);
-    entry.watched = false;
+    entry.counts_for_silence = false;
   }
   if (target.kind == TargetKind::kDirect) {
     if (refusal == Refusal::kUpstreamDied) {
-      this->TellCrash(now, entry);
+      this->ReportCrash(now, entry);
     }
     this->direct.End(now, target.upstream, refusal);
     entry.failed_upstream = target.upstream;
-  } else if (target.kind == TargetKind::kDispatcher && IsOfPeer(refusal)) {
+  } else if (target.kind == TargetKind::kDispatcher && IsPeerFailure(refusal)) {
     entry.tried_vms[entry.choices - 1] = target.vm;
   } else if (target.kind == TargetKind::kDispatcher) {
     entry.tried_shards[entry.choices - 1] = target.shard;
   }
   if (refusal == Refusal::kShuttingDown && IsValid(target.vm)) {
-    this->LinkOf(target.vm).avoided_until = now + kAvoidTime;
+    this->LinkOf(target.vm).avoided_until = now + kShutdownAvoidTime;
   }
   entry.target.kind = TargetKind::kCount;
 }
 
-// An upstream died on the direct path: what this worker itself has in flight
-// there is suspect; of others it knows nothing.
-void EntryCore::TellCrash(TimePoint now, const EntryRow& entry) {
+// An upstream died on the direct path. The requests that this worker has in
+// flight there become suspects; those of other workers are not known here.
+void EntryCore::ReportCrash(TimePoint now, const EntryRow& entry) {
   const ServiceRow* service = FindService(*this->view, entry.request.service);
   if (!this->options.quarantine || service == nullptr) {
     return;
@@ -287,35 +290,36 @@
     return decision;
   }
   if (InfoOf(refusal).promise == Promise::kUnknown) {
-    entry->unknown = refusal;
+    entry->uncertain_refusal = refusal;
   }
   const bool is_direct = entry->target.kind == TargetKind::kDirect;
-  // Nobody is left to tell of what a lost peer sent: once at least, perhaps.
+  // A lost peer can't report how often it sent the request, so one send is
+  // assumed.
   entry->sends += refusal == Refusal::kPeerLost ? 1 : sends;
   this->EndAttempt(now, *entry, refusal);
-  decision.reason = this->JudgeRetry(now, *entry, refusal, is_direct);
+  decision.reason = this->DecideRetry(now, *entry, refusal, is_direct);
   decision.retry = IsGranted(decision.reason);
   if (decision.reason != Retry::kNone) {
     ++this->counts.retries[static_cast<size_t>(decision.reason)];
   }
   if (!decision.retry) {
-    const bool may_have_run = entry->unknown != Refusal::kNone;
-    decision.refusal = may_have_run ? entry->unknown : refusal;
+    const bool may_have_run = entry->uncertain_refusal != Refusal::kNone;
+    decision.refusal = may_have_run ? entry->uncertain_refusal : refusal;
     ++this->counts.refusals[static_cast<size_t>(decision.refusal)];
   }
   return decision;
 }
 
-Retry EntryCore::JudgeRetry(TimePoint now,
-                            const EntryRow& entry,
-                            Refusal refusal,
-                            bool is_direct) {
-  const bool own = is_direct || !IsOfUpstream(refusal);
+Retry EntryCore::DecideRetry(TimePoint now,
+                             const EntryRow& entry,
+                             Refusal refusal,
+                             bool is_direct) {
+  const bool is_retryable_here = is_direct || !IsUpstreamFailure(refusal);
   const bool may_have_run = InfoOf(refusal).promise == Promise::kUnknown;
-  const bool known = InfoOf(refusal).retryable ||
-                     refusal == Refusal::kPeerLost ||
-                     refusal == Refusal::kUpstreamDied;
-  if (!this->options.features.retry || !own || !known ||
+  const bool allows_retry = InfoOf(refusal).retryable ||
+                            refusal == Refusal::kPeerLost ||
+                            refusal == Refusal::kUpstreamDied;
+  if (!this->options.features.retry || !is_retryable_here || !allows_retry ||
       !entry.request.replayable || entry.choices >= kMaxChoices) {
     return Retry::kNone;
   }
@@ -325,10 +329,11 @@
   if (entry.request.deadline <= now) {
     return Retry::kDeniedDeadline;
   }
-  if (IsOfShard(refusal) && !this->HasOtherPlace(now, entry)) {
+  if (IsShardRefusal(refusal) && !this->HasOtherShard(now, entry)) {
     return Retry::kNone;
   }
-  if (!IsFree(refusal, entry.choices) && !this->TakeRetry(now, entry.request)) {
+  if (!NeedsNoBudget(refusal, entry.choices) &&
+      !this->TakeRetry(now, entry.request)) {
     return Retry::kDeniedBudget;
   }
   return ReasonOf(refusal);
--- a/packages/decision/src/quota.cc
+++ b/packages/decision/src/quota.cc
@@ -7,11 +7,11 @@
 
 void RecentCount::Add(LeaseTime now, double added) {
   this->count = this->At(now) + added;
-  this->counted = now;
+  this->counted_at = now;
 }
 
 double RecentCount::At(LeaseTime now) const {
-  const std::chrono::duration<double> passed = now - this->counted;
+  const std::chrono::duration<double> passed = now - this->counted_at;
   const std::chrono::duration<double> span = kSpan;
   return this->count * std::exp(-passed / span);
 }
--- a/packages/decision/src/quota_borrower.cc
+++ b/packages/decision/src/quota_borrower.cc
@@ -8,44 +8,47 @@
 
 using std::chrono::milliseconds;
 
-// A request waits so long for its credit at most. It is some times what a
-// lender takes that has to ask others first.
+// Longest time that a request waits for a credit. It is several times what a
+// lender needs that has to ask other lenders first.
 constexpr milliseconds kMaxWait{300};
 
-// An answer that takes this long is taken for lost.
+// An answer that takes this long is considered lost.
 constexpr milliseconds kAnswerTimeout{150};
 
-// Until a VM that does not lend yet, or the next candidate, is asked.
-constexpr milliseconds kAskAgain{20};
+// Pause before the next request, to a VM that does not lend yet or to the next
+// candidate.
+constexpr milliseconds kRequestBackoff{20};
 
-// Told where nobody lends; another entry VM may find a lender.
+// Retry time given to callers if there is no lender; another entry VM may find
+// one.
 constexpr milliseconds kUnavailableRetryAfter{250};
 
-// Credits go back with the next question, or alone after so long.
+// Credits are returned with the next request, or on their own after this time.
 constexpr milliseconds kMaxReturnDelay{50};
 
 constexpr milliseconds kMinRetryAfter{10};
 constexpr milliseconds kMaxRetryAfter{2000};
 
-// Of as many requests as came of late, those for which credits are borrowed
-// ahead: half of what will come within the life of a credit, since what is not
-// used is lost to the team.
-constexpr double kAheadPart = 0.25;
+// Fraction of the recent request count for which credits are borrowed ahead. It
+// covers half of the requests expected within the lifetime of a credit, since
+// the team loses credits that are not used.
+constexpr double kPrefetchFraction = 0.25;
 
-constexpr milliseconds kForgetAfter{10000};
+constexpr milliseconds kEvictInterval{10000};
 
-// Two credits of one team are never that far apart.
+// Lower bound of the assumed grant rate, in credits per second. It bounds the
+// time between the retries of two refused callers to one second.
 constexpr double kMinGrantRate = 1;
 
 }  // namespace
 
 QuotaDecision QuotaBorrower::Acquire(LeaseTime now, TeamKey key) {
   Team& team = this->teams[key];
-  team.entered.Add(now, 1);
+  team.arrivals.Add(now, 1);
   if (team.waiting.empty() && TakeCredit(now, team)) {
     return {QuotaVerdict::kGranted, 0, Duration(0), team.credit};
   }
-  if (now < team.closed_until) {
+  if (now < team.exhausted_until) {
     return {QuotaVerdict::kExhausted, 0, RetryAfter(now, team), {}};
   }
   team.waiting.push_back({++this->last_ticket, now});
@@ -61,21 +64,22 @@
   return true;
 }
 
-// Those that are refused come back one after the other, as fast as credits came
-// of late. Told one time, they would all come at once, and most be refused
-// again.
+// Spreads the retries of refused callers at the rate at which credits were
+// granted recently. With a common retry time they would all come back at once,
+// and most would be refused again.
 Duration QuotaBorrower::RetryAfter(LeaseTime now, Team& team) {
   const std::chrono::duration<double> span = RecentCount::kSpan;
   const double rate =
       std::max(kMinGrantRate, team.granted.At(now) / span.count());
-  const auto pace = std::chrono::duration_cast<Duration>(
+  const auto interval = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(1 / rate));
-  team.next_return = std::max(team.closed_until, team.next_return + pace);
-  return std::clamp<Duration>(team.next_return - now, kMinRetryAfter,
+  team.next_retry_at =
+      std::max(team.exhausted_until, team.next_retry_at + interval);
+  return std::clamp<Duration>(team.next_retry_at - now, kMinRetryAfter,
                               kMaxRetryAfter);
 }
 
-// A credit that is void by now is not lent again: its rate has been.
+// A void credit is not returned: the lender's bucket has refilled since.
 void QuotaBorrower::Return(LeaseTime now,
                            TeamKey key,
                            const QuotaCredit& credit) {
@@ -89,18 +93,18 @@
 }
 
 std::optional<QuotaRequest> QuotaBorrower::NextRequest(LeaseTime now) {
-  const bool gives_back =
+  const bool must_return =
       !this->returned.empty() && now - this->returned_since >= kMaxReturnDelay;
-  const bool has_need = this->waiting_count > 0 || gives_back;
-  if (this->asking || !has_need || now < this->ask_again_at) {
+  const bool must_send = this->waiting_count > 0 || must_return;
+  if (this->request_in_flight || !must_send || now < this->next_request_at) {
     return std::nullopt;
   }
   QuotaRequest request;
   this->AddWants(now, request);
   this->AddReturns(now, request);
   request.number = ++this->last_number;
-  this->asking = true;
-  this->asked_at = now;
+  this->request_in_flight = true;
+  this->requested_at = now;
   return request;
 }
 
@@ -110,9 +114,10 @@
         request.wants.size() == limits::kMaxQuotaTeams) {
       continue;
     }
-    const auto ahead = static_cast<uint32_t>(team.entered.At(now) * kAheadPart);
+    const auto prefetch =
+        static_cast<uint32_t>(team.arrivals.At(now) * kPrefetchFraction);
     const auto waiting = static_cast<uint32_t>(team.waiting.size());
-    request.wants.push_back({key, waiting + ahead});
+    request.wants.push_back({key, waiting + prefetch});
   }
 }
 
@@ -131,12 +136,12 @@
 }
 
 void QuotaBorrower::OnAnswer(LeaseTime now, const QuotaAnswer& answer) {
-  if (!this->asking || answer.number != this->last_number) {
+  if (!this->request_in_flight || answer.number != this->last_number) {
     return;
   }
-  this->asking = false;
+  this->request_in_flight = false;
   if (!answer.lends && answer.grants.empty()) {
-    this->ask_again_at = now + kAskAgain;
+    this->next_request_at = now + kRequestBackoff;
     return;
   }
   for (const QuotaGrant& grant : answer.grants) {
@@ -153,28 +158,30 @@
   }
   Team& team = found->second;
   team.granted.Add(now, grant.granted);
-  // What is left of earlier ones is void sooner; they are few.
+  // Drops credits left from earlier answers. They expire sooner, and they are
+  // few.
   team.credits = grant.granted;
-  team.credit = {lent_at, this->asked_at + kCreditLife};
+  team.credit = {lent_at, this->requested_at + kCreditLife};
   while (!team.waiting.empty() && TakeCredit(now, team)) {
     this->Settle(team, {QuotaVerdict::kGranted, 0, Duration(0), team.credit});
   }
   if (grant.retry_after > Duration(0)) {
-    team.closed_until = now + grant.retry_after;
+    team.exhausted_until = now + grant.retry_after;
   }
-  // Nobody says when: not asked again at once, or two VMs do nothing else.
-  if (!team.waiting.empty() && now >= team.closed_until) {
-    this->ask_again_at = now + kAskAgain;
+  // Neither enough credits nor a retry time: pauses before the next request,
+  // since otherwise two VMs would exchange requests and answers without end.
+  if (!team.waiting.empty() && now >= team.exhausted_until) {
+    this->next_request_at = now + kRequestBackoff;
   }
-  while (!team.waiting.empty() && now < team.closed_until) {
+  while (!team.waiting.empty() && now < team.exhausted_until) {
     this->Settle(team,
                  {QuotaVerdict::kExhausted, 0, RetryAfter(now, team), {}});
   }
 }
 
 void QuotaBorrower::Tick(LeaseTime now) {
-  if (this->asking && now - this->asked_at >= kAnswerTimeout) {
-    this->asking = false;
+  if (this->request_in_flight && now - this->requested_at >= kAnswerTimeout) {
+    this->request_in_flight = false;
   }
   if (this->waiting_count > 0) {
     for (auto& [key, team] : this->teams) {
@@ -185,10 +192,10 @@
       }
     }
   }
-  this->ForgetIdle(now);
+  this->EvictIdle(now);
 }
 
-// Ends the wait of the request that has waited longest.
+// Ends the wait of the team's longest-waiting request.
 void QuotaBorrower::Settle(Team& team, QuotaDecision decision) {
   decision.ticket = team.waiting.front().ticket;
   team.waiting.pop_front();
@@ -196,16 +203,17 @@
   this->settled.push_back(decision);
 }
 
-// Most teams are idle, and a VM sees a few of them at a time.
-void QuotaBorrower::ForgetIdle(LeaseTime now) {
-  if (now - this->forgotten_at < kForgetAfter) {
+// Evicts idle teams: most teams are idle, and a VM handles requests of only a
+// few at a time.
+void QuotaBorrower::EvictIdle(LeaseTime now) {
+  if (now - this->evicted_at < kEvictInterval) {
     return;
   }
-  this->forgotten_at = now;
-  constexpr double few = 0.001;
+  this->evicted_at = now;
+  constexpr double idle_threshold = 0.001;
   std::erase_if(this->teams, [now](const auto& entry) {
     const Team& team = entry.second;
-    return team.waiting.empty() && team.entered.At(now) < few;
+    return team.waiting.empty() && team.arrivals.At(now) < idle_threshold;
   });
 }
 
--- a/packages/decision/src/quota_buckets.cc
+++ b/packages/decision/src/quota_buckets.cc
@@ -9,20 +9,21 @@
 using std::chrono::milliseconds;
 using Seconds = std::chrono::duration<double>;
 
-// One request is let through at a time, however small the share.
+// At least one credit fits into a bucket, however small the share.
 constexpr double kMinCapacity = 1;
 
-// Levels are sums of many small parts: one that ought to be whole may come out
-// a little lower. What is taken for it is missing from the next one.
+// Tolerated rounding error of a level, in credits. A level is the sum of many
+// small increments and may end up slightly below a whole number. The credit is
+// then granted, and the difference is missing from the next one.
 constexpr double kRoundingCredits = 1e-6;
 
-// Who gets too few asks again within this time, and before the bucket could
-// run over: what does not fit is lost to the team.
+// A requester that got too few credits retries within these bounds, and before
+// the bucket could overflow, since the team loses credits that do not fit.
 constexpr milliseconds kMinRetryAfter{10};
 constexpr milliseconds kMaxRetryAfter{1000};
-constexpr double kFillPart = 0.5;
+constexpr double kMaxFillFraction = 0.5;
 
-// A team that this VM has not heard of yet.
+// For a team that this VM does not know yet.
 constexpr milliseconds kUnknownRetryAfter{100};
 
 Duration FromSeconds(double seconds) {
@@ -58,8 +59,8 @@
                 [](const auto& entry) { return !entry.second.is_listed; });
 }
 
-// One credit each is left: a team of few requests would else wait for seconds
-// after each change of lenders.
+// Leaves one credit for each team. Otherwise a team with few requests would
+// wait for seconds after each change of lender.
 void QuotaBuckets::Empty(LeaseTime now) {
   for (auto& [key, bucket] : this->buckets) {
     bucket.level = kMinCapacity;
@@ -102,13 +103,14 @@
 }
 
 Duration QuotaBuckets::RetryAfter(LeaseTime now, Bucket& bucket) {
-  const Duration pace = FromSeconds(1 / bucket.rate);
-  bucket.next_return = std::max(now, bucket.next_return) + pace;
-  const Duration fills = FromSeconds(kFillPart * bucket.capacity / bucket.rate);
+  const Duration interval = FromSeconds(1 / bucket.rate);
+  bucket.next_retry_at = std::max(now, bucket.next_retry_at) + interval;
+  const Duration fill_time =
+      FromSeconds(kMaxFillFraction * bucket.capacity / bucket.rate);
   const Duration longest =
-      std::clamp<Duration>(fills, kMinRetryAfter, kMaxRetryAfter);
-  const Duration after = std::min(bucket.next_return - now, longest);
-  bucket.next_return = now + after;
+      std::clamp<Duration>(fill_time, kMinRetryAfter, kMaxRetryAfter);
+  const Duration after = std::min(bucket.next_retry_at - now, longest);
+  bucket.next_retry_at = now + after;
   return std::max<Duration>(after, kMinRetryAfter);
 }
 
--- a/packages/decision/src/quota_coordinator.cc
+++ b/packages/decision/src/quota_coordinator.cc
@@ -8,8 +8,8 @@
 namespace basilsill {
 namespace {
 
-// In the number of a question, who of this VM asks: 0 for its lender, else a
-// worker.
+// The high bits of a request's number identify the requester on this VM: 0 for
+// its lender, otherwise the worker plus one.
 constexpr unsigned kWorkerShift = 48;
 constexpr uint64_t kNumberMask = (uint64_t{1} << kWorkerShift) - 1;
 
@@ -17,12 +17,12 @@
   return (uint64_t{worker} + 1) << kWorkerShift | (number & kNumberMask);
 }
 
-QuotaLender::Past PastOf(const QuotaLease& lease) {
+QuotaLender::ShareHistory HistoryOf(const QuotaLease& lease) {
   if (lease.was_unused()) {
-    return QuotaLender::Past::kUnused;
+    return QuotaLender::ShareHistory::kUnused;
   }
-  return lease.was_own() ? QuotaLender::Past::kOwn
-                         : QuotaLender::Past::kUnknown;
+  return lease.was_own() ? QuotaLender::ShareHistory::kOwn
+                         : QuotaLender::ShareHistory::kUnknown;
 }
 
 bool HasQuota(const TeamRow& team) {
@@ -43,20 +43,22 @@
 
 void QuotaCoordinator::ApplyView(LeaseTime now, const RoutingView& view) {
   this->self = view.self;
-  // VMs that seem gone count as well: they may lend on, unseen.
+  // VMs that seem to be gone count as well: they may still lend without being
+  // visible from here.
   const size_t shares =
       this->HasShares() ? this->options.shares.size() : CountVms(view);
   this->lender.SetTeams(now, view.teams, 1.0 / static_cast<double>(shares));
   if (!this->HasShares()) {
-    this->choice.SetCandidates({this->self});
-    this->lender.Begin(now, QuotaLender::Past::kUnknown);
+    this->lender_choice.SetCandidates({this->self});
+    this->lender.Begin(now, QuotaLender::ShareHistory::kUnknown);
     return;
   }
   this->SetCandidates(view);
-  // A lease that is there before the first request costs it no time.
+  // Takes the lease ahead of the first request, so that this need not wait for
+  // it.
   const bool has_quotas =
       std::any_of(view.teams.begin(), view.teams.end(), &HasQuota);
-  if (has_quotas && this->IsFirst()) {
+  if (has_quotas && this->IsFirstCandidate()) {
     this->own_lease.OnNeeded(now, true);
   }
 }
@@ -64,36 +66,36 @@
 void QuotaCoordinator::SetCandidates(const RoutingView& view) {
   std::vector<std::vector<VmHandle>> others;
   for (const std::string& name : this->options.shares) {
-    std::vector<VmHandle> tellers;
+    std::vector<VmHandle> possible_lenders;
     for (const DataCentreRow& row : view.data_centres) {
       if (IsValid(row.handle) && row.name == name) {
-        tellers = TellersOf(view.vms, row.handle);
+        possible_lenders = TellersOf(view.vms, row.handle);
       }
     }
     if (name == this->options.data_centre) {
-      this->candidates = std::move(tellers);
+      this->candidates = std::move(possible_lenders);
     } else {
-      others.push_back(std::move(tellers));
+      others.push_back(std::move(possible_lenders));
     }
   }
   std::vector<VmHandle> siblings = this->candidates;
   std::erase(siblings, this->self);
-  this->choice.SetCandidates(this->candidates);
-  this->lender.SetOthers(others, std::move(siblings));
+  this->lender_choice.SetCandidates(this->candidates);
+  this->lender.SetOtherLenders(others, std::move(siblings));
 }
 
-bool QuotaCoordinator::IsFirst() const {
+bool QuotaCoordinator::IsFirstCandidate() const {
   return !this->candidates.empty() && this->candidates.front() == this->self;
 }
 
 void QuotaCoordinator::Ask(LeaseTime now,
                            uint16_t worker,
                            QuotaRequest request) {
-  Asked& last = this->asked[worker];
+  LastRequest& last = this->last_requests[worker];
   if (!last.answered) {
-    this->choice.PassOver(last.vm);
+    this->lender_choice.PassOver(last.vm);
   }
-  const VmHandle vm = this->choice.current();
+  const VmHandle vm = this->lender_choice.current();
   last = {vm, request.number, false};
   if (!IsValid(vm)) {
     this->Decline(worker, request.number);
@@ -108,7 +110,7 @@
 }
 
 void QuotaCoordinator::Decline(uint16_t worker, uint64_t number) {
-  this->asked[worker].answered = true;
+  this->last_requests[worker].answered = true;
   QuotaAnswer answer;
   answer.number = number & kNumberMask;
   this->lender.Enqueue({{{}, worker}, answer});
@@ -125,7 +127,7 @@
   this->OnAnswer(now, send.to.vm, answer);
 }
 
-// A VM may link before this one knows it; it can't be answered.
+// A VM may open a link before this VM has it in its view. It can't be answered.
 void QuotaCoordinator::OnRequest(LeaseTime now,
                                  VmHandle from,
                                  const QuotaRequest& request) {
@@ -138,12 +140,12 @@
                             const QuotaRequester& from,
                             const QuotaRequest& request) {
   if (this->HasShares()) {
-    this->own_lease.OnNeeded(now, this->IsFirst());
-    this->Sync(now);
+    this->own_lease.OnNeeded(now, this->IsFirstCandidate());
+    this->SyncWithLease(now);
   }
   const bool is_own = !IsValid(from.vm);
   if (is_own) {
-    this->asked[from.worker].answered = true;
+    this->last_requests[from.worker].answered = true;
   }
   this->lender.OnRequest(now, from, request);
 }
@@ -151,20 +153,20 @@
 void QuotaCoordinator::OnAnswer(LeaseTime now,
                                 VmHandle from,
                                 const QuotaAnswer& answer) {
-  const uint64_t asker = answer.number >> kWorkerShift;
-  if (asker == 0) {
+  const uint64_t requester = answer.number >> kWorkerShift;
+  if (requester == 0) {
     this->lender.OnAnswer(now, from, answer);
     return;
   }
-  const auto worker = static_cast<uint16_t>(asker - 1);
+  const auto worker = static_cast<uint16_t>(requester - 1);
   QuotaAnswer own = answer;
   own.number = answer.number & kNumberMask;
-  Asked& last = this->asked[worker];
+  LastRequest& last = this->last_requests[worker];
   if (last.vm == from && (last.number & kNumberMask) == own.number) {
     last.answered = true;
   }
   if (!answer.lends) {
-    this->choice.PassOver(from);
+    this->lender_choice.PassOver(from);
   }
   this->lender.Enqueue({{{}, worker}, std::move(own)});
 }
@@ -172,15 +174,15 @@
 void QuotaCoordinator::Tick(LeaseTime now) {
   this->lender.Tick(now);
   if (this->HasShares()) {
-    this->Sync(now);
+    this->SyncWithLease(now);
   }
 }
 
-// Lends exactly as long as the lease holds.
-void QuotaCoordinator::Sync(LeaseTime now) {
+// Lends exactly as long as the lease is valid.
+void QuotaCoordinator::SyncWithLease(LeaseTime now) {
   const bool holds = this->own_lease.Holds(now);
   if (holds && !this->is_lending) {
-    this->lender.Begin(now, PastOf(this->own_lease));
+    this->lender.Begin(now, HistoryOf(this->own_lease));
   } else if (!holds) {
     this->lender.End();
   }
@@ -192,7 +194,7 @@
     return QuotaLeaseCall::kNone;
   }
   const QuotaLeaseCall call = this->own_lease.NextCall(now);
-  this->Sync(now);
+  this->SyncWithLease(now);
   return call;
 }
 
@@ -205,25 +207,26 @@
 
 void QuotaCoordinator::OnLeaseWritten(LeaseTime now, uint64_t end) {
   this->own_lease.OnWritten(now, end);
-  this->Sync(now);
+  this->SyncWithLease(now);
 }
 
-// Another candidate has to see the record for a whole term before it may lend,
-// so it begins to look at the first sign that this one will not renew it.
+// Another candidate must see the same record for a whole term before it may
+// lend. So an empty request makes it start observing the record as soon as this
+// VM may fail to renew its lease.
 void QuotaCoordinator::OnLeaseFailed(LeaseTime now) {
   this->own_lease.OnFailed(now);
   for (const VmHandle vm : this->candidates) {
     if (vm != this->self) {
-      QuotaRequest need;
-      need.of_lender = true;
-      this->lender.Enqueue({{vm, 0}, std::move(need)});
+      QuotaRequest empty_request;
+      empty_request.of_lender = true;
+      this->lender.Enqueue({{vm, 0}, std::move(empty_request)});
     }
   }
 }
 
 void QuotaCoordinator::Leave(LeaseTime now) {
   this->own_lease.GiveUp();
-  this->Sync(now);
+  this->SyncWithLease(now);
 }
 
 }  // namespace basilsill
--- a/packages/decision/src/quota_lease.cc
+++ b/packages/decision/src/quota_lease.cc
@@ -7,21 +7,22 @@
 
 using std::chrono::milliseconds;
 
-// Some writes may fail in a row before the lease ends.
-constexpr milliseconds kRenewEvery{1000};
+// Several renewals in a row may fail before the lease expires.
+constexpr milliseconds kRenewInterval{1000};
 
-// A later candidate waits so long for the first one to take the share.
-constexpr milliseconds kStepInAfter{400};
+// A later candidate waits this long for the first candidate to take the share.
+constexpr milliseconds kTakeoverDelay{400};
 
-// Two questions that are further apart belong to two needs.
+// Calls of OnNeeded that are further apart do not count as one continuing need.
 constexpr milliseconds kNeedGap{2000};
 
-// A share that nobody needs is not renewed.
+// The lease is not renewed if the share has not been needed for this long.
 constexpr milliseconds kIdleAfter{30000};
 
 constexpr milliseconds kRetryPause{200};
 
-// What another VM waits beyond the term, for clocks that run at two speeds.
+// Time that another VM waits beyond the term, in case the clocks of the two VMs
+// run at different speeds.
 constexpr milliseconds kClockMargin{200};
 
 }  // namespace
@@ -46,29 +47,30 @@
     return true;
   }
   return now - this->needed_at < kNeedGap &&
-         this->needed_at - this->needed_since >= kStepInAfter;
+         this->needed_at - this->needed_since >= kTakeoverDelay;
 }
 
 bool QuotaLease::IsFree(LeaseTime now) const {
-  if (!this->seen || this->seen->holder.empty() ||
-      this->seen->holder == this->self.holder) {
+  if (!this->known_record || this->known_record->holder.empty() ||
+      this->known_record->holder == this->self.holder) {
     return true;
   }
-  return now - this->seen_since >= kTerm + kClockMargin;
+  return now - this->unchanged_since >= kTerm + kClockMargin;
 }
 
 QuotaLeaseCall QuotaLease::Begin(LeaseTime now, QuotaLeaseCall call) {
-  this->under_way = call;
+  this->call_in_flight = call;
   this->call_begun = now;
   return call;
 }
 
 QuotaLeaseCall QuotaLease::NextCall(LeaseTime now) {
-  if (this->under_way != QuotaLeaseCall::kNone || now < this->next_call_at) {
+  if (this->call_in_flight != QuotaLeaseCall::kNone ||
+      now < this->next_call_at) {
     return QuotaLeaseCall::kNone;
   }
   if (this->given_up && this->Holds(now)) {
-    // From here on it lends nothing, whatever becomes of the call.
+    // Stops lending now, whether or not the write succeeds.
     this->held_until = LeaseTime::min();
     this->to_write = {};
     return this->Begin(now, QuotaLeaseCall::kWrite);
@@ -76,7 +78,7 @@
   if (!this->IsWanted(now)) {
     return QuotaLeaseCall::kNone;
   }
-  if (!this->is_known || this->reads_again) {
+  if (!this->is_known || this->must_reread) {
     return this->Begin(now, QuotaLeaseCall::kRead);
   }
   if (!this->IsFree(now)) {
@@ -89,42 +91,42 @@
 void QuotaLease::OnRead(LeaseTime now,
                         const std::optional<QuotaLeaseRecord>& record,
                         uint64_t end) {
-  this->under_way = QuotaLeaseCall::kNone;
-  this->reads_again = false;
-  if (!this->is_known || end != this->log_end || record != this->seen) {
-    this->seen_since = now;
+  this->call_in_flight = QuotaLeaseCall::kNone;
+  this->must_reread = false;
+  if (!this->is_known || end != this->log_end || record != this->known_record) {
+    this->unchanged_since = now;
   }
   this->is_known = true;
-  this->seen = record;
+  this->known_record = record;
   this->log_end = end;
 }
 
 void QuotaLease::OnWritten(LeaseTime now, uint64_t end) {
-  this->under_way = QuotaLeaseCall::kNone;
+  this->call_in_flight = QuotaLeaseCall::kNone;
   this->log_end = end;
-  this->seen_since = now;
+  this->unchanged_since = now;
   if (!this->Holds(now)) {
-    this->unused = !this->seen.has_value();
-    this->own = this->seen == this->self;
+    this->unused = !this->known_record.has_value();
+    this->own = this->known_record == this->self;
   }
-  this->seen = this->to_write;
+  this->known_record = this->to_write;
   if (this->to_write.holder.empty()) {
     return;
   }
   this->held_until = this->call_begun + kTerm;
-  this->next_call_at = this->call_begun + kRenewEvery;
+  this->next_call_at = this->call_begun + kRenewInterval;
 }
 
 void QuotaLease::OnConflict(LeaseTime now) {
-  this->under_way = QuotaLeaseCall::kNone;
-  this->reads_again = true;
+  this->call_in_flight = QuotaLeaseCall::kNone;
+  this->must_reread = true;
   this->next_call_at = now;
 }
 
-// The write may have been done, or may yet be.
+// The write may have taken effect, or may still do so.
 void QuotaLease::OnFailed(LeaseTime now) {
-  this->under_way = QuotaLeaseCall::kNone;
-  this->reads_again = true;
+  this->call_in_flight = QuotaLeaseCall::kNone;
+  this->must_reread = true;
   this->next_call_at = now + kRetryPause;
 }
 
--- a/packages/decision/src/quota_lender.cc
+++ b/packages/decision/src/quota_lender.cc
@@ -8,16 +8,16 @@
 
 using std::chrono::milliseconds;
 
-// Another lender answers within a round trip between data centres; one that
-// takes this long is passed over.
+// Another lender answers within a round trip between data centres. One that
+// takes this long is skipped.
 constexpr milliseconds kLenderTimeout{40};
 
-// All that is asked of others for one request.
-constexpr milliseconds kMaxOpen{100};
+// Limit on the time that a request spends waiting for other lenders.
+constexpr milliseconds kMaxPendingTime{100};
 
-// Told where the share of the data centre is not lent and the others have
-// nothing left.
-constexpr milliseconds kUnlentRetryAfter{100};
+// Retry time given if the share of this data centre is not lent and the other
+// lenders have no credits left.
+constexpr milliseconds kNoLenderRetryAfter{100};
 
 uint64_t TicksOf(LeaseTime time) {
   return static_cast<uint64_t>(time.time_since_epoch().count());
@@ -34,31 +34,32 @@
 
 }  // namespace
 
-void QuotaLender::SetOthers(const std::vector<std::vector<VmHandle>>& shares,
-                            std::vector<VmHandle> siblings) {
+void QuotaLender::SetOtherLenders(
+    const std::vector<std::vector<VmHandle>>& shares,
+    std::vector<VmHandle> siblings) {
   this->sibling.SetCandidates(std::move(siblings));
-  this->others.resize(shares.size());
+  this->other_shares.resize(shares.size());
   for (size_t i = 0; i < shares.size(); ++i) {
-    this->others[i].SetCandidates(shares[i]);
+    this->other_shares[i].SetCandidates(shares[i]);
   }
 }
 
-void QuotaLender::Begin(LeaseTime now, Past past) {
+void QuotaLender::Begin(LeaseTime now, ShareHistory history) {
   if (this->lends) {
     return;
   }
   this->lends = true;
-  if (past == Past::kUnused) {
+  if (history == ShareHistory::kUnused) {
     this->buckets.Fill(now);
-  } else if (past == Past::kUnknown) {
+  } else if (history == ShareHistory::kUnknown) {
     this->buckets.Empty(now);
   }
 }
 
-// Failure: the platform's store turns the lender of a data centre away, and its
-// lease ends. All requests there of teams with a quota would be refused until
-// another VM may lend the share, though the other shares are lent. So one that
-// does not lend asks those that do.
+// Failure: the platform's store refuses calls of a data centre's lender, and
+// its lease expires. All requests there of teams with a quota would be refused
+// until another VM may lend the share, although the other shares are still
+// lent. So a VM that does not lend forwards requests to those that do.
 void QuotaLender::OnRequest(LeaseTime now,
                             const QuotaRequester& from,
                             const QuotaRequest& request) {
@@ -67,117 +68,123 @@
   answer.lends = this->lends;
   answer.lent_at = TicksOf(now);
   if (this->lends) {
-    this->TakeBack(now, request);
+    this->ApplyReturns(now, request);
   }
   for (const QuotaWant& want : request.wants) {
     answer.grants.push_back(
         this->lends ? this->buckets.Take(now, want.team, want.wanted)
-                    : QuotaGrant{want.team, 0, kUnlentRetryAfter});
-  }
-  Open open;
-  open.from = from;
-  open.is_lent = this->lends;
-  open.asks_sibling = !this->lends;
-  open.missing = this->MissingOf(now, request, answer);
-  open.answer = std::move(answer);
-  open.since = now;
-  open.shares_left = this->others.size();
-  open.next_share = this->first_share++;
-  if (request.of_lender || open.missing.empty() || !this->AskNext(now, open)) {
-    this->Answer(open);
+                    : QuotaGrant{want.team, 0, kNoLenderRetryAfter});
+  }
+  PendingRequest pending;
+  pending.from = from;
+  pending.has_lender = this->lends;
+  pending.may_ask_sibling = !this->lends;
+  pending.missing = this->FindMissing(now, request, answer);
+  pending.answer = std::move(answer);
+  pending.since = now;
+  pending.shares_left = this->other_shares.size();
+  pending.next_share = this->first_share++;
+  if (request.of_lender || pending.missing.empty() ||
+      !this->ForwardToNext(now, pending)) {
+    this->Answer(pending);
     return;
   }
-  this->opened.push_back(std::move(open));
+  this->pending_requests.push_back(std::move(pending));
 }
 
-// Only what was lent within the life of a credit: in any window no more can
-// come back into a bucket than it gave just before.
-void QuotaLender::TakeBack(LeaseTime now, const QuotaRequest& request) {
-  for (const QuotaReturn& back : request.returns) {
-    const Duration age = now.time_since_epoch() - Duration(back.lent_at);
+// Accepts only credits lent within the lifetime of a credit: in any window, no
+// more can be returned to a bucket than it granted just before.
+void QuotaLender::ApplyReturns(LeaseTime now, const QuotaRequest& request) {
+  for (const QuotaReturn& returned : request.returns) {
+    const Duration age = now.time_since_epoch() - Duration(returned.lent_at);
     if (age >= Duration(0) && age < kCreditLife) {
-      this->buckets.Put(now, back.team, back.count);
+      this->buckets.Put(now, returned.team, returned.count);
     }
   }
 }
 
-std::vector<QuotaWant> QuotaLender::MissingOf(LeaseTime now,
-                                              const QuotaRequest& request,
-                                              const QuotaAnswer& answer) const {
+std::vector<QuotaWant> QuotaLender::FindMissing(
+    LeaseTime now,
+    const QuotaRequest& request,
+    const QuotaAnswer& answer) const {
   std::vector<QuotaWant> missing;
   for (size_t i = 0; i < request.wants.size(); ++i) {
     const QuotaWant& want = request.wants[i];
     const uint32_t granted = answer.grants[i].granted;
-    const auto closed = this->exhausted.find(want.team);
-    const bool is_closed =
-        closed != this->exhausted.end() && now < closed->second;
-    if (granted < want.wanted && !is_closed) {
+    const auto exhausted_entry = this->exhausted_until.find(want.team);
+    const bool is_exhausted = exhausted_entry != this->exhausted_until.end() &&
+                              now < exhausted_entry->second;
+    if (granted < want.wanted && !is_exhausted) {
       missing.push_back({want.team, want.wanted - granted});
     }
   }
   return missing;
 }
 
-// @returns false if there is nobody left to ask.
-bool QuotaLender::AskNext(LeaseTime now, Open& open) {
-  while (open.shares_left > 0) {
-    --open.shares_left;
+// Forwards the request to the next lender.
+// @returns false if there is none left.
+bool QuotaLender::ForwardToNext(LeaseTime now, PendingRequest& pending) {
+  while (pending.shares_left > 0) {
+    --pending.shares_left;
     const LenderChoice& share =
-        this->others[open.next_share++ % this->others.size()];
+        this->other_shares[pending.next_share++ % this->other_shares.size()];
     if (!IsValid(share.current())) {
       continue;
     }
-    this->Ask(now, open, share.current());
+    this->Forward(now, pending, share.current());
     return true;
   }
-  if (std::exchange(open.asks_sibling, false) &&
+  if (std::exchange(pending.may_ask_sibling, false) &&
       IsValid(this->sibling.current())) {
-    this->Ask(now, open, this->sibling.current());
+    this->Forward(now, pending, this->sibling.current());
     return true;
   }
   return false;
 }
 
-void QuotaLender::Ask(LeaseTime now, Open& open, VmHandle vm) {
+void QuotaLender::Forward(LeaseTime now, PendingRequest& pending, VmHandle vm) {
   QuotaRequest request;
   request.number = ++this->last_number;
   request.of_lender = true;
-  request.wants = open.missing;
-  open.asking = vm;
-  open.asked_number = request.number;
-  open.asked = now;
-  this->asked[request.number] = now;
-  this->sends.push_back({{vm, 0}, std::move(request)});
+  request.wants = pending.missing;
+  pending.current_lender = vm;
+  pending.forwarded_number = request.number;
+  pending.forwarded_at = now;
+  this->forwarded_at[request.number] = now;
+  this->outgoing.push_back({{vm, 0}, std::move(request)});
 }
 
 void QuotaLender::OnAnswer(LeaseTime now,
                            VmHandle from,
                            const QuotaAnswer& answer) {
   if (!answer.lends) {
-    for (LenderChoice& share : this->others) {
+    for (LenderChoice& share : this->other_shares) {
       share.PassOver(from);
     }
   }
-  const auto found = std::find_if(
-      this->opened.begin(), this->opened.end(), [&](const Open& open) {
-        return open.asking == from && open.asked_number == answer.number;
-      });
-  if (found == this->opened.end()) {
-    this->KeepLate(now, answer);
+  const auto found =
+      std::find_if(this->pending_requests.begin(), this->pending_requests.end(),
+                   [&](const PendingRequest& pending) {
+                     return pending.current_lender == from &&
+                            pending.forwarded_number == answer.number;
+                   });
+  if (found == this->pending_requests.end()) {
+    this->KeepLateGrants(now, answer);
     return;
   }
-  this->asked.erase(answer.number);
-  found->is_lent = found->is_lent || answer.lends;
+  this->forwarded_at.erase(answer.number);
+  found->has_lender = found->has_lender || answer.lends;
   Merge(*found, answer);
-  if (found->missing.empty() || !this->AskNext(now, *found)) {
+  if (found->missing.empty() || !this->ForwardToNext(now, *found)) {
     this->Close(now, *found);
-    this->opened.erase(found);
+    this->pending_requests.erase(found);
   }
 }
 
-// Too late for its request; the next one has it.
-void QuotaLender::KeepLate(LeaseTime now, const QuotaAnswer& answer) {
-  if (this->asked.erase(answer.number) == 0) {
+// Puts the credits of an answer that came too late for its request into the
+// buckets, for later requests.
+void QuotaLender::KeepLateGrants(LeaseTime now, const QuotaAnswer& answer) {
+  if (this->forwarded_at.erase(answer.number) == 0) {
     return;
   }
   for (const QuotaGrant& grant : answer.grants) {
@@ -185,70 +192,71 @@
   }
 }
 
-void QuotaLender::Merge(Open& open, const QuotaAnswer& answer) {
+void QuotaLender::Merge(PendingRequest& pending, const QuotaAnswer& answer) {
   for (const QuotaGrant& more : answer.grants) {
     const auto missing = std::find_if(
-        open.missing.begin(), open.missing.end(),
+        pending.missing.begin(), pending.missing.end(),
         [&more](const QuotaWant& want) { return want.team == more.team; });
-    QuotaGrant* grant = FindGrant(open.answer, more.team);
-    if (missing == open.missing.end() || grant == nullptr) {
+    QuotaGrant* grant = FindGrant(pending.answer, more.team);
+    if (missing == pending.missing.end() || grant == nullptr) {
       continue;
     }
     grant->granted += more.granted;
     missing->wanted -= std::min(missing->wanted, more.granted);
   }
-  std::erase_if(open.missing,
+  std::erase_if(pending.missing,
                 [](const QuotaWant& want) { return want.wanted == 0; });
 }
 
-// Answers with what there is.
-void QuotaLender::Close(LeaseTime now, Open& open) {
-  for (QuotaGrant& grant : open.answer.grants) {
+// Ends a forwarded request, and answers with the credits granted so far.
+void QuotaLender::Close(LeaseTime now, PendingRequest& pending) {
+  for (QuotaGrant& grant : pending.answer.grants) {
     const bool is_missing = std::any_of(
-        open.missing.begin(), open.missing.end(),
+        pending.missing.begin(), pending.missing.end(),
         [&grant](const QuotaWant& want) { return want.team == grant.team; });
-    if (is_missing && open.is_lent) {
-      this->exhausted[grant.team] = now + grant.retry_after;
+    if (is_missing && pending.has_lender) {
+      this->exhausted_until[grant.team] = now + grant.retry_after;
     } else if (!is_missing) {
       grant.retry_after = Duration(0);
     }
   }
-  this->Answer(open);
+  this->Answer(pending);
 }
 
-void QuotaLender::Answer(Open& open) {
-  if (!open.is_lent) {
-    open.answer.grants.clear();
+void QuotaLender::Answer(PendingRequest& pending) {
+  if (!pending.has_lender) {
+    pending.answer.grants.clear();
   }
-  this->sends.push_back({open.from, std::move(open.answer)});
+  this->outgoing.push_back({pending.from, std::move(pending.answer)});
 }
 
 void QuotaLender::Tick(LeaseTime now) {
-  for (size_t i = 0; i < this->opened.size();) {
-    Open& open = this->opened[i];
-    const bool is_silent = now - open.asked >= kLenderTimeout;
-    if (is_silent) {
-      for (LenderChoice& share : this->others) {
-        share.PassOver(open.asking);
+  for (size_t i = 0; i < this->pending_requests.size();) {
+    PendingRequest& pending = this->pending_requests[i];
+    const bool is_timed_out = now - pending.forwarded_at >= kLenderTimeout;
+    if (is_timed_out) {
+      for (LenderChoice& share : this->other_shares) {
+        share.PassOver(pending.current_lender);
       }
     }
-    const bool is_over = now - open.since >= kMaxOpen;
-    if (is_over || (is_silent && !this->AskNext(now, open))) {
-      this->Close(now, open);
-      this->opened.erase(this->opened.begin() + static_cast<ptrdiff_t>(i));
+    const bool is_expired = now - pending.since >= kMaxPendingTime;
+    if (is_expired || (is_timed_out && !this->ForwardToNext(now, pending))) {
+      this->Close(now, pending);
+      this->pending_requests.erase(this->pending_requests.begin() +
+                                   static_cast<ptrdiff_t>(i));
     } else {
       ++i;
     }
   }
-  std::erase_if(this->asked, [now](const auto& entry) {
+  std::erase_if(this->forwarded_at, [now](const auto& entry) {
     return now - entry.second >= kCreditLife;
   });
-  std::erase_if(this->exhausted,
+  std::erase_if(this->exhausted_until,
                 [now](const auto& entry) { return now >= entry.second; });
 }
 
 std::vector<OutgoingQuotaMessage> QuotaLender::TakeOutgoing() {
-  return std::exchange(this->sends, {});
+  return std::exchange(this->outgoing, {});
 }
 
 }  // namespace basilsill
--- a/packages/decision/src/rate_limit_cache.cc
+++ b/packages/decision/src/rate_limit_cache.cc
@@ -9,27 +9,29 @@
 namespace basilsill {
 namespace {
 
-// A limit is told again every few seconds while the upstream is heard; one that
-// gets a request in ten seconds is heard no more often.
-constexpr Duration kKeptFor = std::chrono::seconds(30);
+// A limit is reported every few seconds while the upstream sends answers. An
+// upstream that gets one request in ten seconds answers no more often than
+// that.
+constexpr Duration kMaxAge = std::chrono::seconds(30);
 
 }  // namespace
 
 uint64_t KeyOfIncarnation(const ServiceRow& service,
                           const UpstreamRow& upstream) {
-  const UpstreamIncarnation start = IncarnationOf(service, upstream);
-  const uint64_t seed =
-      KeyOf(upstream.endpoint) + static_cast<uint64_t>(start.started.count());
-  return XXH3_64bits_withSeed(start.id.data(), start.id.size(), seed);
+  const UpstreamIncarnation incarnation = IncarnationOf(service, upstream);
+  const uint64_t seed = KeyOf(upstream.endpoint) +
+                        static_cast<uint64_t>(incarnation.started.count());
+  return XXH3_64bits_withSeed(incarnation.id.data(), incarnation.id.size(),
+                              seed);
 }
 
 RateLimitReport MakeRateLimitReport(const ServiceRow& service,
                                     const UpstreamRow& upstream,
-                                    const AdvertisedRateLimit& told) {
+                                    const AdvertisedRateLimit& advertised) {
   RateLimitReport report;
   report.upstream = KeyOfIncarnation(service, upstream);
-  report.named = told.presence == RateLimitPresence::kNamed;
-  report.requests_per_second = told.requests_per_second;
+  report.named = advertised.presence == RateLimitPresence::kNamed;
+  report.requests_per_second = advertised.requests_per_second;
   const auto position =
       static_cast<uint32_t>(&upstream - service.upstreams.data());
   for (const ShardRow& shard : service.shards) {
@@ -46,32 +48,32 @@
     this->rows.erase(report.upstream);
     return;
   }
-  this->MakeRoom(now);
+  this->EvictIfFull(now);
   this->rows[report.upstream] = {report.requests_per_second, now};
 }
 
 std::optional<double> RateLimitCache::Find(TimePoint now,
                                            uint64_t upstream) const {
   const auto found = this->rows.find(upstream);
-  if (found == this->rows.end() || now - found->second.heard_at > kKeptFor) {
+  if (found == this->rows.end() || now - found->second.received_at > kMaxAge) {
     return std::nullopt;
   }
   return found->second.requests_per_second;
 }
 
-void RateLimitCache::MakeRoom(TimePoint now) {
+void RateLimitCache::EvictIfFull(TimePoint now) {
   if (this->rows.size() < limits::kMaxRateLimitReports) {
     return;
   }
   boost::unordered::erase_if(this->rows, [now](const auto& row) {
-    return now - row.second.heard_at > kKeptFor;
+    return now - row.second.received_at > kMaxAge;
   });
   if (this->rows.size() < limits::kMaxRateLimitReports) {
     return;
   }
   this->rows.erase(std::min_element(
       this->rows.begin(), this->rows.end(), [](const auto& a, const auto& b) {
-        return a.second.heard_at < b.second.heard_at;
+        return a.second.received_at < b.second.received_at;
       }));
 }
 
--- a/packages/decision/src/rate_limit_cache.h
+++ b/packages/decision/src/rate_limit_cache.h
@@ -9,13 +9,13 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/rate_limit.h"
 
-/// What other VMs told of rate limits, kept for the moment at which this one
-/// begins to dispatch for the upstream.
+/// Rate limits reported by other VMs, kept until this VM begins to dispatch for
+/// the upstream.
 
 namespace basilsill {
 
-/// @returns the name of this start of `upstream`, a row of `service`, on every
-/// VM.
+/// @returns a key for the current incarnation of `upstream`, a row of
+/// `service`. All VMs compute the same key.
 uint64_t KeyOfIncarnation(const ServiceRow& service,
                           const UpstreamRow& upstream);
 
@@ -25,8 +25,8 @@
 
   void Forget(uint64_t upstream) { this->rows.erase(upstream); }
 
-  /// @returns the limit that was told, in requests a second, if that was not
-  /// long ago.
+  /// @returns the reported limit in requests per second; nullopt if there is no
+  /// recent report.
   std::optional<double> Find(TimePoint now, uint64_t upstream) const;
 
   bool empty() const { return this->rows.empty(); }
@@ -34,10 +34,10 @@
  private:
   struct Row {
     double requests_per_second = 0;
-    TimePoint heard_at{};
+    TimePoint received_at{};
   };
 
-  void MakeRoom(TimePoint now);
+  void EvictIfFull(TimePoint now);
 
   boost::unordered_flat_map<uint64_t, Row> rows;
 };
--- a/packages/decision/src/rate_limit_quota.cc
+++ b/packages/decision/src/rate_limit_quota.cc
@@ -6,44 +6,44 @@
 namespace basilsill {
 namespace {
 
-// A limit that moves by less than this part of itself is no news to anybody.
-constexpr double kNoticeable = 0.2;
+// A change of the limit by no more than this fraction is not reported.
+constexpr double kReportThreshold = 0.2;
 
-// One request in ten seconds, whatever the limit.
-constexpr double kLeastPerSecond = 0.1;
+// At least one request in ten seconds is sent, whatever the limit.
+constexpr double kMinPerSecond = 0.1;
 
-// Of unused rate that may be made up for, so that a high limit is not lost
-// between two looks at the queue.
+// Unused rate that may be caught up on, in seconds. It keeps a high limit
+// usable although the queue is only scanned at intervals.
 constexpr std::chrono::duration<double> kBurst{0.1};
 
-constexpr Duration kUnheardAfter = std::chrono::seconds(2);
+constexpr Duration kStaleAfter = std::chrono::seconds(2);
 
 }  // namespace
 
 RateLimitChange RateLimitQuota::Update(TimePoint now,
-                                       TimePoint asked_at,
-                                       const AdvertisedRateLimit& told) {
-  if (told.presence == RateLimitPresence::kNone && this->named &&
-      asked_at > this->named_at) {
+                                       TimePoint request_sent_at,
+                                       const AdvertisedRateLimit& advertised) {
+  if (advertised.presence == RateLimitPresence::kNone && this->named &&
+      request_sent_at > this->named_at) {
     this->named = false;
     return RateLimitChange::kEnded;
   }
-  if (told.presence != RateLimitPresence::kNamed) {
+  if (advertised.presence != RateLimitPresence::kNamed) {
     return RateLimitChange::kNone;
   }
   const bool is_new = !this->named;
   if (is_new) {
     this->counted_at = now;
-    this->sent_at = asked_at;
+    this->sent_at = request_sent_at;
   }
   this->named = true;
   this->named_at = now;
-  this->per_second = told.requests_per_second;
-  const double moved = std::abs(this->per_second - this->noted);
-  if (!is_new && moved <= kNoticeable * this->noted) {
+  this->per_second = advertised.requests_per_second;
+  const double moved = std::abs(this->per_second - this->last_reported);
+  if (!is_new && moved <= kReportThreshold * this->last_reported) {
     return RateLimitChange::kNone;
   }
-  this->noted = this->per_second;
+  this->last_reported = this->per_second;
   return RateLimitChange::kNamed;
 }
 
@@ -54,7 +54,7 @@
 Duration RateLimitQuota::UntilNext(TimePoint now, double share) const {
   const double missing = std::max(0.0, 1 - this->TokensAt(now, share));
   const std::chrono::duration<double> wait(missing / this->RateOf(share));
-  // Rounded up: it is asked for again when this has passed.
+  // Rounded up, since the caller checks again only after this time.
   return std::chrono::ceil<Duration>(wait);
 }
 
@@ -65,11 +65,11 @@
 }
 
 bool RateLimitQuota::IsStale(TimePoint now) const {
-  return now - this->sent_at >= kUnheardAfter;
+  return now - this->sent_at >= kStaleAfter;
 }
 
 double RateLimitQuota::RateOf(double share) const {
-  return std::max(kLeastPerSecond, share * this->per_second);
+  return std::max(kMinPerSecond, share * this->per_second);
 }
 
 double RateLimitQuota::TokensAt(TimePoint now, double share) const {
--- a/packages/decision/src/rate_limit_quota.h
+++ b/packages/decision/src/rate_limit_quota.h
@@ -4,46 +4,47 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/dispatch.h"
 
-/// What one VM may send to an upstream that names a rate limit. Pure. A token
-/// bucket that is filled at this VM's share of the limit.
+/// Limits what one VM sends to an upstream that advertises a rate limit: a
+/// token bucket that refills at this VM's share of the limit. Pure.
 
 namespace basilsill {
 
-/// What an answer changed of what is known of a limit.
+/// How an answer changed the known limit.
 enum class RateLimitChange : uint8_t {
-  kNone,   ///< Nothing that an operator would notice.
-  kNamed,  ///< It is named, or another one than before.
+  kNone,   ///< No change, or one too small to report.
+  kNamed,  ///< A limit is advertised for the first time, or a different one.
   kEnded,
   kCount
 };
 
 class RateLimitQuota {
  public:
-  /// An answer came.
-  /// @param asked_at When what it answers was sent. One that was sent before
-  /// the limit was named does not end it.
+  /// Takes the limit that an answer advertises.
+  /// @param request_sent_at When the request of this answer was sent. An answer
+  /// to a request that was sent before the limit was advertised does not end
+  /// the limit.
   RateLimitChange Update(TimePoint now,
-                         TimePoint asked_at,
-                         const AdvertisedRateLimit& told);
+                         TimePoint request_sent_at,
+                         const AdvertisedRateLimit& advertised);
 
-  /// @param share Of the limit, that this VM may use.
+  /// @param share Fraction of the limit that this VM may use.
   bool MayStart(TimePoint now, double share) const;
 
-  /// @returns how long until the next request may be sent.
+  /// @returns the time until the next request may be sent.
   Duration UntilNext(TimePoint now, double share) const;
 
-  /// Something is sent there, a request or a question.
+  /// A request or a probe is sent to the upstream.
   void OnStart(TimePoint now, double share);
 
-  /// @returns true if nothing was sent there for so long that the limit may
-  /// have ended without anybody noticing.
+  /// @returns true if nothing was sent to the upstream for so long that the
+  /// limit may have ended unnoticed.
   bool IsStale(TimePoint now) const;
 
-  /// @returns requests a second that this VM may send with `share`. Never
-  /// quite none: an upstream that gets nothing can't say that it takes more.
+  /// @returns the requests per second that this VM may send with `share`. Never
+  /// 0: an upstream that gets no requests can't advertise a higher limit.
   double RateOf(double share) const;
 
-  /// @returns requests a second that the upstream takes from all VMs together.
+  /// @returns the limit for all VMs together, in requests per second.
   double limit() const { return this->per_second; }
 
  private:
@@ -51,8 +52,8 @@
 
   bool named = false;
   double per_second = 0;
-  double noted = 0;   ///< The limit as of the last kNamed.
-  double tokens = 0;  ///< As of `counted_at`.
+  double last_reported = 0;  ///< The limit as of the last kNamed.
+  double tokens = 0;         ///< As of `counted_at`.
   TimePoint named_at{};
   TimePoint counted_at{};
   TimePoint sent_at{};
--- a/packages/decision/src/shard_rate.cc
+++ b/packages/decision/src/shard_rate.cc
@@ -7,16 +7,18 @@
 namespace basilsill {
 namespace {
 
-// How long VMs may go on disagreeing about which of them is first.
+// How long VMs may disagree about which of them is the first owner.
 constexpr Duration kSettleTime = std::chrono::seconds(4);
 
-// Two of these beside the whole limit stay below half as much again.
+// Fraction for VMs that are not settled as the first owner. Two of them beside
+// the first owner stay below 1.5 times the limit.
 constexpr double kSuccessorShare = 0.2;
 
-// There are about as many questions as requests.
+// About one probe is sent per request.
 constexpr double kSendsPerRequest = 2;
 
-// Time that requests hold a slot, of those that wait first.
+// @returns the mean time for which a request holds a slot, from the first ring
+// that knows it; 0 if none does.
 Duration SlotTimeOf(const ShardState& shard) {
   for (const Ring& ring : shard.rings) {
     if (ring.slot_time > Duration(0)) {
@@ -26,8 +28,7 @@
   return Duration(0);
 }
 
-// Slots, with a fraction, that are busy all the time at the rate that this VM
-// may use.
+// @returns the mean number of busy slots at the rate that this VM may use.
 double SlotsAt(TimePoint now,
                const ShardState& shard,
                const RateLimitQuota& quota) {
--- a/packages/decision/src/shard_rate.h
+++ b/packages/decision/src/shard_rate.h
@@ -3,46 +3,51 @@
 
 #include "dispatch_tables.h"
 
-/// What rate limits of upstreams mean for their shard: what each may get from
-/// this VM, and what the shard as a whole can do where they bind it.
+/// Effect of upstreams' rate limits on their shard: what each upstream may get
+/// from this VM, and the throughput of the whole shard if the limits bind it.
 
 namespace basilsill {
 
-/// @returns the quota of the upstream at `place`, nullptr if it names no limit.
+/// @returns the quota of the upstream at `place`; nullptr if it advertises no
+/// limit.
 const RateLimitQuota* FindRateLimit(const ShardState& shard, uint32_t place);
 
-/// @returns the part of a limit that this VM may use.
-/// @remarks The first owner of the shard has all of it, once it has been that
-/// for a while and no VM that may be cut off stands before it. Any other has so
-/// little that the first and two more stay within half as much again.
+/// @returns the fraction of a limit that this VM may use.
+/// @remarks The first owner of the shard may use all of it, once it has been
+/// the first owner for a while and no VM that may be cut off ranks before it.
+/// Any other VM may use so little that the first owner and two others stay
+/// within 1.5 times the limit.
 double RateShareOf(TimePoint now, const ShardState& shard);
 
-/// @returns true as far as rate limits go.
+/// @returns true if rate limits allow a request to the upstream now.
 bool HasRateQuota(TimePoint now, const ShardState& shard, uint32_t place);
 
-/// @returns true if the upstream names a limit that lets it do less for this VM
-/// than its slots could. Questions for its load would take the place of
-/// requests.
+/// @returns true if the upstream advertises a limit that lets it do less for
+/// this VM than its slots could. Load probes would take the place of requests
+/// then.
 bool IsRateScarce(TimePoint now, const ShardState& shard, uint32_t place);
 
-/// @returns slots of the upstream that its rate limit lets it use.
+/// @returns the number of the upstream's slots that its rate limit allows to be
+/// busy.
 uint16_t SlotsWithinRate(TimePoint now,
                          const ShardState& shard,
                          uint32_t place,
                          uint16_t slots);
 
-/// @returns true if all upstreams that take work, now or after a pause, name
-/// limits that bind them: then these alone say how much the shard does.
+/// @returns true if all upstreams that take work, now or after a pause,
+/// advertise limits that bind them. The limits alone determine the shard's
+/// throughput then.
 bool IsRateBound(TimePoint now, const ShardState& shard);
 
-/// @returns how long a request waits in a rate-bound shard behind `ahead`
-/// others.
+/// @returns how long a request waits in a rate-bound shard behind `ahead` other
+/// requests.
 Duration WaitWithinRate(TimePoint now, const ShardState& shard, uint32_t ahead);
 
-/// Counts what is sent to the upstream against its rate limit, if it names one.
+/// Counts a request or probe against the upstream's rate limit, if it
+/// advertises one.
 void CountRate(TimePoint now, ShardState& shard, uint32_t place);
 
-/// Counts a request that is sent to the upstream against all that bounds it.
+/// Counts a request against the upstream's rate limit and its cold quota.
 void CountSend(TimePoint now, ShardState& shard, uint32_t place);
 
 }  // namespace basilsill
--- a/packages/decision/src/split_chooser.cc
+++ b/packages/decision/src/split_chooser.cc
@@ -6,24 +6,24 @@
 namespace basilsill {
 namespace {
 
-// The golden ratio's part behind the point, times 2^32.
+// The fractional part of the golden ratio, times 2^32.
 constexpr uint32_t kGoldenStep = 2654435769;
 
 }  // namespace
 
 ServiceHandle SplitChooser::Choose(const RuleRow& rule) {
   const auto [found, is_new] =
-      this->places.try_emplace(rule.handle.index, this->random());
-  const uint32_t place = found->second += kGoldenStep;
-  const uint64_t all = std::accumulate(
+      this->positions.try_emplace(rule.handle.index, this->random());
+  const uint32_t position = found->second += kGoldenStep;
+  const uint64_t total_weight = std::accumulate(
       rule.split.begin(), rule.split.end(), uint64_t{0},
       [](uint64_t sum, const ServicePart& part) { return sum + part.weight; });
-  uint64_t at = (place * all) >> 32;
+  uint64_t offset = (position * total_weight) >> 32;
   for (const ServicePart& part : rule.split) {
-    if (at < part.weight) {
+    if (offset < part.weight) {
       return part.service;
     }
-    at -= part.weight;
+    offset -= part.weight;
   }
   return rule.split.front().service;
 }
--- a/packages/decision/src/team_admission.h
+++ b/packages/decision/src/team_admission.h
@@ -6,32 +6,33 @@
 
 #include "basilsill/decision/entry.h"
 
-/// The limit of each team on requests at once, at one entry.
+/// Enforces each team's limit on concurrent requests at one entry worker.
 
 namespace basilsill {
 
 class TeamAdmission {
  public:
-  /// Makes room for the teams of `view`.
+  /// Allocates state for the teams of `view`.
   void ApplyView(const RoutingView& view);
 
-  /// Counts a request in, unless the limit forbids it.
-  /// @returns the refusal and when to come back, or Refusal::kNone.
+  /// Admits a request unless the team is at its limit.
+  /// @returns the refusal and its retry time; Refusal::kNone if admitted.
   Admission Enter(const TeamRow& team);
 
-  /// A request of the team is over.
+  /// A request of the team has ended.
   void Leave(TeamHandle team, Duration took);
 
  private:
   struct TeamState {
     TeamHandle handle;
     uint32_t running = 0;
-    Duration mean_time{0};  ///< Of a request in the system.
+    /// Mean time between admission and end of a request.
+    Duration mean_time{0};
   };
 
   TeamState& StateOf(const TeamRow& team);
 
-  std::vector<TeamState> teams;  ///< By index of the handle.
+  std::vector<TeamState> teams;  ///< By index of the team's handle.
 };
 
 }  // namespace basilsill
--- a/packages/decision/test/api_keys_test.cc
+++ b/packages/decision/test/api_keys_test.cc
@@ -27,7 +27,7 @@
   CHECK_FALSE(IsApiKey("k\xc3\xa9y"));
 }
 
-TEST(ApiKeys, Find_KeyOfATeam_GivesTheTeam) {
+TEST(ApiKeys, Find_KeyOfATeam_ReturnsTheTeam) {
   const TeamHandle one{1, 0};
   const TeamHandle two{2, 0};
   const auto table = ApiKeyTable::Create({{DigestApiKey("first"), one},
@@ -38,7 +38,7 @@
   CHECK(table->Find(DigestApiKey("third")) == one);
 }
 
-TEST(ApiKeys, Find_KeyOfNobody_IsInvalid) {
+TEST(ApiKeys, Find_UnknownKey_ReturnsInvalidHandle) {
   const auto table =
       ApiKeyTable::Create({{DigestApiKey("first"), TeamHandle{1, 0}}});
   CHECK_FALSE(IsValid(table->Find(DigestApiKey("First"))));
@@ -46,12 +46,12 @@
   CHECK_FALSE(IsValid(ApiKeyTable::Create({})->Find(DigestApiKey("first"))));
 }
 
-TEST(ApiKeys, ToHex_ThenParsed_IsTheSame) {
+TEST(ApiKeys, ToHex_ThenParsed_GivesTheSameDigest) {
   const ApiKeyDigest digest = DigestApiKey("a key");
   CHECK(ParseApiKeyDigest(ToHex(digest)) == digest);
 }
 
-TEST(ApiKeys, Parse_NoDigest_IsNothing) {
+TEST(ApiKeys, Parse_NotADigest_ReturnsNullopt) {
   const std::string hex = ToHex(DigestApiKey("a key"));
   CHECK_FALSE(ParseApiKeyDigest("").has_value());
   CHECK_FALSE(ParseApiKeyDigest(hex.substr(2)).has_value());
--- a/packages/decision/test/cold_quota_test.cc
+++ b/packages/decision/test/cold_quota_test.cc
@@ -1,5 +1,6 @@
-// Tests of what upstreams get while they are cold, or may be: by one VM, and by
-// several that believe that they dispatch for the same one.
+// Tests the limit on requests to upstreams that are or may be cold, with one VM
+// and with several VMs that consider themselves the dispatcher of the same
+// upstream.
 
 #include "cold_quota.h"
 
@@ -31,7 +32,7 @@
 
 namespace {
 
-// What a cold upstream may get in any second, from all VMs together.
+// Bound for a cold upstream, in requests per second from all VMs together.
 constexpr uint32_t kBound = 16;
 constexpr Duration kSecond = 1s;
 
@@ -41,9 +42,10 @@
   ColdQuota quota;
   TimePoint now{10s};
 
-  size_t SendAll(bool is_told = true) {
+  size_t SendAll(bool reports_cold = true) {
     size_t sent = 0;
-    for (; sent < 100 && this->quota.MayStart(this->now, is_told); ++sent) {
+    for (; sent < 100 && this->quota.MayStart(this->now, reports_cold);
+         ++sent) {
       this->quota.OnStart(this->now);
     }
     return sent;
@@ -56,12 +58,12 @@
   CHECK_EQUAL(0, ColdShareOf(ColdTerms{3s, 0}));
 }
 
-TEST(ColdQuota, Start_NoBound_AnyNumber) {
+TEST(ColdQuota, Start_NoBound_Unlimited) {
   this->quota.SetShare(0);
   CHECK_EQUAL(100, this->SendAll());
 }
 
-TEST(ColdQuota, Start_NotKnownToBeWarm_OneShareASecond) {
+TEST(ColdQuota, Start_NotKnownToBeWarm_OneSharePerSecond) {
   this->quota.SetShare(5);
   CHECK_EQUAL(5, this->SendAll());
   this->now += 900ms;
@@ -70,7 +72,7 @@
   CHECK_EQUAL(5, this->SendAll());
 }
 
-TEST(ColdQuota, Start_SaysThatItIsWarm_OneShareMoreForEachWord) {
+TEST(ColdQuota, Start_ReportedWarm_OneMoreSharePerReport) {
   this->quota.SetShare(5);
   this->SendAll();
   CHECK(this->quota.IsWorthAsking(this->now));
@@ -78,8 +80,9 @@
   CHECK_EQUAL(5, this->SendAll());
 }
 
-// It became cold without a new start. What it got a moment ago counts.
-TEST(ColdQuota, Start_SaysThatItIsCold_NothingMoreThisSecond) {
+// The upstream became cold without a restart. The requests that it got just
+// before count.
+TEST(ColdQuota, Start_ReportedCold_NothingMoreThisSecond) {
   this->quota.SetShare(5);
   this->quota.OnColdTimeReported(this->now, 0ms);
   this->SendAll();
@@ -90,9 +93,9 @@
         this->quota.MayStart(this->now + 3s, true));
 }
 
-// Its service has no way to ask: it is taken for cold for its time after a
-// start or a return, and for warm otherwise.
-TEST(ColdQuota, Start_CanNotBeAsked_BoundForTheColdTime) {
+// The service has no health path, so its upstreams can't be probed. They count
+// as cold for the cold time after a start or a return, and as warm otherwise.
+TEST(ColdQuota, Start_NoProbes_BoundedForTheColdTime) {
   this->quota.SetShare(5);
   CHECK_EQUAL(100, this->SendAll(false));
   this->quota.AssumeCold(this->now + 3s);
@@ -103,9 +106,9 @@
   CHECK_EQUAL(100, this->SendAll(false));
 }
 
-// A dispatcher has just been restarted. What it sent before counts at the
-// upstream, and it does not know how much that was.
-TEST(ColdQuota, Start_JustBegunToDispatch_AskedFirst) {
+// Failure: a restarted dispatcher does not know how much it sent before the
+// restart, and sends its whole share again within the same second.
+TEST(ColdQuota, Start_JustBegunToDispatch_ProbedFirst) {
   this->quota.SetShare(5);
   this->quota.BeginDispatch(this->now);
   CHECK_EQUAL(0, this->SendAll());
@@ -116,7 +119,7 @@
   CHECK_EQUAL(5, this->SendAll());
 }
 
-TEST(ColdQuota, Ask_GetsLittle_NotAsked) {
+TEST(ColdQuota, Probe_FewRequests_NotProbed) {
   this->quota.SetShare(5);
   for (int i = 0; i < 20; ++i) {
     this->now += 400ms;
@@ -127,9 +130,9 @@
 
 namespace {
 
-/// An upstream with many slots and short work, cold from time to time, and
-/// whoever dispatches for it. Questions are answered after a moment; some get
-/// no answer.
+/// An upstream with many slots and short requests that becomes cold from time
+/// to time, and the VMs that dispatch for it. Probes are answered after a short
+/// delay; some get no answer.
 class ColdUpstreamSimulation {
  public:
   static constexpr uint32_t kVms = 3;
@@ -141,26 +144,27 @@
     }
   }
 
-  /// Offers work to the VMs that believe that they dispatch, for `time`.
+  /// Offers requests to the VMs that consider themselves dispatchers, for
+  /// `time`.
   void Run(Duration time) {
     for (const TimePoint end = this->now + time; this->now < end;) {
       this->now += 1ms;
-      this->ChangeSomething();
+      this->InjectRandomEvent();
       for (auto& vm : this->vms) {
         this->Step(*vm);
       }
     }
   }
 
-  size_t worst() const { return this->most_while_cold; }
+  size_t max_sends_while_cold() const { return this->max_cold_sends; }
   size_t sent() const { return this->all_sent; }
 
  private:
-  struct Question {
+  struct Probe {
     TimePoint due;
     LoadQueryReport report;
   };
-  struct Work {
+  struct ActiveRequest {
     AttemptHandle attempt;
     TimePoint ends;
   };
@@ -168,8 +172,8 @@
     explicit Vm(const DispatcherOptions& options) : harness(options) {}
     DispatchHarness harness;
     bool dispatches = true;
-    std::deque<Question> questions;
-    std::vector<Work> works;
+    std::deque<Probe> probes;
+    std::vector<ActiveRequest> active_requests;
   };
 
   std::unique_ptr<Vm> MakeVm() {
@@ -184,9 +188,10 @@
     return vm;
   }
 
-  // One VM or two believe that they dispatch, which ones changes several times
-  // a second; one of them restarts; the upstream becomes cold at any moment.
-  void ChangeSomething() {
+  // One or two VMs consider themselves dispatchers, and which ones changes
+  // several times per second. VMs restart one at a time, and the upstream
+  // becomes cold at any moment.
+  void InjectRandomEvent() {
     if (this->random(400) == 0) {
       const uint32_t first = this->random(kVms);
       const bool are_two = this->random(2) == 0;
@@ -209,23 +214,23 @@
   void Step(Vm& vm) {
     vm.harness.Advance(1ms);
     vm.harness.now = this->now;
-    this->EndWork(vm);
-    this->Answer(vm);
+    this->EndRequests(vm);
+    this->AnswerProbes(vm);
     if (vm.dispatches && this->random(2) == 0) {
       vm.harness.Offer();
     }
     this->CountSends(vm);
-    this->Ask(vm);
+    this->SendProbes(vm);
   }
 
-  void EndWork(Vm& vm) {
-    for (const Work& work : std::exchange(vm.works, {})) {
-      const size_t place = PlaceOf(vm, work.attempt);
+  void EndRequests(Vm& vm) {
+    for (const ActiveRequest& request : std::exchange(vm.active_requests, {})) {
+      const size_t place = PlaceOf(vm, request.attempt);
       if (place == vm.harness.running.size()) {
         continue;
       }
-      if (work.ends > this->now) {
-        vm.works.push_back(work);
+      if (request.ends > this->now) {
+        vm.active_requests.push_back(request);
       } else {
         vm.harness.EndAt(place, DispatchHarness::Report(AttemptEnd::kAnswered));
       }
@@ -242,14 +247,16 @@
 
   void CountSends(Vm& vm) {
     for (const auto& action : vm.harness.running) {
-      const bool known = std::any_of(
-          vm.works.begin(), vm.works.end(),
-          [&](const Work& work) { return work.attempt == action.attempt; });
+      const bool known =
+          std::any_of(vm.active_requests.begin(), vm.active_requests.end(),
+                      [&](const ActiveRequest& request) {
+                        return request.attempt == action.attempt;
+                      });
       if (known) {
         continue;
       }
-      const std::chrono::milliseconds work(10 + this->random(30));
-      vm.works.push_back({action.attempt, this->now + work});
+      const std::chrono::milliseconds request(10 + this->random(30));
+      vm.active_requests.push_back({action.attempt, this->now + request});
       ++this->all_sent;
       if (this->now < this->cold_until) {
         this->CountColdSend();
@@ -262,11 +269,11 @@
     while (this->now - this->cold_sends.front() >= kSecond) {
       this->cold_sends.pop_front();
     }
-    this->most_while_cold =
-        std::max(this->most_while_cold, this->cold_sends.size());
+    this->max_cold_sends =
+        std::max(this->max_cold_sends, this->cold_sends.size());
   }
 
-  void Ask(Vm& vm) {
+  void SendProbes(Vm& vm) {
     for (size_t i = 0; i < vm.harness.asked.size(); ++i) {
       LoadQueryReport report;
       if (this->random(10) > 0) {
@@ -275,15 +282,15 @@
         report.load = {true, true, 0, 0, kSlots, 1};
         report.cold_for = std::max(left, Duration(0));
       }
-      vm.questions.push_back({this->now + 1ms, report});
+      vm.probes.push_back({this->now + 1ms, report});
     }
     vm.harness.asked.clear();
   }
 
-  void Answer(Vm& vm) {
-    while (!vm.questions.empty() && vm.questions.front().due <= this->now) {
-      const LoadQueryReport report = vm.questions.front().report;
-      vm.questions.pop_front();
+  void AnswerProbes(Vm& vm) {
+    while (!vm.probes.empty() && vm.probes.front().due <= this->now) {
+      const LoadQueryReport report = vm.probes.front().report;
+      vm.probes.pop_front();
       vm.harness.dispatcher->OnLoadQueryEnd(this->now, {0, 0}, report);
       vm.harness.Collect();
     }
@@ -295,7 +302,7 @@
   TimePoint next_restart{};
   TimePoint cold_until{};
   std::deque<TimePoint> cold_sends;
-  size_t most_while_cold = 0;
+  size_t max_cold_sends = 0;
   size_t all_sent = 0;
 };
 
@@ -303,17 +310,20 @@
 
 TEST_GROUP(ColdUpstream){};
 
-// Short work beside many slots: an upstream that is back cold gets some hundred
-// requests a second, and dies of it. Several VMs may believe that they dispatch
-// for it, one of them just restarted, and it becomes cold without a new start.
+// Failure: with short requests and many slots, an upstream that is cold after a
+// restart gets several hundred requests per second and crashes. Several VMs may
+// consider themselves its dispatcher, one of them just restarted, and it also
+// becomes cold without a restart.
 TEST(ColdUpstream, RandomHistory_ColdAtAnyMoment_NeverAboveTheBound) {
   size_t sent = 0;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    ColdUpstreamSimulation world(seed);
-    world.Run(20s);
-    CHECK_TEXT(world.worst() <= kBound, std::to_string(seed).c_str());
-    sent += world.sent();
+    ColdUpstreamSimulation simulation(seed);
+    simulation.Run(20s);
+    CHECK_TEXT(simulation.max_sends_while_cold() <= kBound,
+               std::to_string(seed).c_str());
+    sent += simulation.sent();
   }
-  // While it is warm it is used: some hundred requests a second.
+  // While warm, the upstream is used: it gets several hundred requests per
+  // second.
   CHECK(sent > 20 * 20 * 100);
 }
--- a/packages/decision/test/configuration_freshness_test.cc
+++ b/packages/decision/test/configuration_freshness_test.cc
@@ -17,70 +17,76 @@
 
 namespace {
 
-constexpr VmHandle kAsker{1, 0};
+constexpr VmHandle kReceiver{1, 0};
 
 }  // namespace
 
 TEST_GROUP(ConfigurationFreshness) {
   const LeaseTime start{std::chrono::hours(1)};
-  ConfigurationFreshness asker{100};
-  ConfigurationFreshness teller{900};
+  ConfigurationFreshness receiver{100};
+  ConfigurationFreshness sender{900};
 };
 
-TEST(ConfigurationFreshness, AsOf_NothingRead_IsNever) {
-  CHECK(this->asker.as_of() == LeaseTime::min());
+TEST(ConfigurationFreshness, AsOf_NothingRead_IsMinimum) {
+  CHECK(this->receiver.as_of() == LeaseTime::min());
 }
 
 TEST(ConfigurationFreshness, OnRead_EarlierThanKnown_ChangesNothing) {
-  this->asker.OnRead(this->start);
-  this->asker.OnRead(this->start - 1s);
-  CHECK(this->asker.as_of() == this->start);
+  this->receiver.OnRead(this->start);
+  this->receiver.OnRead(this->start - 1s);
+  CHECK(this->receiver.as_of() == this->start);
 }
 
-TEST(ConfigurationFreshness, OnVouch_OfAStamp_CountsFromTheStamp) {
+TEST(ConfigurationFreshness, OnVouch_OwnStamp_CountsFromTheStamp) {
   const LeaseTime other_clock{std::chrono::hours(90)};
-  this->teller.OnRead(other_clock);
-  this->teller.OnStamp(other_clock + 300ms, kAsker,
-                       this->asker.TakeStamp(this->start));
-  const auto vouch = this->teller.VouchFor(other_clock + 1s, kAsker);
+  this->sender.OnRead(other_clock);
+  this->sender.OnStamp(other_clock + 300ms, kReceiver,
+                       this->receiver.TakeStamp(this->start));
+  const auto vouch = this->sender.VouchFor(other_clock + 1s, kReceiver);
   CHECK(vouch.has_value());
-  this->asker.OnVouch(this->start + 5s, *vouch);
-  // Held for 700 ms, a second old.
-  CHECK(this->asker.as_of() == this->start - 300ms);
+  this->receiver.OnVouch(this->start + 5s, *vouch);
+  // Held for 700 ms, one second old.
+  CHECK(this->receiver.as_of() == this->start - 300ms);
 }
 
-// News of a VM that was cut off come minutes later, and prove as much as then.
-TEST(ConfigurationFreshness, OnVouch_LongOnItsWay_ProvesNoMore) {
-  this->teller.OnRead(this->start);
-  this->teller.OnStamp(this->start, kAsker, this->asker.TakeStamp(this->start));
-  const auto vouch = this->teller.VouchFor(this->start + 10ms, kAsker);
-  this->asker.OnVouch(this->start + 10min, *vouch);
-  CHECK(this->asker.as_of() == this->start);
+// A message that arrives minutes late, from a VM that was cut off, proves only
+// what it proved when it was sent.
+TEST(ConfigurationFreshness, OnVouch_DelayedMessage_ProvesNoMore) {
+  this->sender.OnRead(this->start);
+  this->sender.OnStamp(this->start, kReceiver,
+                       this->receiver.TakeStamp(this->start));
+  const auto vouch = this->sender.VouchFor(this->start + 10ms, kReceiver);
+  this->receiver.OnVouch(this->start + 10min, *vouch);
+  CHECK(this->receiver.as_of() == this->start);
 }
 
-// A stamp of the process before a restart proves nothing to this one.
+// A stamp of the process before a restart proves nothing to the process after
+// it.
 TEST(ConfigurationFreshness, OnVouch_OfAnotherProcess_IsIgnored) {
-  this->teller.OnRead(this->start);
-  this->teller.OnStamp(this->start, kAsker, this->asker.TakeStamp(this->start));
+  this->sender.OnRead(this->start);
+  this->sender.OnStamp(this->start, kReceiver,
+                       this->receiver.TakeStamp(this->start));
   ConfigurationFreshness restarted{5000};
   restarted.TakeStamp(this->start);
-  restarted.OnVouch(this->start, *this->teller.VouchFor(this->start, kAsker));
+  restarted.OnVouch(this->start,
+                    *this->sender.VouchFor(this->start, kReceiver));
   CHECK(restarted.as_of() == LeaseTime::min());
 }
 
-TEST(ConfigurationFreshness, VouchFor_NothingKnownOrNoStamp_IsNothing) {
-  CHECK_FALSE(this->teller.VouchFor(this->start, kAsker).has_value());
-  this->teller.OnStamp(this->start, kAsker, 7);
-  CHECK_FALSE(this->teller.VouchFor(this->start, kAsker).has_value());
-  this->teller.OnRead(this->start);
-  CHECK(this->teller.VouchFor(this->start, kAsker).has_value());
-  CHECK_FALSE(this->teller.VouchFor(this->start, VmHandle{2, 0}).has_value());
+TEST(ConfigurationFreshness, VouchFor_AgeUnknownOrNoStamp_ReturnsNullopt) {
+  CHECK_FALSE(this->sender.VouchFor(this->start, kReceiver).has_value());
+  this->sender.OnStamp(this->start, kReceiver, 7);
+  CHECK_FALSE(this->sender.VouchFor(this->start, kReceiver).has_value());
+  this->sender.OnRead(this->start);
+  CHECK(this->sender.VouchFor(this->start, kReceiver).has_value());
+  CHECK_FALSE(this->sender.VouchFor(this->start, VmHandle{2, 0}).has_value());
 }
 
 namespace {
 
-/// VMs with clocks of their own that read a store whose state changes all the
-/// time, and tell each other, over links on which messages take any time.
+/// VMs with independent clocks that read from a store whose state changes all
+/// the time, and send their configuration to each other over links with
+/// arbitrary delays.
 class FreshnessSimulation {
  public:
   explicit FreshnessSimulation(uint64_t seed) : random(seed) {
@@ -104,10 +110,10 @@
         this->BeginRead(vm);
         break;
       case 1:
-        this->Tell(vm, other);
+        this->SendConfiguration(vm, other);
         break;
       case 2:
-        this->Post({vm,
+        this->Send({vm,
                     other,
                     false,
                     this->vms[vm].state.TakeStamp(this->ClockOf(vm)),
@@ -119,26 +125,27 @@
     }
   }
 
-  /// @returns false if some VM claims to have known of a change that it lacks.
-  bool IsTruthful() const {
+  /// @returns false if some VM claims a time at which its configuration was the
+  /// newest one, but lacks a change made before that time.
+  bool AllClaimsHold() const {
     for (uint32_t i = 0; i < kVms; ++i) {
       const LeaseTime as_of = this->vms[i].state.as_of();
       if (as_of == LeaseTime::min()) {
         continue;
       }
       const Duration true_time = as_of.time_since_epoch() - this->vms[i].clock;
-      const auto due =
+      const auto changes_until_then =
           static_cast<size_t>(std::lower_bound(this->changes.begin(),
                                                this->changes.end(), true_time) -
                               this->changes.begin());
-      if (this->vms[i].known < due) {
+      if (this->vms[i].known_changes < changes_until_then) {
         return false;
       }
     }
     return true;
   }
 
-  size_t CountVouched() const {
+  size_t CountVmsWithKnownAge() const {
     return static_cast<size_t>(std::count_if(
         this->vms.begin(), this->vms.end(),
         [](const Vm& vm) { return vm.state.as_of() != LeaseTime::min(); }));
@@ -149,18 +156,18 @@
 
   struct Vm {
     ConfigurationFreshness state;
-    Duration clock{0};  ///< Ahead of the true time by so much.
-    size_t known = 0;   ///< Changes.
+    Duration clock{0};         ///< How far the clock is ahead of the true time.
+    size_t known_changes = 0;  ///< Number of changes that the VM has seen.
   };
 
   struct Message {
     uint32_t from = 0;
     uint32_t to = 0;
-    bool is_news = false;  ///< Otherwise a stamp.
+    bool has_configuration = false;  ///< Otherwise the message is a stamp.
     uint64_t stamp = 0;
     std::optional<FreshnessVouch> vouch;
-    size_t known = 0;
-    Duration due{0};
+    size_t known_changes = 0;
+    Duration changes_until_then{0};
   };
 
   LeaseTime ClockOf(uint32_t vm) const {
@@ -168,47 +175,47 @@
   }
 
   Duration Delay() {
-    const bool is_held_up = this->random() % 8 == 0;
+    const bool is_delayed = this->random() % 8 == 0;
     return std::chrono::milliseconds(this->random() %
-                                     (is_held_up ? 20000 : 30));
+                                     (is_delayed ? 20000 : 30));
   }
 
-  void Post(Message message) {
-    message.due = this->now + this->Delay();
+  void Send(Message message) {
+    message.changes_until_then = this->now + this->Delay();
     this->messages.push_back(message);
   }
 
-  // The store answers with its state at some moment of the call.
+  // The store answers with its state at some moment during the call.
   void BeginRead(uint32_t vm) {
     const LeaseTime begun = this->ClockOf(vm);
     const size_t state = this->changes.size();
-    this->vms[vm].known = std::max(this->vms[vm].known, state);
+    this->vms[vm].known_changes = std::max(this->vms[vm].known_changes, state);
     this->now += this->Delay();
     this->vms[vm].state.OnRead(begun);
   }
 
-  void Tell(uint32_t from, uint32_t to) {
-    this->Post(
+  void SendConfiguration(uint32_t from, uint32_t to) {
+    this->Send(
         {from, to, true, 0,
          this->vms[from].state.VouchFor(this->ClockOf(from), VmHandle{to, 0}),
-         this->vms[from].known});
+         this->vms[from].known_changes});
   }
 
   void Deliver() {
     for (size_t i = 0; i < this->messages.size();) {
-      if (this->messages[i].due > this->now) {
+      if (this->messages[i].changes_until_then > this->now) {
         ++i;
         continue;
       }
       const Message message = this->messages[i];
       this->messages.erase(this->messages.begin() + static_cast<ptrdiff_t>(i));
       Vm& vm = this->vms[message.to];
-      if (!message.is_news) {
+      if (!message.has_configuration) {
         vm.state.OnStamp(this->ClockOf(message.to), VmHandle{message.from, 0},
                          message.stamp);
         continue;
       }
-      vm.known = std::max(vm.known, message.known);
+      vm.known_changes = std::max(vm.known_changes, message.known_changes);
       if (message.vouch) {
         vm.state.OnVouch(this->ClockOf(message.to), *message.vouch);
       }
@@ -224,14 +231,16 @@
 
 }  // namespace
 
-// A VM goes by a key that was taken away since it takes old news for new ones.
-TEST(ConfigurationFreshness, Histories_AnyDelaysAndClocks_NeverClaimTooMuch) {
+// Failure: a VM accepts a key that was revoked long ago, since it considers an
+// old configuration to be a new one.
+TEST(ConfigurationFreshness,
+     RandomHistory_AnyDelaysAndClocks_NeverClaimsTooLateATime) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
-    FreshnessSimulation world(seed);
+    FreshnessSimulation simulation(seed);
     for (int i = 0; i < 600; ++i) {
-      world.Step();
-      CHECK_TRUE(world.IsTruthful());
+      simulation.Step();
+      CHECK_TRUE(simulation.AllClaimsHold());
     }
-    CHECK(world.CountVouched() > 3);
+    CHECK(simulation.CountVmsWithKnownAge() > 3);
   }
 }
--- a/packages/decision/test/entry_test.cc
+++ b/packages/decision/test/entry_test.cc
@@ -1,4 +1,4 @@
-// Tests of the entry side: limits, choice of shard, retries elsewhere.
+// Tests the entry side: limits, choice of shard, retries elsewhere.
 
 #include "basilsill/decision/entry.h"
 
@@ -73,7 +73,7 @@
     return this->router->OnRefused(this->now, entry, refusal, 0);
   }
 
-  // The network between the VMs is gone; only upstreams can be reached.
+  // The network between the VMs is down; only upstreams can be reached.
   void LoseAllVms() {
     this->fixture.view.self = {9, 0};
     this->Apply();
@@ -82,7 +82,7 @@
     }
   }
 
-  void Tell(const ShardRow& shard, Duration wait, uint16_t slots = 4) {
+  void ReportLoad(const ShardRow& shard, Duration wait, uint16_t slots = 4) {
     ShardSummary summary;
     summary.shard = shard.key;
     summary.slots = slots;
@@ -121,21 +121,21 @@
   CHECK(guarded->Admit(this->now, request).refusal == Refusal::kQuarantined);
 }
 
-TEST(Entry, Choose_NothingKnown_NearShardAtItsOwner) {
+TEST(Entry, Choose_NoSummaries_OwnerOfNearShard) {
   const Target target = this->Choose(this->Admit());
   CHECK(target.kind == TargetKind::kDispatcher);
   CHECK_EQUAL(this->NearShard().key, target.shard);
   CHECK(target.vm == this->NearShard().owners.at(0));
 }
 
-TEST(Entry, Choose_FarIsBusy_NearMayWaitAsLong) {
-  this->Tell(this->FarShard(), 20ms);
+TEST(Entry, Choose_FarShardIsBusy_AllowsSimilarWaitNear) {
+  this->ReportLoad(this->FarShard(), 20ms);
   const Target target = this->Choose(this->Admit());
   CHECK_EQUAL(this->NearShard().key, target.shard);
   CHECK(target.max_wait >= 15ms && target.max_wait < 20ms);
 }
 
-TEST(Entry, OnRefused_HandedBack_GoesFarAndStaysThere) {
+TEST(Entry, OnRefused_HandedBack_GoesToFarShardWithoutMaxWait) {
   const EntryHandle entry = this->Admit();
   this->Choose(entry);
   const RetryDecision decision = this->Refuse(entry, Refusal::kQueueFull);
@@ -146,10 +146,11 @@
   CHECK(target.max_wait == Duration::max());
 }
 
-TEST(Entry, Choose_ManySentFarWithoutAnswer_FarLooksBusy) {
-  // All entry VMs of a data centre hand over to the same far shard at the same
-  // moment, since its last news were good. What this one has sent counts for
-  // all of them, so that the crowd stops long before an answer comes back.
+TEST(Entry, Choose_ManySentFarWithoutAnswer_FarCountsAsBusy) {
+  // Failure: all entry VMs of a data centre send requests to the same far shard
+  // at the same moment, since its last summary was good. What this VM has sent
+  // counts as if every VM of the data centre had sent as much, so that the load
+  // stops growing long before an answer comes back.
   Duration last{0};
   for (int i = 0; i < 10; ++i) {
     const EntryHandle entry = this->Admit();
@@ -159,7 +160,7 @@
     this->Refuse(entry, Refusal::kQueueFull);
     this->Choose(entry);
   }
-  this->Tell(this->NearShard(), 30ms);
+  this->ReportLoad(this->NearShard(), 30ms);
   const EntryHandle entry = this->Admit();
   this->Choose(entry);
   this->Refuse(entry, Refusal::kQueueFull);
@@ -167,26 +168,26 @@
   CHECK(this->Choose(this->Admit()).max_wait > 8ms);
 }
 
-TEST(Entry, Choose_NearHasNoUpstream_GoesFarAtOnce) {
-  this->Tell(this->NearShard(), 0ms, 0);
+TEST(Entry, Choose_NearHasNoUpstream_FarShard) {
+  this->ReportLoad(this->NearShard(), 0ms, 0);
   CHECK_EQUAL(this->FarShard().key, this->Choose(this->Admit()).shard);
   this->now += 1s;
   CHECK_EQUAL(this->NearShard().key, this->Choose(this->Admit()).shard);
 }
 
-TEST(Entry, OnRefused_NoUpstreamAnywhere_NoMoreHops) {
+TEST(Entry, OnRefused_NoUpstreamAnywhere_NoRetry) {
   const EntryHandle entry = this->Admit();
   this->Choose(entry);
-  this->Tell(this->NearShard(), 0ms, 0);
-  this->Tell(this->FarShard(), 0ms, 0);
+  this->ReportLoad(this->NearShard(), 0ms, 0);
+  this->ReportLoad(this->FarShard(), 0ms, 0);
   const RetryDecision decision = this->Refuse(entry, Refusal::kNoUpstream);
   CHECK_FALSE(decision.retry);
   CHECK(decision.refusal == Refusal::kNoUpstream);
 }
 
-TEST(Entry, Choose_LinkToOwnerLost_SuccessorWorksForTheShard) {
+TEST(Entry, Choose_LinkToOwnerLost_NextOwnerOfTheShard) {
   const VmHandle owner = this->FarShard().owners.at(0);
-  this->Tell(this->NearShard(), 0ms, 0);
+  this->ReportLoad(this->NearShard(), 0ms, 0);
   this->router->OnLink(this->now, owner, false);
   const Target target = this->Choose(this->Admit());
   CHECK_EQUAL(this->FarShard().key, target.shard);
@@ -195,7 +196,7 @@
   CHECK(this->Choose(this->Admit()).vm == owner);
 }
 
-TEST(Entry, Choose_NoDispatcherReachable_DirectToNearUpstream) {
+TEST(Entry, Choose_NoDispatcherReachable_DirectToNearUpstreams) {
   this->LoseAllVms();
   size_t on_first = 0;
   for (int i = 0; i < 20; ++i) {
@@ -207,7 +208,8 @@
   CHECK_EQUAL(10, on_first);
 }
 
-// Any number of VMs may send past the dispatchers: each would have the limit.
+// Failure: any number of VMs may use the direct path, and each would send as
+// much as the whole limit.
 TEST(Entry, OnRateLimit_DirectPath_UpstreamGetsNoMoreForAMinute) {
   this->LoseAllVms();
   this->router->OnRateLimit(this->now, {0, 0}, {RateLimitPresence::kNamed, 50});
@@ -222,9 +224,10 @@
   CHECK(used);
 }
 
-// A dispatcher refuses within the limits of its upstreams, no other shard is
-// left, and the request goes past it to one of them.
-TEST(Entry, OnRefused_ForRateLimitsEverywhere_NotSentPastDispatchers) {
+// Failure: dispatchers refuse a request because of their upstreams' rate
+// limits, no other shard is left, and the entry VM sends it to one of these
+// upstreams on the direct path.
+TEST(Entry, OnRefused_RateLimitsEverywhere_NoDirectPath) {
   const EntryHandle entry = this->Admit();
   for (int shard = 0; shard < 2; ++shard) {
     CHECK(this->Choose(entry).kind == TargetKind::kDispatcher);
@@ -244,29 +247,29 @@
   }
 }
 
-TEST(Entry, Choose_OwnerIsSilent_PassedOverUntilItSpeaks) {
-  // A dispatcher's VM is paused. Its links look fine, but nothing comes back.
-  this->Tell(this->NearShard(), 0ms, 0);
+TEST(Entry, Choose_OwnerIsSilent_SkippedUntilItsNextSummary) {
+  // A dispatcher's VM is paused. Its links stay up, but no answers come back.
+  this->ReportLoad(this->NearShard(), 0ms, 0);
   const VmHandle owner = this->FarShard().owners.at(0);
   for (int i = 0; i < 20; ++i) {
     const EntryHandle entry = this->Admit();
     CHECK(this->Choose(entry).vm == owner);
     this->now += 5ms;
-    this->Tell(this->FarShard(), 0ms);
+    this->ReportLoad(this->FarShard(), 0ms);
     this->router->Finish(this->now, entry);
-    this->Tell(this->NearShard(), 0ms, 0);
+    this->ReportLoad(this->NearShard(), 0ms, 0);
   }
   this->Choose(this->Admit());
   this->now += 300ms;
-  this->Tell(this->NearShard(), 0ms, 0);
+  this->ReportLoad(this->NearShard(), 0ms, 0);
   CHECK(this->Choose(this->Admit()).vm == this->FarShard().owners.at(1));
-  this->Tell(this->FarShard(), 0ms);
+  this->ReportLoad(this->FarShard(), 0ms);
   CHECK(this->Choose(this->Admit()).vm == owner);
 }
 
-// A VM that this one does not know yet opens a link and tells of a shard. It
-// has no place among the peers, and the process died as it looked for one.
-TEST(Entry, OnSummary_FromAnUnknownVm_CountsForTheShardAlone) {
+// Failure: a VM that is not yet in the view opens a link and sends a summary.
+// The process crashed when it looked for that VM among its peers.
+TEST(Entry, OnSummary_FromAnUnknownVm_UpdatesOnlyTheShard) {
   this->Apply();
   ShardSummary summary;
   summary.shard = this->NearShard().key;
@@ -275,8 +278,8 @@
   CHECK(target.shard == this->FarShard().key);
 }
 
-TEST(Entry, OnRefused_DispatcherShutsDown_SameShardAtItsSuccessor) {
-  this->Tell(this->NearShard(), 0ms, 0);
+TEST(Entry, OnRefused_DispatcherShutsDown_NextOwnerOfSameShard) {
+  this->ReportLoad(this->NearShard(), 0ms, 0);
   const EntryHandle entry = this->Admit();
   const Target first = this->Choose(entry);
   CHECK(this->Refuse(entry, Refusal::kShuttingDown).retry);
@@ -286,9 +289,9 @@
   CHECK(this->Choose(this->Admit()).vm == this->FarShard().owners.at(1));
 }
 
-TEST(Entry, OnRefused_UpstreamFailure_IsTheDispatchersToRetry) {
-  // The dispatcher has tried again itself, within its budget. If the entry VM
-  // did the same, one failure would be tried again in two layers.
+TEST(Entry, OnRefused_UpstreamFailure_NoRetryByTheEntry) {
+  // The dispatcher has already retried within its budget. If the entry VM
+  // retried as well, two layers would multiply the retries of one failure.
   const EntryHandle entry = this->Admit();
   this->Choose(entry);
   const RetryDecision decision = this->Refuse(entry, Refusal::kUpstreamShed);
@@ -296,7 +299,7 @@
   CHECK(decision.refusal == Refusal::kUpstreamShed);
 }
 
-TEST(Entry, OnRefused_PeerLostNotIdempotent_ToldUnknown) {
+TEST(Entry, OnRefused_PeerLostNotIdempotent_DeniedAsPeerLost) {
   EntryRequest request = this->Request();
   request.idempotent = false;
   const EntryHandle entry = this->router->Admit(this->now, request).entry;
@@ -307,9 +310,9 @@
   CHECK(decision.refusal == Refusal::kPeerLost);
 }
 
-TEST(Entry, OnRefused_NotRunAfterPeerLost_StaysUnknown) {
-  // A read went to a dispatcher that was lost with it, then to another one
-  // whose queue is full. That it was not run is only true of the second.
+TEST(Entry, OnRefused_NotRunAfterPeerLost_StaysPeerLost) {
+  // A read was sent to a dispatcher whose link broke, then to another one whose
+  // queue is full. Only the second attempt certainly did not run.
   const EntryHandle entry = this->Admit();
   this->Choose(entry);
   CHECK(this->Refuse(entry, Refusal::kPeerLost).retry);
@@ -321,7 +324,7 @@
   CHECK(decision.refusal == Refusal::kPeerLost);
 }
 
-TEST(Entry, OnRefused_PeersLostAllTheTime_RetriesStayInTheBudget) {
+TEST(Entry, OnRefused_PeersAlwaysLost_RetriesStayWithinBudget) {
   uint64_t granted = 0;
   for (int i = 0; i < 10000; ++i) {
     const EntryHandle entry = this->Admit();
@@ -340,7 +343,7 @@
         Retry::kDeniedDeadline);
 }
 
-TEST(Entry, OnRefused_BodyIsGone_NoRetry) {
+TEST(Entry, OnRefused_BodyNotReplayable_NoRetry) {
   EntryRequest request = this->Request();
   request.replayable = false;
   const EntryHandle entry = this->router->Admit(this->now, request).entry;
@@ -348,8 +351,9 @@
   CHECK_FALSE(this->Refuse(entry, Refusal::kPeerUnreachable).retry);
 }
 
-// Failure: the next dispatcher takes a request for one that was never sent.
-TEST(Entry, Choose_AfterItWasSent_TellsHowOften) {
+// Failure: the next dispatcher treats a request that was sent before as one
+// that was never sent.
+TEST(Entry, Choose_AfterSends_CountsThem) {
   const EntryHandle entry = this->Admit();
   CHECK_EQUAL(0, this->Choose(entry).sends);
   this->router->OnRefused(this->now, entry, Refusal::kNoUpstream, 2);
