--- a/packages/decision/test/quota_history_test.cc
+++ b/packages/decision/test/quota_history_test.cc
@@ -1,5 +1,5 @@
-// Random histories of a fleet that lends quotas: what must hold in each, and
-// how much of a quota is used.
+// Random histories of a fleet that lends quotas: invariants that hold in each,
+// and how much of a quota is used.
 
 #include <pcg_random.hpp>
 
@@ -17,36 +17,36 @@
 
 constexpr Duration kWindow = 5s;
 
-// What a contract adds to a quota over a window, and what of it an adapter may
-// give to the burst.
-constexpr double kOver = 0.1;
-constexpr double kSlack = 20;
-constexpr double kUsedSlack = 10;
+// Tolerance of the contract over a window, as a fraction and in requests, and
+// the part of it that an adapter may add to the burst.
+constexpr double kToleratedExcess = 0.1;
+constexpr double kToleratedRequests = 20;
+constexpr double kBurstSlack = 10;
 
 TeamLimits Quota(double rate, double burst) {
   TeamLimits limits;
   limits.requests_per_second = rate;
-  limits.burst = burst + kUsedSlack;
+  limits.burst = burst + kBurstSlack;
   return limits;
 }
 
-double BoundOf(const TeamLimits& limits) {
+double MaxAdmitted(const TeamLimits& limits) {
   const double window = std::chrono::duration<double>(kWindow).count();
   const double asked =
-      limits.requests_per_second * window + limits.burst - kUsedSlack;
-  return asked * (1 + kOver) + kSlack;
+      limits.requests_per_second * window + limits.burst - kBurstSlack;
+  return asked * (1 + kToleratedExcess) + kToleratedRequests;
 }
 
-double UsedPart(const QuotaSimulation& world,
-                const TeamLimits& limits,
-                Duration from,
-                Duration to) {
+double UsedFraction(const QuotaSimulation& simulation,
+                    const TeamLimits& limits,
+                    Duration from,
+                    Duration to) {
   const double seconds = std::chrono::duration<double>(to - from).count();
-  return static_cast<double>(world.CountAdmitted(0, from, to)) /
+  return static_cast<double>(simulation.CountAdmitted(0, from, to)) /
          (limits.requests_per_second * seconds);
 }
 
-std::vector<size_t> Some(pcg64& random, size_t count, double part) {
+std::vector<size_t> RandomSubset(pcg64& random, size_t count, double part) {
   std::vector<size_t> chosen;
   for (size_t i = 0; i < count; ++i) {
     if (static_cast<double>(random() % 1000) < 1000 * part) {
@@ -56,32 +56,35 @@
   return chosen;
 }
 
-void Trouble(pcg64& random, QuotaSimulation& world) {
-  const size_t vm = random() % world.CountVms();
+void InjectFault(pcg64& random, QuotaSimulation& simulation) {
+  const size_t vm = random() % simulation.CountVms();
   const auto length = std::chrono::milliseconds(200 + random() % 6000);
   switch (random() % 8) {
     case 0:
-      world.Kill(vm, length);
+      simulation.Kill(vm, length);
       break;
     case 1:
-      for (const size_t each : world.AllVms()) {
-        world.Kill(each, 300ms + std::chrono::milliseconds(random() % 300));
+      for (const size_t each : simulation.AllVms()) {
+        simulation.Kill(each,
+                        300ms + std::chrono::milliseconds(random() % 300));
       }
       break;
     case 2:
-      world.Freeze(vm, length);
+      simulation.Freeze(vm, length);
       break;
     case 3:
-      world.Cut(Some(random, world.CountVms(), 0.33), length);
+      simulation.Partition(RandomSubset(random, simulation.CountVms(), 0.33),
+                           length);
       break;
     case 4:
-      world.Cut(world.VmsOf(vm % 3), length);
+      simulation.Partition(simulation.VmsOf(vm % 3), length);
       break;
     case 5:
-      world.CutStore(Some(random, world.CountVms(), 0.33), length);
+      simulation.CutStore(RandomSubset(random, simulation.CountVms(), 0.33),
+                          length);
       break;
     case 6:
-      world.LoseAnswers(length);
+      simulation.LoseStoreAnswers(length);
       break;
     default:
       break;
@@ -92,84 +95,85 @@
 
 TEST_GROUP(QuotaHistory){};
 
-// Two VMs lend one share, or credits outlive those who lent them.
-TEST(QuotaHistory, AnyTrouble_DemandFarBeyond_StaysWithinTheBound) {
+// Failure: two VMs lend the same share at the same time, or credits stay valid
+// after their lender's lease has ended.
+TEST(QuotaHistory, RandomFaults_DemandFarAboveQuota_StaysWithinTheBound) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     pcg64 random(seed);
     QuotaSimulationOptions options;
     options.seed = seed;
     options.teams = {Quota(100, 0), Quota(3, 3)};
-    QuotaSimulation world(options);
-    world.Load(0, world.AllVms(), 300);
-    world.Load(1, world.AllVms(), 12);
+    QuotaSimulation simulation(options);
+    simulation.StartLoad(0, simulation.AllVms(), 300);
+    simulation.StartLoad(1, simulation.AllVms(), 12);
     for (int i = 0; i < 10; ++i) {
-      world.Run(std::chrono::milliseconds(500 + random() % 3000));
-      Trouble(random, world);
+      simulation.Run(std::chrono::milliseconds(500 + random() % 3000));
+      InjectFault(random, simulation);
     }
-    world.Run(5s);
+    simulation.Run(5s);
     for (size_t team = 0; team < options.teams.size(); ++team) {
-      CHECK_TRUE(static_cast<double>(world.MostIn(team, kWindow)) <=
-                 BoundOf(options.teams[team]));
+      CHECK_TRUE(static_cast<double>(simulation.MaxAdmittedIn(team, kWindow)) <=
+                 MaxAdmitted(options.teams[team]));
     }
   }
 }
 
-TEST(QuotaHistory, AllCallersAtOneVm_DemandBeyond_UsesNearlyAll) {
+TEST(QuotaHistory, AllCallersAtOneVm_DemandAboveQuota_UsesNearlyAll) {
   QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
-  QuotaSimulation world(options);
-  world.Load(0, {5}, 180);
-  world.Run(32s);
-  CHECK_COMPARE(UsedPart(world, options.teams[0], 2s, 32s), >=, 0.95);
+  QuotaSimulation simulation(options);
+  simulation.StartLoad(0, {5}, 180);
+  simulation.Run(32s);
+  CHECK_COMPARE(UsedFraction(simulation, options.teams[0], 2s, 32s), >=, 0.95);
 }
 
-TEST(QuotaHistory, CallersEverywhere_DemandBeyond_UsesNearlyAll) {
+TEST(QuotaHistory, CallersEverywhere_DemandAboveQuota_UsesNearlyAll) {
   QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
   options.vms_each = 12;
-  QuotaSimulation world(options);
-  world.Load(0, world.AllVms(), 240);
-  world.Run(32s);
-  CHECK_COMPARE(UsedPart(world, options.teams[0], 2s, 32s), >=, 0.95);
+  QuotaSimulation simulation(options);
+  simulation.StartLoad(0, simulation.AllVms(), 240);
+  simulation.Run(32s);
+  CHECK_COMPARE(UsedFraction(simulation, options.teams[0], 2s, 32s), >=, 0.95);
 }
 
-// A data centre is cut off from the others and from the store, and its share
-// lies idle.
-TEST(QuotaHistory, AThirdCutOff_DemandBeyond_TheRestUsesItsShares) {
+// A data centre is cut off from the others and from the store, so its share is
+// unused.
+TEST(QuotaHistory, OneDataCentreCutOff_DemandAboveQuota_OthersUseTheirShares) {
   QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
-  QuotaSimulation world(options);
-  world.Load(0, world.AllVms(), 240);
-  world.Run(5s);
-  world.Cut(world.VmsOf(1), 20s);
-  world.CutStore(world.VmsOf(1), 20s);
-  world.Run(20s);
-  CHECK_COMPARE(UsedPart(world, options.teams[0], 6s, 25s), >=, 0.6);
+  QuotaSimulation simulation(options);
+  simulation.StartLoad(0, simulation.AllVms(), 240);
+  simulation.Run(5s);
+  simulation.Partition(simulation.VmsOf(1), 20s);
+  simulation.CutStore(simulation.VmsOf(1), 20s);
+  simulation.Run(20s);
+  CHECK_COMPARE(UsedFraction(simulation, options.teams[0], 6s, 25s), >=, 0.6);
 }
 
-// A team of few requests is refused since each entry VM has a part of its quota
-// that is less than one.
-TEST(QuotaHistory, SmallTeamWithinItsQuota_ManyVms_IsHardlyRefused) {
+// Failure: requests of a team with a small quota are refused, because each
+// entry VM has less than one credit of it.
+TEST(QuotaHistory, SmallTeamWithinItsQuota_ManyVms_IsRarelyRefused) {
   QuotaSimulationOptions options;
   options.teams = {Quota(3, 3)};
   options.vms_each = 30;
-  QuotaSimulation world(options);
-  world.Load(0, world.AllVms(), 2);
-  world.Run(120s);
-  CHECK_COMPARE(static_cast<double>(world.CountRefused(0)), <=,
-                0.01 * static_cast<double>(world.CountSent(0)));
+  QuotaSimulation simulation(options);
+  simulation.StartLoad(0, simulation.AllVms(), 2);
+  simulation.Run(120s);
+  CHECK_COMPARE(static_cast<double>(simulation.CountRefused(0)), <=,
+                0.01 * static_cast<double>(simulation.CountSent(0)));
 }
 
-// The way without leases: a team at one VM has that VM's part alone.
+// Without leases, a team whose callers use one VM gets only that VM's part.
 TEST(QuotaHistory, WithoutLeases_CallersAtOneVm_UsesThePartOfThatVm) {
   QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
   options.has_leases = false;
-  QuotaSimulation world(options);
-  world.Load(0, {5}, 180);
-  world.Run(32s);
-  const double part = 1.0 / static_cast<double>(world.CountVms());
-  const double used = UsedPart(world, options.teams[0], 2s, 32s);
+  QuotaSimulation simulation(options);
+  simulation.StartLoad(0, {5}, 180);
+  simulation.Run(32s);
+  const double part = 1.0 / static_cast<double>(simulation.CountVms());
+  const double used = UsedFraction(simulation, options.teams[0], 2s, 32s);
   CHECK_COMPARE(used, >=, 0.9 * part);
   CHECK_COMPARE(used, <=, 1.1 * part);
 }
@@ -178,60 +182,61 @@
   QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
   options.has_leases = false;
-  QuotaSimulation world(options);
-  world.Load(0, world.AllVms(), 240);
-  world.Run(20s);
-  CHECK_TRUE(static_cast<double>(world.MostIn(0, kWindow)) <=
-             BoundOf(options.teams[0]));
+  QuotaSimulation simulation(options);
+  simulation.StartLoad(0, simulation.AllVms(), 240);
+  simulation.Run(20s);
+  CHECK_TRUE(static_cast<double>(simulation.MaxAdmittedIn(0, kWindow)) <=
+             MaxAdmitted(options.teams[0]));
 }
 
-// The lender of a data centre dies: its share is back within the lease's term,
-// and the others' are lent all the while.
-TEST(QuotaHistory, LenderDies_DemandWithinTwoThirds_IsServedOn) {
+// The lender of a data centre dies. Its share is available again within the
+// lease's term, and the other shares are lent meanwhile.
+TEST(QuotaHistory, LendersDie_DemandWithinTwoThirds_IsStillServed) {
   QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
-  QuotaSimulation world(options);
-  world.Load(0, world.VmsOf(1), 35);
-  world.Run(5s);
-  const size_t before = world.CountRefused(0);
-  for (const size_t vm : world.VmsOf(0)) {
-    world.Kill(vm, 10s);
+  QuotaSimulation simulation(options);
+  simulation.StartLoad(0, simulation.VmsOf(1), 35);
+  simulation.Run(5s);
+  const size_t before = simulation.CountRefused(0);
+  for (const size_t vm : simulation.VmsOf(0)) {
+    simulation.Kill(vm, 10s);
   }
-  world.Run(10s);
-  CHECK_COMPARE(static_cast<double>(world.CountRefused(0) - before), <=,
+  simulation.Run(10s);
+  CHECK_COMPARE(static_cast<double>(simulation.CountRefused(0) - before), <=,
                 0.05 * 350);
 }
 
-// The store turns those away that lend in two of three data centres. Their VMs
-// are refused all requests of teams with a quota, for as long as it takes
-// another to lend there.
-TEST(QuotaHistory, StoreRefusesTwoLenders_DemandWithinTheQuota_ServedOn) {
+// Failure: the store refuses calls of the lenders of two out of three data
+// centres. Their VMs refuse all requests of teams with a quota until another VM
+// lends there.
+TEST(QuotaHistory, StoreRefusesTwoLenders_DemandWithinTheQuota_IsStillServed) {
   QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
-  QuotaSimulation world(options);
-  world.Load(0, world.AllVms(), 36);
-  world.Run(5s);
-  std::vector<size_t> lenders = world.Lenders();
+  QuotaSimulation simulation(options);
+  simulation.StartLoad(0, simulation.AllVms(), 36);
+  simulation.Run(5s);
+  std::vector<size_t> lenders = simulation.Lenders();
   CHECK_EQUAL(3, lenders.size());
   lenders.pop_back();
-  const size_t refused = world.CountRefused(0);
-  const size_t sent = world.CountSent(0);
-  world.CutStore(lenders, 9s);
-  world.Run(9s);
-  CHECK_COMPARE(static_cast<double>(world.CountRefused(0) - refused), <=,
-                0.1 * static_cast<double>(world.CountSent(0) - sent));
+  const size_t refused = simulation.CountRefused(0);
+  const size_t sent = simulation.CountSent(0);
+  simulation.CutStore(lenders, 9s);
+  simulation.Run(9s);
+  CHECK_COMPARE(static_cast<double>(simulation.CountRefused(0) - refused), <=,
+                0.1 * static_cast<double>(simulation.CountSent(0) - sent));
 }
 
-// Leases cost the store the same however many VMs and requests there are.
-TEST(QuotaHistory, StoreCalls_TenTimesTheVms_AreTheSame) {
+// The number of store calls for leases does not grow with the number of VMs and
+// requests.
+TEST(QuotaHistory, StoreCalls_TenTimesTheVms_StayTheSame) {
   const auto calls = [](size_t vms_each, double per_second) {
     QuotaSimulationOptions options;
     options.teams = {Quota(60, 60)};
     options.vms_each = vms_each;
-    QuotaSimulation world(options);
-    world.Load(0, world.AllVms(), per_second);
-    world.Run(20s);
-    return static_cast<double>(world.store_calls());
+    QuotaSimulation simulation(options);
+    simulation.StartLoad(0, simulation.AllVms(), per_second);
+    simulation.Run(20s);
+    return static_cast<double>(simulation.store_calls());
   };
   const double small = calls(4, 20);
   const double large = calls(40, 200);
--- a/packages/decision/test/quota_simulation.cc
+++ b/packages/decision/test/quota_simulation.cc
@@ -13,8 +13,8 @@
 constexpr milliseconds kTick{10};
 constexpr milliseconds kStoreTime{4};
 constexpr milliseconds kCallTimeout{1200};
-// Until the others have seen that a VM is gone or back.
-constexpr milliseconds kNoticed{500};
+// Time until the other VMs have noticed that a VM is gone or back.
+constexpr milliseconds kDetectionDelay{500};
 
 double Uniform(pcg64& random) {
   return std::ldexp(static_cast<double>(random() >> 11), -53);
@@ -47,12 +47,12 @@
   this->ApplyViews();
 }
 
-void QuotaSimulation::At(Duration at, std::function<void()> run) {
+void QuotaSimulation::ScheduleAt(Duration at, std::function<void()> run) {
   this->events.push({at, ++this->last_event, std::move(run)});
 }
 
-void QuotaSimulation::After(Duration delay, std::function<void()> run) {
-  this->At(this->time + delay, std::move(run));
+void QuotaSimulation::ScheduleAfter(Duration delay, std::function<void()> run) {
+  this->ScheduleAt(this->time + delay, std::move(run));
 }
 
 void QuotaSimulation::Run(Duration length) {
@@ -72,19 +72,19 @@
   return LeaseTime(vm.clock + passed);
 }
 
-Duration QuotaSimulation::Hop() {
+Duration QuotaSimulation::NetworkDelay() {
   return microseconds(300 + this->random() % 2000);
 }
 
-void QuotaSimulation::OnVm(size_t index,
-                           uint64_t process,
-                           std::function<void()> run) {
+void QuotaSimulation::RunOnVm(size_t index,
+                              uint64_t process,
+                              std::function<void()> run) {
   Vm& vm = this->vms[index];
   if (!vm.alive || vm.process != process) {
     return;
   }
   if (this->time < vm.frozen_until) {
-    vm.held.push_back(std::move(run));
+    vm.deferred.push_back(std::move(run));
     return;
   }
   run();
@@ -94,16 +94,16 @@
   Vm& vm = this->vms[index];
   vm.alive = true;
   vm.process = ++this->processes;
-  vm.held.clear();
+  vm.deferred.clear();
   vm.waiting.clear();
-  QuotaCoordinatorOptions office;
-  office.vm = vm.name;
-  office.incarnation = vm.process;
-  office.data_centre = "dc-" + std::to_string(vm.data_centre);
+  QuotaCoordinatorOptions coordinator_options;
+  coordinator_options.vm = vm.name;
+  coordinator_options.incarnation = vm.process;
+  coordinator_options.data_centre = "dc-" + std::to_string(vm.data_centre);
   for (size_t i = 0; this->options.has_leases && i < this->shares.size(); ++i) {
-    office.shares.push_back("dc-" + std::to_string(i));
+    coordinator_options.shares.push_back("dc-" + std::to_string(i));
   }
-  vm.office.emplace(std::move(office));
+  vm.coordinator.emplace(std::move(coordinator_options));
   vm.borrower.emplace();
   this->Tick(index, vm.process);
 }
@@ -122,7 +122,7 @@
     row.data_centre = {static_cast<uint32_t>(vm.data_centre), 0};
     const bool is_seen =
         i == self || (vm.alive && this->time >= vm.frozen_until &&
-                      vm.side == this->vms[self].side);
+                      vm.partition == this->vms[self].partition);
     row.state = is_seen ? VmState::kLive : VmState::kSuspected;
     view.vms.push_back(std::move(row));
   }
@@ -135,22 +135,23 @@
 void QuotaSimulation::ApplyViews() {
   for (size_t i = 0; i < this->vms.size(); ++i) {
     const uint64_t process = this->vms[i].process;
-    this->OnVm(i, process, [this, i] {
+    this->RunOnVm(i, process, [this, i] {
       Vm& vm = this->vms[i];
-      vm.office->ApplyView(this->ClockOf(vm), this->ViewOf(i));
+      vm.coordinator->ApplyView(this->ClockOf(vm), this->ViewOf(i));
       this->Pump(i);
     });
   }
 }
 
 void QuotaSimulation::Tick(size_t index, uint64_t process) {
-  this->OnVm(index, process, [this, index, process] {
+  this->RunOnVm(index, process, [this, index, process] {
     Vm& vm = this->vms[index];
     const LeaseTime now = this->ClockOf(vm);
-    vm.office->Tick(now);
+    vm.coordinator->Tick(now);
     vm.borrower->Tick(now);
     this->Pump(index);
-    this->After(kTick, [this, index, process] { this->Tick(index, process); });
+    this->ScheduleAfter(kTick,
+                        [this, index, process] { this->Tick(index, process); });
   });
 }
 
@@ -160,18 +161,18 @@
   for (const QuotaDecision& decision : vm.borrower->TakeSettled()) {
     const auto found = vm.waiting.find(decision.ticket);
     if (decision.verdict == QuotaVerdict::kGranted) {
-      this->Admit(index, found->second);
+      this->CountAdmission(index, found->second);
     } else {
       ++this->refused[found->second];
     }
     vm.waiting.erase(found);
   }
   if (std::optional<QuotaRequest> request = vm.borrower->NextRequest(now)) {
-    vm.office->Ask(now, 0, *std::move(request));
+    vm.coordinator->Ask(now, 0, *std::move(request));
   }
-  this->CallStore(index, vm.office->NextLeaseCall(now));
-  for (std::vector<OutgoingQuotaMessage> sends = vm.office->TakeOutgoing();
-       !sends.empty(); sends = vm.office->TakeOutgoing()) {
+  this->CallStore(index, vm.coordinator->NextLeaseCall(now));
+  for (std::vector<OutgoingQuotaMessage> sends = vm.coordinator->TakeOutgoing();
+       !sends.empty(); sends = vm.coordinator->TakeOutgoing()) {
     for (const OutgoingQuotaMessage& send : sends) {
       this->Deliver(index, send);
     }
@@ -182,33 +183,35 @@
   Vm& sender = this->vms[from];
   if (!IsValid(send.to.vm)) {
     const auto* answer = std::get_if<QuotaAnswer>(&send.message);
-    this->After(Duration(0),
-                [this, from, process = sender.process, answer = *answer] {
-                  this->OnVm(from, process, [this, from, answer] {
-                    Vm& vm = this->vms[from];
-                    vm.borrower->OnAnswer(this->ClockOf(vm), answer);
-                    this->Pump(from);
-                  });
-                });
+    this->ScheduleAfter(
+        Duration(0), [this, from, process = sender.process, answer = *answer] {
+          this->RunOnVm(from, process, [this, from, answer] {
+            Vm& vm = this->vms[from];
+            vm.borrower->OnAnswer(this->ClockOf(vm), answer);
+            this->Pump(from);
+          });
+        });
     return;
   }
   ++this->message_count;
   const size_t to = send.to.vm.index;
   const Vm& receiver = this->vms[to];
-  if (!receiver.alive || receiver.side != sender.side) {
-    sender.office->OnUnsent(this->ClockOf(sender), send);
+  if (!receiver.alive || receiver.partition != sender.partition) {
+    sender.coordinator->OnUnsent(this->ClockOf(sender), send);
     return;
   }
-  const VmHandle asker{static_cast<uint32_t>(from), 0};
-  this->After(this->Hop(), [this, to, asker, process = receiver.process,
-                            message = send.message] {
-    this->OnVm(to, process, [this, to, asker, message] {
+  const VmHandle sender_handle{static_cast<uint32_t>(from), 0};
+  this->ScheduleAfter(this->NetworkDelay(), [this, to, sender_handle,
+                                             process = receiver.process,
+                                             message = send.message] {
+    this->RunOnVm(to, process, [this, to, sender_handle, message] {
       Vm& vm = this->vms[to];
       const LeaseTime now = this->ClockOf(vm);
       if (const auto* request = std::get_if<QuotaRequest>(&message)) {
-        vm.office->OnRequest(now, asker, *request);
+        vm.coordinator->OnRequest(now, sender_handle, *request);
       } else {
-        vm.office->OnAnswer(now, asker, std::get<QuotaAnswer>(message));
+        vm.coordinator->OnAnswer(now, sender_handle,
+                                 std::get<QuotaAnswer>(message));
       }
       this->Pump(to);
     });
@@ -222,10 +225,10 @@
   ++this->calls;
   const uint64_t process = this->vms[index].process;
   if (this->vms[index].store_cut) {
-    this->After(kStoreTime, [this, index, process] {
-      this->OnVm(index, process, [this, index] {
+    this->ScheduleAfter(kStoreTime, [this, index, process] {
+      this->RunOnVm(index, process, [this, index] {
         Vm& vm = this->vms[index];
-        vm.office->OnLeaseFailed(this->ClockOf(vm));
+        vm.coordinator->OnLeaseFailed(this->ClockOf(vm));
       });
     });
     return;
@@ -234,76 +237,77 @@
     this->WriteLease(index, process);
     return;
   }
-  this->After(kStoreTime, [this, index, process] {
-    const Share share = this->shares[this->vms[index].office->share()];
-    this->After(kStoreTime, [this, index, process, share] {
-      this->OnVm(index, process, [this, index, share] {
+  this->ScheduleAfter(kStoreTime, [this, index, process] {
+    const Share share = this->shares[this->vms[index].coordinator->share()];
+    this->ScheduleAfter(kStoreTime, [this, index, process, share] {
+      this->RunOnVm(index, process, [this, index, share] {
         Vm& vm = this->vms[index];
-        vm.office->OnLeaseRead(this->ClockOf(vm), share.record, share.end);
+        vm.coordinator->OnLeaseRead(this->ClockOf(vm), share.record, share.end);
       });
     });
   });
 }
 
 void QuotaSimulation::WriteLease(size_t index, uint64_t process) {
-  const QuotaCoordinator& office = *this->vms[index].office;
-  const uint16_t number = office.share();
-  const uint64_t end = office.lease().end();
-  const QuotaLeaseRecord record = office.lease().record();
-  const bool is_lost = this->loses_answers && this->random() % 2 == 0;
+  const QuotaCoordinator& coordinator = *this->vms[index].coordinator;
+  const uint16_t number = coordinator.share();
+  const uint64_t end = coordinator.lease().end();
+  const QuotaLeaseRecord record = coordinator.lease().record();
+  const bool is_lost = this->loses_store_answers && this->random() % 2 == 0;
   const Duration until_done =
       is_lost ? milliseconds(this->random() % 4000) : kStoreTime;
-  this->After(until_done, [this, index, process, number, end, record, is_lost] {
-    Share& share = this->shares[number];
-    const bool fits = share.end == end;
-    if (fits) {
-      share = {record, end + 1};
-    }
-    if (is_lost) {
-      return;
-    }
-    this->After(kStoreTime, [this, index, process, fits, end] {
-      this->OnVm(index, process, [this, index, fits, end] {
-        Vm& vm = this->vms[index];
+  this->ScheduleAfter(
+      until_done, [this, index, process, number, end, record, is_lost] {
+        Share& share = this->shares[number];
+        const bool fits = share.end == end;
         if (fits) {
-          vm.office->OnLeaseWritten(this->ClockOf(vm), end + 1);
-        } else {
-          vm.office->OnLeaseConflict(this->ClockOf(vm));
+          share = {record, end + 1};
         }
-        this->Pump(index);
+        if (is_lost) {
+          return;
+        }
+        this->ScheduleAfter(kStoreTime, [this, index, process, fits, end] {
+          this->RunOnVm(index, process, [this, index, fits, end] {
+            Vm& vm = this->vms[index];
+            if (fits) {
+              vm.coordinator->OnLeaseWritten(this->ClockOf(vm), end + 1);
+            } else {
+              vm.coordinator->OnLeaseConflict(this->ClockOf(vm));
+            }
+            this->Pump(index);
+          });
+        });
       });
-    });
-  });
   if (is_lost) {
-    this->After(kCallTimeout, [this, index, process] {
-      this->OnVm(index, process, [this, index] {
+    this->ScheduleAfter(kCallTimeout, [this, index, process] {
+      this->RunOnVm(index, process, [this, index] {
         Vm& vm = this->vms[index];
-        vm.office->OnLeaseFailed(this->ClockOf(vm));
+        vm.coordinator->OnLeaseFailed(this->ClockOf(vm));
       });
     });
   }
 }
 
-void QuotaSimulation::Load(size_t team,
-                           std::vector<size_t> at,
-                           double per_second) {
-  this->Arrive({team, std::move(at), per_second});
+void QuotaSimulation::StartLoad(size_t team,
+                                std::vector<size_t> at,
+                                double per_second) {
+  this->ScheduleNextArrival({team, std::move(at), per_second});
 }
 
-void QuotaSimulation::Arrive(const Source& source) {
+void QuotaSimulation::ScheduleNextArrival(const Source& source) {
   const double wait = -std::log(1 - Uniform(this->random)) / source.per_second;
   const auto pause =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait));
-  this->After(pause, [this, source] {
-    this->Arrive(source);
+  this->ScheduleAfter(pause, [this, source] {
+    this->ScheduleNextArrival(source);
     const size_t index = source.vms[this->random() % source.vms.size()];
     ++this->sent[source.team];
-    this->OnVm(index, this->vms[index].process, [this, index, source] {
+    this->RunOnVm(index, this->vms[index].process, [this, index, source] {
       Vm& vm = this->vms[index];
       const QuotaDecision decision = vm.borrower->Acquire(
           this->ClockOf(vm), MakeTeamKey(TeamName(source.team)));
       if (decision.verdict == QuotaVerdict::kGranted) {
-        this->Admit(index, source.team);
+        this->CountAdmission(index, source.team);
       } else if (decision.verdict == QuotaVerdict::kWait) {
         vm.waiting[decision.ticket] = source.team;
         this->Pump(index);
@@ -314,61 +318,62 @@
   });
 }
 
-void QuotaSimulation::Admit(size_t, size_t team) {
+void QuotaSimulation::CountAdmission(size_t, size_t team) {
   this->admitted[team].push_back(this->time);
 }
 
 void QuotaSimulation::Kill(size_t index, Duration down) {
   this->vms[index].alive = false;
-  this->After(down, [this, index] { this->Start(index); });
-  this->After(kNoticed, [this] { this->ApplyViews(); });
-  this->After(down + kNoticed, [this] { this->ApplyViews(); });
+  this->ScheduleAfter(down, [this, index] { this->Start(index); });
+  this->ScheduleAfter(kDetectionDelay, [this] { this->ApplyViews(); });
+  this->ScheduleAfter(down + kDetectionDelay, [this] { this->ApplyViews(); });
 }
 
 void QuotaSimulation::Freeze(size_t index, Duration length) {
   Vm& vm = this->vms[index];
   vm.frozen_until = std::max(vm.frozen_until, this->time + length);
-  this->After(length + microseconds(1), [this, index] {
-    Vm& woken = this->vms[index];
-    if (this->time < woken.frozen_until) {
+  this->ScheduleAfter(length + microseconds(1), [this, index] {
+    Vm& resumed = this->vms[index];
+    if (this->time < resumed.frozen_until) {
       return;
     }
-    for (const auto& run : std::exchange(woken.held, {})) {
+    for (const auto& run : std::exchange(resumed.deferred, {})) {
       run();
     }
   });
-  this->After(kNoticed, [this] { this->ApplyViews(); });
-  this->After(length + kNoticed, [this] { this->ApplyViews(); });
+  this->ScheduleAfter(kDetectionDelay, [this] { this->ApplyViews(); });
+  this->ScheduleAfter(length + kDetectionDelay, [this] { this->ApplyViews(); });
 }
 
-void QuotaSimulation::Cut(const std::vector<size_t>& apart, Duration length) {
-  for (const size_t vm : apart) {
-    this->vms[vm].side = 1;
+void QuotaSimulation::Partition(const std::vector<size_t>& isolated,
+                                Duration length) {
+  for (const size_t vm : isolated) {
+    this->vms[vm].partition = 1;
   }
-  this->After(kNoticed, [this] { this->ApplyViews(); });
-  this->After(length, [this, apart] {
-    for (const size_t vm : apart) {
-      this->vms[vm].side = 0;
+  this->ScheduleAfter(kDetectionDelay, [this] { this->ApplyViews(); });
+  this->ScheduleAfter(length, [this, isolated] {
+    for (const size_t vm : isolated) {
+      this->vms[vm].partition = 0;
     }
   });
-  this->After(length + kNoticed, [this] { this->ApplyViews(); });
+  this->ScheduleAfter(length + kDetectionDelay, [this] { this->ApplyViews(); });
 }
 
-void QuotaSimulation::CutStore(const std::vector<size_t>& apart,
+void QuotaSimulation::CutStore(const std::vector<size_t>& isolated,
                                Duration length) {
-  for (const size_t vm : apart) {
+  for (const size_t vm : isolated) {
     this->vms[vm].store_cut = true;
   }
-  this->After(length, [this, apart] {
-    for (const size_t vm : apart) {
+  this->ScheduleAfter(length, [this, isolated] {
+    for (const size_t vm : isolated) {
       this->vms[vm].store_cut = false;
     }
   });
 }
 
-void QuotaSimulation::LoseAnswers(Duration length) {
-  this->loses_answers = true;
-  this->After(length, [this] { this->loses_answers = false; });
+void QuotaSimulation::LoseStoreAnswers(Duration length) {
+  this->loses_store_answers = true;
+  this->ScheduleAfter(length, [this] { this->loses_store_answers = false; });
 }
 
 std::vector<size_t> QuotaSimulation::AllVms() const {
@@ -392,7 +397,7 @@
 std::vector<size_t> QuotaSimulation::Lenders() const {
   std::vector<size_t> found;
   for (size_t i = 0; i < this->vms.size(); ++i) {
-    if (this->vms[i].office->lends()) {
+    if (this->vms[i].coordinator->lends()) {
       found.push_back(i);
     }
   }
@@ -408,7 +413,7 @@
   return static_cast<size_t>(last - first);
 }
 
-size_t QuotaSimulation::MostIn(size_t team, Duration window) const {
+size_t QuotaSimulation::MaxAdmittedIn(size_t team, Duration window) const {
   const std::vector<Duration>& times = this->admitted[team];
   size_t most = 0;
   size_t first = 0;
--- a/packages/decision/test/quota_simulation.h
+++ b/packages/decision/test/quota_simulation.h
@@ -15,9 +15,10 @@
 #include "basilsill/decision/quota_borrower.h"
 #include "basilsill/decision/quota_coordinator.h"
 
-/// Quotas of a fleet in virtual time: the decision code of every VM, messages
-/// between them, and a store that keeps the leases. VMs have clocks of their
-/// own and may be killed, frozen, cut off from each other and from the store.
+/// Simulates quotas of a fleet in virtual time: the decision code of every VM,
+/// messages between VMs, and a store that keeps the leases. VMs have
+/// independent clocks and can be killed, frozen, and cut off from each other
+/// and from the store.
 
 namespace basilsill {
 
@@ -33,28 +34,28 @@
  public:
   explicit QuotaSimulation(const QuotaSimulationOptions& options);
 
-  /// Sends requests of `team` to random ones of `vms` from now on.
-  void Load(size_t team, std::vector<size_t> vms, double per_second);
+  /// Starts to send requests of `team` to randomly chosen VMs of `vms`.
+  void StartLoad(size_t team, std::vector<size_t> vms, double per_second);
   void Run(Duration time);
 
-  // Faults.
+  // Faults
   void Kill(size_t vm, Duration down);
   void Freeze(size_t vm, Duration time);
-  /// These VMs and the others don't hear each other.
-  void Cut(const std::vector<size_t>& vms, Duration time);
+  /// Cuts `vms` off from all other VMs.
+  void Partition(const std::vector<size_t>& vms, Duration time);
   void CutStore(const std::vector<size_t>& vms, Duration time);
-  /// Writes may be done without an answer, or seconds later.
-  void LoseAnswers(Duration time);
+  /// Writes to the store may take effect without an answer, or seconds later.
+  void LoseStoreAnswers(Duration time);
 
   std::vector<size_t> AllVms() const;
   std::vector<size_t> VmsOf(size_t data_centre) const;
   std::vector<size_t> Lenders() const;
   size_t CountVms() const { return this->vms.size(); }
 
-  /// @returns how many requests of `team` went on in [from, to).
+  /// @returns how many requests of `team` were admitted in [from, to).
   size_t CountAdmitted(size_t team, Duration from, Duration to) const;
-  /// @returns the most that went on in any window of that length.
-  size_t MostIn(size_t team, Duration window) const;
+  /// @returns the maximum number admitted in any window of that length.
+  size_t MaxAdmittedIn(size_t team, Duration window) const;
   size_t CountRefused(size_t team) const { return this->refused[team]; }
   size_t CountSent(size_t team) const { return this->sent[team]; }
   Duration now() const { return this->time; }
@@ -66,16 +67,17 @@
     std::string name;
     size_t data_centre = 0;
     Duration clock{0};
-    double speed = 1;  ///< Of its clock.
+    double speed = 1;  ///< Speed of the VM's clock relative to true time.
     uint64_t process = 0;
     bool alive = true;
     Duration frozen_until{0};
     bool store_cut = false;
-    int side = 0;  ///< VMs of two sides don't hear each other.
-    std::vector<std::function<void()>> held;  ///< Until it wakes.
-    std::optional<QuotaCoordinator> office;
+    int partition = 0;  ///< VMs in different partitions can't reach each other.
+    /// Events to run once the VM resumes.
+    std::vector<std::function<void()>> deferred;
+    std::optional<QuotaCoordinator> coordinator;
     std::optional<QuotaBorrower> borrower;
-    std::map<uint64_t, size_t> waiting;  ///< Team, by ticket.
+    std::map<uint64_t, size_t> waiting;  ///< Team by ticket.
   };
 
   struct Share {
@@ -100,12 +102,13 @@
     double per_second = 0;
   };
 
-  void At(Duration at, std::function<void()> run);
-  void After(Duration delay, std::function<void()> run);
-  /// Runs on the VM, unless its process ended; once it wakes if it is frozen.
-  void OnVm(size_t vm, uint64_t process, std::function<void()> run);
+  void ScheduleAt(Duration at, std::function<void()> run);
+  void ScheduleAfter(Duration delay, std::function<void()> run);
+  /// Runs `run` on the VM unless that process has ended; if the VM is frozen,
+  /// once it resumes.
+  void RunOnVm(size_t vm, uint64_t process, std::function<void()> run);
   LeaseTime ClockOf(const Vm& vm) const;
-  Duration Hop();
+  Duration NetworkDelay();
   void Start(size_t vm);
   void ApplyViews();
   RoutingView ViewOf(size_t vm) const;
@@ -114,8 +117,8 @@
   void Deliver(size_t from, const OutgoingQuotaMessage& send);
   void CallStore(size_t vm, QuotaLeaseCall call);
   void WriteLease(size_t vm, uint64_t process);
-  void Arrive(const Source& source);
-  void Admit(size_t vm, size_t team);
+  void ScheduleNextArrival(const Source& source);
+  void CountAdmission(size_t vm, size_t team);
 
   QuotaSimulationOptions options;
   pcg64 random;
@@ -127,7 +130,7 @@
   std::vector<std::vector<Duration>> admitted;  ///< By team.
   std::vector<size_t> refused;
   std::vector<size_t> sent;
-  bool loses_answers = false;
+  bool loses_store_answers = false;
   uint64_t processes = 0;
   uint64_t calls = 0;
   uint64_t message_count = 0;
--- a/packages/decision/test/quota_test.cc
+++ b/packages/decision/test/quota_test.cc
@@ -1,4 +1,4 @@
-// Tests of the parts that quotas are made of.
+// Tests token buckets, borrower and lease of quotas.
 
 #include <string>
 
@@ -53,8 +53,8 @@
   CHECK_EQUAL(10, this->buckets.Take(this->now, kTeam, 50).granted);
 }
 
-// A sum that rounding leaves short of a whole credit costs a team without a
-// burst a part of its rate.
+// Failure: rounding leaves a level slightly below a whole credit, and a team
+// without a burst loses part of its rate.
 TEST(QuotaBuckets, Take_AboveRate_GivesTheRateOverTime) {
   this->buckets.SetTeams(this->now, {Row(100, 1)}, 1);
   size_t granted = 0;
@@ -67,7 +67,7 @@
   CHECK(granted >= 1000 && granted <= 1060);
 }
 
-TEST(QuotaBuckets, Take_TooFew_SaysWhenToComeBack) {
+TEST(QuotaBuckets, Take_TooFew_GivesARetryTime) {
   this->buckets.SetTeams(this->now, {Row(10, 20)}, 1);
   const QuotaGrant grant = this->buckets.Take(this->now, kTeam, 5);
   CHECK_EQUAL(1, grant.granted);
@@ -81,14 +81,14 @@
   CHECK_EQUAL(3, this->buckets.Take(this->now, kTeam, 50).granted);
 }
 
-TEST(QuotaBuckets, SetTeams_TeamIsGone_LendsNothing) {
+TEST(QuotaBuckets, SetTeams_TeamRemoved_LendsNothing) {
   this->buckets.SetTeams(this->now, {Row(100, 100)}, 1);
   this->buckets.SetTeams(this->now, {}, 1);
   CHECK(this->buckets.empty());
   CHECK_EQUAL(0, this->buckets.Take(this->now, kTeam, 50).granted);
 }
 
-TEST(QuotaBuckets, Put_BeyondTheBurst_IsLost) {
+TEST(QuotaBuckets, Put_AboveTheBurst_IsDropped) {
   this->buckets.SetTeams(this->now, {Row(10, 20)}, 1);
   this->buckets.Fill(this->now);
   this->buckets.Put(this->now, kTeam, 7);
@@ -105,7 +105,7 @@
   }
 };
 
-TEST(QuotaBorrower, Enter_NoCredit_AsksAndGoesOn) {
+TEST(QuotaBorrower, Acquire_NoCredit_RequestsAndIsGranted) {
   const QuotaDecision first = this->borrower.Acquire(this->now, kTeam);
   CHECK(first.verdict == QuotaVerdict::kWait);
   const auto request = this->borrower.NextRequest(this->now);
@@ -119,7 +119,7 @@
         QuotaVerdict::kGranted);
 }
 
-TEST(QuotaBorrower, Enter_CreditIsOld_AsksAgain) {
+TEST(QuotaBorrower, Acquire_CreditExpired_RequestsAgain) {
   this->borrower.Acquire(this->now, kTeam);
   const auto request = this->borrower.NextRequest(this->now);
   this->borrower.OnAnswer(this->now + 5ms, this->Grant(*request, 3));
@@ -128,7 +128,7 @@
         QuotaVerdict::kWait);
 }
 
-TEST(QuotaBorrower, OnAnswer_TooFew_TheOthersAreToldWhen) {
+TEST(QuotaBorrower, OnAnswer_TooFew_OthersGetARetryTime) {
   this->borrower.Acquire(this->now, kTeam);
   this->borrower.Acquire(this->now, kTeam);
   const auto request = this->borrower.NextRequest(this->now);
@@ -142,8 +142,8 @@
   CHECK(later.retry_after > settled[1].retry_after);
 }
 
-// A lender that grants too few and does not say when to come back.
-TEST(QuotaBorrower, OnAnswer_NothingAndNoTime_NotAskedAgainAtOnce) {
+// A lender grants too few credits without a retry time.
+TEST(QuotaBorrower, OnAnswer_NoCreditsNoRetryTime_PausesBeforeNextRequest) {
   this->borrower.Acquire(this->now, kTeam);
   const auto request = this->borrower.NextRequest(this->now);
   this->borrower.OnAnswer(this->now, this->Grant(*request, 0));
@@ -151,7 +151,7 @@
   CHECK(this->borrower.NextRequest(this->now + 50ms).has_value());
 }
 
-TEST(QuotaBorrower, NobodyLends_RequestIsToldSoSoon) {
+TEST(QuotaBorrower, Acquire_NoLender_UnavailableSoon) {
   this->borrower.Acquire(this->now, kTeam);
   for (int i = 0; i < 40; ++i) {
     if (const auto request = this->borrower.NextRequest(this->now)) {
@@ -165,7 +165,7 @@
   CHECK(settled.front().verdict == QuotaVerdict::kUnavailable);
 }
 
-TEST(QuotaBorrower, Return_WhileTheCreditLives_GoesBack) {
+TEST(QuotaBorrower, Return_CreditStillValid_GoesBack) {
   this->borrower.Acquire(this->now, kTeam);
   const auto request = this->borrower.NextRequest(this->now);
   this->borrower.OnAnswer(this->now, this->Grant(*request, 1));
@@ -177,7 +177,7 @@
   CHECK_EQUAL(1, back->returns.front().count);
 }
 
-TEST(QuotaBorrower, Return_CreditIsVoid_IsLost) {
+TEST(QuotaBorrower, Return_CreditIsVoid_IsDropped) {
   this->borrower.Acquire(this->now, kTeam);
   const auto request = this->borrower.NextRequest(this->now);
   this->borrower.OnAnswer(this->now, this->Grant(*request, 1));
@@ -203,7 +203,7 @@
   }
 };
 
-TEST(QuotaLease, NextCall_NotNeeded_MakesNone) {
+TEST(QuotaLease, NextCall_NotNeeded_NoCall) {
   CHECK(this->lease.NextCall(this->now) == QuotaLeaseCall::kNone);
 }
 
@@ -226,7 +226,7 @@
   CHECK_FALSE(this->lease.was_own());
 }
 
-TEST(QuotaLease, Conflict_AnotherRenewed_WaitsAnew) {
+TEST(QuotaLease, Conflict_AnotherRenewed_WaitsForAnotherTerm) {
   this->Read(QuotaLeaseRecord{"vm-b", 1}, 4);
   this->now += QuotaLease::kTerm + 300ms;
   this->lease.OnNeeded(this->now, true);
@@ -237,9 +237,9 @@
   CHECK_FALSE(this->lease.Holds(this->now));
 }
 
-// The process ended and started again: its record frees the share at once, but
-// nothing is known of what was lent.
-TEST(QuotaLease, Read_OwnEarlierProcess_TakesItAtOnceAsUnknown) {
+// The VM's process has restarted. Its own record makes the share free at once,
+// but nothing is known about how much was lent.
+TEST(QuotaLease, Read_OwnEarlierProcess_TakesShareAtOnceAsUnknown) {
   this->Read(QuotaLeaseRecord{"vm-a", 3}, 4);
   this->Write();
   CHECK(this->lease.Holds(this->now));
@@ -253,7 +253,7 @@
   CHECK_FALSE(this->lease.Holds(this->now + QuotaLease::kTerm + 1s));
 }
 
-TEST(QuotaLease, GiveUp_Holding_WritesThatNobodyHolds) {
+TEST(QuotaLease, GiveUp_Holding_WritesEmptyHolder) {
   this->Read(std::nullopt, 0);
   this->Write();
   this->lease.GiveUp();
@@ -263,7 +263,7 @@
   CHECK_FALSE(this->lease.Holds(this->now));
 }
 
-TEST(QuotaLease, LaterCandidate_AskedOnce_DoesNotStepIn) {
+TEST(QuotaLease, LaterCandidate_NeededOnce_DoesNotTakeOver) {
   this->lease.OnNeeded(this->now, false);
   CHECK(this->lease.NextCall(this->now + 10ms) == QuotaLeaseCall::kNone);
   this->lease.OnNeeded(this->now + 500ms, false);
--- a/packages/decision/test/rate_limit_simulation.cc
+++ b/packages/decision/test/rate_limit_simulation.cc
@@ -10,11 +10,12 @@
 
 constexpr Duration kStep = 1ms;
 constexpr Duration kWindow = 4s;
-// Of one that the users judge, beginning after the limit was first named.
-constexpr Duration kJudgedAfter = 3s;
-// A VM that has passed on an answer is told this much later.
-constexpr Duration kToldAfter = 500ms;
-constexpr Duration kTellInterval = 250ms;
+// Windows are checked from this time after a limit was first advertised.
+constexpr Duration kCheckedAfter = 3s;
+// A VM counts against the limit from this time after it has passed on an answer
+// that advertises one.
+constexpr Duration kNoticeDelay = 500ms;
+constexpr Duration kUpdateInterval = 250ms;
 constexpr double kExcess = 1.5;
 constexpr double kSlack = 5;
 constexpr double kNoLimit = 1e9;
@@ -30,7 +31,7 @@
   }
 }
 
-// The VMs of the world are the first owners of the shard, in their order.
+// The simulated VMs are the first owners of the shard, in their order.
 std::unique_ptr<RateLimitSimulation::Vm> RateLimitSimulation::MakeVm(
     uint32_t number) {
   auto vm = std::make_unique<Vm>(DispatcherOptions{});
@@ -45,7 +46,7 @@
   harness.fixture.view.self =
       view->services.at(0)->shards.at(0).owners.at(number);
   harness.Apply();
-  vm->told.assign(this->options.upstreams, kNever);
+  vm->advertised_since.assign(this->options.upstreams, kNever);
   return vm;
 }
 
@@ -70,12 +71,12 @@
 void RateLimitSimulation::SetCutOff(uint32_t vm, bool cut_off) {
   this->vms.at(vm)->cut_off = cut_off;
   for (uint32_t i = 0; i < this->vms.size(); ++i) {
-    this->TellWhoAnswers(i);
+    this->UpdateReachability(i);
   }
 }
 
-// The VMs of the view that are not in the world stay live.
-void RateLimitSimulation::TellWhoAnswers(uint32_t number) {
+// VMs of the view that are not simulated stay live.
+void RateLimitSimulation::UpdateReachability(uint32_t number) {
   DispatchHarness& harness = this->vms[number]->harness;
   for (uint32_t i = 0; i < this->vms.size(); ++i) {
     const bool answers =
@@ -94,7 +95,7 @@
   this->vms.at(vm) = this->MakeVm(vm);
   this->vms.at(vm)->dispatches = dispatches;
   this->vms.at(vm)->cut_off = cut_off;
-  this->TellWhoAnswers(vm);
+  this->UpdateReachability(vm);
 }
 
 void RateLimitSimulation::Run(Duration time) {
@@ -104,10 +105,10 @@
       this->Step(i);
     }
     for (uint32_t i = 0; i < this->vms.size(); ++i) {
-      this->TellOthers(i);
+      this->SendUpdates(i);
     }
     for (Upstream& upstream : this->upstreams) {
-      this->Judge(upstream);
+      this->CheckBound(upstream);
     }
   }
 }
@@ -117,47 +118,49 @@
   vm.harness.now = this->now;
   vm.harness.dispatcher->Tick(this->now);
   vm.harness.Collect();
-  this->EndWork(number, vm);
-  this->Answer(number, vm);
+  this->EndRequests(number, vm);
+  this->AnswerProbes(number, vm);
   const auto offers =
       static_cast<uint32_t>(1e6 / 1e3 * this->options.requests_per_second);
   if (vm.dispatches && this->random(1'000'000) < offers) {
     vm.harness.Offer();
   }
   this->TakeSends(number, vm);
-  this->TakeQuestions(number, vm);
+  this->TakeProbes(number, vm);
 }
 
-// Some times a second, to those that it reaches.
-void RateLimitSimulation::TellOthers(uint32_t number) {
+// Sends reports several times per second to the VMs that can be reached.
+void RateLimitSimulation::SendUpdates(uint32_t number) {
   Vm& vm = *this->vms[number];
-  if (this->now < vm.tells_at) {
+  if (this->now < vm.next_update_at) {
     return;
   }
-  vm.tells_at = this->now + kTellInterval;
-  for (const RateLimitUpdate& news :
+  vm.next_update_at = this->now + kUpdateInterval;
+  for (const RateLimitUpdate& update :
        vm.harness.dispatcher->TakeRateLimitUpdates(this->now)) {
     for (const auto& other : this->vms) {
-      const bool is_meant = other->harness.fixture.view.self == news.to;
-      if (is_meant && !vm.cut_off && !other->cut_off) {
-        other->harness.dispatcher->OnRateLimitReport(this->now, news.report);
+      const bool is_addressee = other->harness.fixture.view.self == update.to;
+      if (is_addressee && !vm.cut_off && !other->cut_off) {
+        other->harness.dispatcher->OnRateLimitReport(this->now, update.report);
         other->harness.Collect();
       }
     }
   }
 }
 
-void RateLimitSimulation::EndWork(uint32_t number, Vm& vm) {
-  for (const Work& work : std::exchange(vm.works, {})) {
+void RateLimitSimulation::EndRequests(uint32_t number, Vm& vm) {
+  for (const ActiveRequest& work : std::exchange(vm.active_requests, {})) {
     if (work.ends > this->now) {
-      vm.works.push_back(work);
+      vm.active_requests.push_back(work);
     } else {
-      this->EndOne(number, vm, work);
+      this->EndRequest(number, vm, work);
     }
   }
 }
 
-void RateLimitSimulation::EndOne(uint32_t number, Vm& vm, const Work& work) {
+void RateLimitSimulation::EndRequest(uint32_t number,
+                                     Vm& vm,
+                                     const ActiveRequest& work) {
   const auto& running = vm.harness.running;
   const auto found = std::find_if(
       running.begin(), running.end(),
@@ -171,56 +174,61 @@
   } else {
     const bool is_shed = this->Chance(this->options.shed_percent);
     report.end = is_shed ? AttemptEnd::kShed : AttemptEnd::kAnswered;
-    report.rate_limit = this->Say(number, work.upstream);
+    report.rate_limit = this->AdvertiseLimit(number, work.upstream);
     this->answers += is_shed ? 0 : 1;
   }
   vm.harness.EndAt(static_cast<size_t>(found - running.begin()), report);
 }
 
-AdvertisedRateLimit RateLimitSimulation::Say(uint32_t number,
-                                             UpstreamHandle upstream) {
+AdvertisedRateLimit RateLimitSimulation::AdvertiseLimit(
+    uint32_t number,
+    UpstreamHandle upstream) {
   const std::optional<double>& limit = this->upstreams.at(upstream.index).limit;
   if (!limit) {
     return {RateLimitPresence::kNone, 0};
   }
-  TimePoint& told = this->vms[number]->told.at(upstream.index);
-  told = std::min(told, this->now);
+  TimePoint& advertised_since =
+      this->vms[number]->advertised_since.at(upstream.index);
+  advertised_since = std::min(advertised_since, this->now);
   return {RateLimitPresence::kNamed, *limit};
 }
 
 void RateLimitSimulation::TakeSends(uint32_t number, Vm& vm) {
   for (const DispatchAction& action :
        std::vector<DispatchAction>(vm.harness.running)) {
-    const bool known = std::any_of(
-        vm.works.begin(), vm.works.end(),
-        [&](const Work& work) { return work.attempt == action.attempt; });
+    const bool known =
+        std::any_of(vm.active_requests.begin(), vm.active_requests.end(),
+                    [&](const ActiveRequest& work) {
+                      return work.attempt == action.attempt;
+                    });
     if (known) {
       continue;
     }
-    this->Arrive(number, action.upstream);
+    this->CountArrival(number, action.upstream);
     if (this->Chance(this->options.stale_percent) &&
         vm.harness.dispatcher->MaySendAgain(this->now, action.attempt)) {
-      this->Arrive(number, action.upstream);
+      this->CountArrival(number, action.upstream);
     }
     const auto half = static_cast<uint32_t>(this->options.work.count() / 2);
     const std::chrono::milliseconds work(half + this->random(2 * half + 1));
-    vm.works.push_back({action.attempt, action.upstream, this->now + work});
+    vm.active_requests.push_back(
+        {action.attempt, action.upstream, this->now + work});
   }
 }
 
-void RateLimitSimulation::TakeQuestions(uint32_t number, Vm& vm) {
+void RateLimitSimulation::TakeProbes(uint32_t number, Vm& vm) {
   for (const UpstreamHandle upstream : std::exchange(vm.harness.asked, {})) {
-    this->Arrive(number, upstream);
-    ++this->upstreams.at(upstream.index).questions;
-    vm.questions.push_back({this->now + 1ms, upstream});
+    this->CountArrival(number, upstream);
+    ++this->upstreams.at(upstream.index).probes;
+    vm.probes.push_back({this->now + 1ms, upstream});
   }
 }
 
-// A health check names no limit: what must not hang on it does not.
-void RateLimitSimulation::Answer(uint32_t, Vm& vm) {
-  while (!vm.questions.empty() && vm.questions.front().due <= this->now) {
-    const UpstreamHandle upstream = vm.questions.front().upstream;
-    vm.questions.pop_front();
+// Answers to health checks never advertise a limit: nothing may depend on that.
+void RateLimitSimulation::AnswerProbes(uint32_t, Vm& vm) {
+  while (!vm.probes.empty() && vm.probes.front().due <= this->now) {
+    const UpstreamHandle upstream = vm.probes.front().upstream;
+    vm.probes.pop_front();
     LoadQueryReport report;
     report.answered = true;
     report.load = {true, true, 0, 0, this->options.slots, 1};
@@ -230,18 +238,21 @@
   }
 }
 
-void RateLimitSimulation::Arrive(uint32_t number, UpstreamHandle upstream) {
+void RateLimitSimulation::CountArrival(uint32_t number,
+                                       UpstreamHandle upstream) {
   Upstream& row = this->upstreams.at(upstream.index);
   ++row.arrivals;
-  const TimePoint told = this->vms[number]->told.at(upstream.index);
-  if (told != kNever && this->now - told >= kToldAfter) {
+  const TimePoint advertised_since =
+      this->vms[number]->advertised_since.at(upstream.index);
+  if (advertised_since != kNever &&
+      this->now - advertised_since >= kNoticeDelay) {
     row.recent.push_back({this->now, number});
   }
 }
 
-void RateLimitSimulation::Judge(Upstream& upstream) {
+void RateLimitSimulation::CheckBound(Upstream& upstream) {
   const double step = std::chrono::duration<double>(kStep).count();
-  const bool just_fell = this->now - upstream.fell_at < kToldAfter;
+  const bool just_fell = this->now - upstream.fell_at < kNoticeDelay;
   const double limit = std::max(upstream.limit.value_or(kNoLimit),
                                 just_fell ? upstream.limit_before : 0);
   const double allowed = limit * step;
@@ -255,7 +266,7 @@
          this->now - upstream.recent.front().at >= kWindow) {
     upstream.recent.pop_front();
   }
-  if (!upstream.limit || this->now - upstream.first_named < kJudgedAfter) {
+  if (!upstream.limit || this->now - upstream.first_named < kCheckedAfter) {
     return;
   }
   const double bound = kExcess * upstream.allowed_sum + kSlack;
@@ -267,8 +278,8 @@
   return this->upstreams.at(upstream).arrivals;
 }
 
-size_t RateLimitSimulation::questions(uint32_t upstream) const {
-  return this->upstreams.at(upstream).questions;
+size_t RateLimitSimulation::probes(uint32_t upstream) const {
+  return this->upstreams.at(upstream).probes;
 }
 
 const std::vector<DispatchAction>& RateLimitSimulation::refused(
--- a/packages/decision/test/rate_limit_simulation.h
+++ b/packages/decision/test/rate_limit_simulation.h
@@ -11,9 +11,10 @@
 
 #include "decision_fixture.h"
 
-/// Upstreams of one shard that name rate limits in their answers, and VMs that
-/// believe that they dispatch for it, in virtual time. It counts what reaches
-/// an upstream, whatever way it took, and what that upstream allows.
+/// Simulates, in virtual time, upstreams of one shard that advertise rate
+/// limits and VMs that consider themselves the shard's dispatcher. Counts all
+/// requests and probes that reach an upstream, and compares them with what the
+/// limit allows.
 
 namespace basilsill {
 
@@ -23,50 +24,50 @@
   double requests_per_second = 25;  ///< For each VM that dispatches.
   std::chrono::milliseconds work{120};
   uint32_t vms = 1;
-  uint32_t stale_percent = 0;  ///< Of sends, on a connection that is gone.
-  uint32_t died_percent = 0;   ///< Of attempts, without an answer.
-  uint32_t shed_percent = 0;   ///< Of attempts, refused by the upstream.
+  uint32_t stale_percent = 0;  ///< Of sends: the connection is stale.
+  uint32_t died_percent = 0;   ///< Of attempts: no answer.
+  uint32_t shed_percent = 0;   ///< Of attempts: refused by the upstream.
 };
 
 class RateLimitSimulation {
  public:
   RateLimitSimulation(uint64_t seed, const RateLimitSimulationOptions& options);
 
-  /// From now on the upstream names this limit; nothing: none.
+  /// From now on the upstream advertises this limit; nullopt: none.
   void SetLimit(uint32_t upstream, std::optional<double> per_second);
 
-  /// Offers work to those VMs that dispatch, for `time`.
+  /// Offers requests to the VMs that dispatch, for `time`.
   void Run(Duration time);
 
   void SetDispatches(uint32_t vm, bool dispatches);
-  /// The VM and all others do not reach each other, and know that.
+  /// The VM and all others can't reach each other, and their views show it.
   void SetCutOff(uint32_t vm, bool cut_off);
-  /// The VM forgets all that it knew.
+  /// Restarts the VM, which loses its state.
   void Restart(uint32_t vm);
 
-  /// @returns the most that an upstream got beyond what is allowed, in any four
-  /// seconds, by the users' bound; negative if it always got less.
+  /// @returns the largest excess of any upstream over the contract's bound for
+  /// four seconds, in requests; negative if the bound was never reached.
   double worst_excess() const { return this->worst; }
 
-  /// @returns what reached the upstream so far, questions included.
+  /// @returns how many requests and probes have reached the upstream.
   size_t arrivals(uint32_t upstream) const;
   size_t answered() const { return this->answers; }
-  size_t questions(uint32_t upstream) const;
+  size_t probes(uint32_t upstream) const;
   const std::vector<DispatchAction>& refused(uint32_t vm) const;
   DispatchHarness& harness(uint32_t vm) { return this->vms.at(vm)->harness; }
   TimePoint time() const { return this->now; }
-  pcg32& dice() { return this->random; }
+  pcg32& random_source() { return this->random; }
 
  private:
   struct Arrival {
     TimePoint at;
     uint32_t vm = 0;
   };
-  struct Question {
+  struct Probe {
     TimePoint due;
     UpstreamHandle upstream;
   };
-  struct Work {
+  struct ActiveRequest {
     AttemptHandle attempt;
     UpstreamHandle upstream;
     TimePoint ends;
@@ -76,15 +77,17 @@
     DispatchHarness harness;
     bool dispatches = true;
     bool cut_off = false;
-    std::deque<Question> questions;
-    std::vector<Work> works;
-    TimePoint tells_at{};
-    /// By upstream: when it first passed on an answer that names a limit.
-    std::vector<TimePoint> told;
+    std::deque<Probe> probes;
+    std::vector<ActiveRequest> active_requests;
+    TimePoint next_update_at{};
+    /// By upstream: when the VM first passed on an answer that advertises a
+    /// limit.
+    std::vector<TimePoint> advertised_since;
   };
   struct Upstream {
     std::optional<double> limit;
-    /// Before it fell, and since when; a VM has a moment to learn of that.
+    /// The limit before its last decrease, and when that was; VMs have a moment
+    /// to notice it.
     double limit_before = 0;
     TimePoint fell_at{};
     TimePoint first_named = kNever;
@@ -92,21 +95,21 @@
     std::deque<double> allowed;  ///< For each step of the window.
     double allowed_sum = 0;
     size_t arrivals = 0;
-    size_t questions = 0;
+    size_t probes = 0;
   };
 
   std::unique_ptr<Vm> MakeVm(uint32_t number);
-  void TellWhoAnswers(uint32_t number);
+  void UpdateReachability(uint32_t number);
   void Step(uint32_t number);
-  void EndWork(uint32_t number, Vm& vm);
-  void EndOne(uint32_t number, Vm& vm, const Work& work);
+  void EndRequests(uint32_t number, Vm& vm);
+  void EndRequest(uint32_t number, Vm& vm, const ActiveRequest& work);
   void TakeSends(uint32_t number, Vm& vm);
-  void TakeQuestions(uint32_t number, Vm& vm);
-  void Answer(uint32_t number, Vm& vm);
-  void Arrive(uint32_t number, UpstreamHandle upstream);
-  AdvertisedRateLimit Say(uint32_t number, UpstreamHandle upstream);
-  void Judge(Upstream& upstream);
-  void TellOthers(uint32_t number);
+  void TakeProbes(uint32_t number, Vm& vm);
+  void AnswerProbes(uint32_t number, Vm& vm);
+  void CountArrival(uint32_t number, UpstreamHandle upstream);
+  AdvertisedRateLimit AdvertiseLimit(uint32_t number, UpstreamHandle upstream);
+  void CheckBound(Upstream& upstream);
+  void SendUpdates(uint32_t number);
   bool Chance(uint32_t percent) { return this->random(100) < percent; }
 
   RateLimitSimulationOptions options;
--- a/packages/decision/test/rate_limit_test.cc
+++ b/packages/decision/test/rate_limit_test.cc
@@ -1,5 +1,5 @@
-// Tests of upstreams that name a rate limit: what they get, and what becomes of
-// requests that they can't take.
+// Tests upstreams that advertise a rate limit: what they get, and what happens
+// to requests that exceed the limit.
 
 #include <array>
 #include <memory>
@@ -30,74 +30,77 @@
 using basilsill::UpstreamEventKind;
 using basilsill::UpstreamHandle;
 
-TEST_GROUP(RateLimit){// What an upstream gets in ten seconds, once it has named
-                      // `limit` for a while.
-                      static size_t CountIn10s(RateLimitSimulation & world,
-                                               double limit){world.Run(2s);
-world.SetLimit(0, limit);
-world.Run(3s);
-const size_t before = world.arrivals(0);
-world.Run(10s);
-return world.arrivals(0) - before;
+// CountIn10s returns how many requests and probes an upstream gets in ten
+// seconds, once it has advertised `limit` for a while.
+TEST_GROUP(RateLimit){static size_t CountIn10s(RateLimitSimulation & simulation,
+                                               double limit){simulation.Run(2s);
+simulation.SetLimit(0, limit);
+simulation.Run(3s);
+const size_t before = simulation.arrivals(0);
+simulation.Run(10s);
+return simulation.arrivals(0) - before;
 }
 }
 ;
 
-// An upstream that names a limit gets as much as before, requests and
-// questions.
-TEST(RateLimit, Upstream_NamesALimit_GetsNoMoreThanThat) {
+// Failure: an upstream that advertises a limit still gets as many requests and
+// probes as before.
+TEST(RateLimit, Upstream_AdvertisesALimit_GetsNoMoreThanThat) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    RateLimitSimulation world(seed, RateLimitSimulationOptions{});
-    const size_t got = CountIn10s(world, 1.7);
-    const std::string told = std::to_string(got) + " of 17, " +
-                             std::to_string(world.questions(0)) + " questions";
-    CHECK_TEXT(got <= 18, told.c_str());
-    CHECK(world.worst_excess() <= 0);
+    RateLimitSimulation simulation(seed, RateLimitSimulationOptions{});
+    const size_t got = CountIn10s(simulation, 1.7);
+    const std::string message = std::to_string(got) + " of 17, " +
+                                std::to_string(simulation.probes(0)) +
+                                " questions";
+    CHECK_TEXT(got <= 18, message.c_str());
+    CHECK(simulation.worst_excess() <= 0);
   }
 }
 
-TEST(RateLimit, Upstream_WhileOthersAreBusy_GetsWhatItTakes) {
+TEST(RateLimit, Upstream_WhileOthersAreBusy_GetsItsLimit) {
   RateLimitSimulationOptions options;
   options.requests_per_second = 40;
-  RateLimitSimulation world(1, options);
-  const size_t got = CountIn10s(world, 3);
+  RateLimitSimulation simulation(1, options);
+  const size_t got = CountIn10s(simulation, 3);
   CHECK(got >= 25);
   CHECK(got <= 31);
 }
 
-// A limit that slots could not use up must cost nothing.
-TEST(RateLimit, Upstream_NamesAMillion_GetsAsMuchAsBefore) {
+// A limit that the slots can't reach must not reduce throughput.
+TEST(RateLimit, Upstream_AdvertisesAMillion_GetsAsMuchAsBefore) {
   RateLimitSimulation named(1, RateLimitSimulationOptions{});
   CHECK(CountIn10s(named, 1e6) > 100);
 }
 
-// An upstream that gets nothing can't say that it takes work again.
-TEST(RateLimit, Upstream_NamesZeroAndEndsIt_IsUsedAgain) {
-  RateLimitSimulation world(1, RateLimitSimulationOptions{});
-  const size_t got = CountIn10s(world, 0);
+// Failure: an upstream that gets no requests can't advertise that it takes work
+// again.
+TEST(RateLimit, Upstream_AdvertisesZeroThenNone_IsUsedAgain) {
+  RateLimitSimulation simulation(1, RateLimitSimulationOptions{});
+  const size_t got = CountIn10s(simulation, 0);
   CHECK(got >= 1);
   CHECK(got <= 2);
-  world.SetLimit(0, std::nullopt);
-  world.Run(10s);
-  const size_t before = world.arrivals(0);
-  world.Run(2s);
-  CHECK(world.arrivals(0) - before > 20);
+  simulation.SetLimit(0, std::nullopt);
+  simulation.Run(10s);
+  const size_t before = simulation.arrivals(0);
+  simulation.Run(2s);
+  CHECK(simulation.arrivals(0) - before > 20);
 }
 
-TEST(RateLimit, Upstream_LimitEndsInCalm_IsUsedAgainSoon) {
+TEST(RateLimit, Upstream_LimitEndsUnderLowLoad_IsUsedAgainSoon) {
   RateLimitSimulationOptions options;
   options.requests_per_second = 5;
-  RateLimitSimulation world(1, options);
-  CountIn10s(world, 1.7);
-  world.SetLimit(0, std::nullopt);
-  world.Run(3s);
-  const size_t before = world.arrivals(0);
-  world.Run(10s);
-  CHECK(world.arrivals(0) - before > 10);
+  RateLimitSimulation simulation(1, options);
+  CountIn10s(simulation, 1.7);
+  simulation.SetLimit(0, std::nullopt);
+  simulation.Run(3s);
+  const size_t before = simulation.arrivals(0);
+  simulation.Run(10s);
+  CHECK(simulation.arrivals(0) - before > 10);
 }
 
+// Failure: the VMs together exceed a limit although each of them keeps to it.
 // Owners change, VMs restart and are cut off from each other, limits change and
-// end: a limit is broken by VMs that each keep to it.
+// end.
 TEST(RateLimit, RandomHistory_OfThreeVms_NeverAboveTheBound) {
   size_t answered = 0;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
@@ -106,53 +109,53 @@
     options.stale_percent = 5;
     options.died_percent = 3;
     options.shed_percent = 5;
-    RateLimitSimulation world(seed, options);
+    RateLimitSimulation simulation(seed, options);
     std::array<std::optional<double>, 6> limits = {0,   0.1, 1.7,
                                                    4.5, 30,  std::nullopt};
     for (int i = 0; i < 200; ++i) {
-      world.Run(100ms);
-      auto& dice = world.dice();
-      if (dice(4) == 0) {
-        world.SetDispatches(dice(3), dice(2) == 0);
+      simulation.Run(100ms);
+      auto& random_source = simulation.random_source();
+      if (random_source(4) == 0) {
+        simulation.SetDispatches(random_source(3), random_source(2) == 0);
       }
-      if (dice(20) == 0) {
-        world.Restart(dice(3));
+      if (random_source(20) == 0) {
+        simulation.Restart(random_source(3));
       }
-      if (dice(10) == 0) {
-        world.SetCutOff(dice(3), dice(2) == 0);
+      if (random_source(10) == 0) {
+        simulation.SetCutOff(random_source(3), random_source(2) == 0);
       }
-      if (dice(15) == 0) {
-        world.SetLimit(dice(3), limits[dice(6)]);
+      if (random_source(15) == 0) {
+        simulation.SetLimit(random_source(3), limits[random_source(6)]);
       }
     }
-    const std::string told =
-        std::to_string(seed) + ": " + std::to_string(world.worst_excess());
-    CHECK_TEXT(world.worst_excess() <= 0, told.c_str());
-    answered += world.answered();
+    const std::string message =
+        std::to_string(seed) + ": " + std::to_string(simulation.worst_excess());
+    CHECK_TEXT(simulation.worst_excess() <= 0, message.c_str());
+    answered += simulation.answered();
   }
   CHECK(answered > 20 * 20 * 10);
 }
 
-// A VM starts, or begins to dispatch in another's place, and sends a limited
-// upstream as much as any until its first answer.
-TEST(RateLimit, Vm_ThatStarts_IsToldByTheOneThatDispatched) {
+// Failure: a VM begins to dispatch, after a start or in place of another VM,
+// and sends a limited upstream as much as any other until its first answer.
+TEST(RateLimit, Vm_BeginsToDispatch_KnowsTheReportedLimit) {
   RateLimitSimulationOptions options;
   options.vms = 2;
-  RateLimitSimulation world(1, options);
-  world.SetDispatches(1, false);
-  world.SetLimit(0, 0.5);
-  world.Run(5s);
-  world.Restart(1);
-  world.Run(5s);
-  const size_t before = world.arrivals(0);
-  world.SetDispatches(0, false);
-  world.SetDispatches(1, true);
-  world.Run(1s);
-  CHECK(world.arrivals(0) - before <= 1);
+  RateLimitSimulation simulation(1, options);
+  simulation.SetDispatches(1, false);
+  simulation.SetLimit(0, 0.5);
+  simulation.Run(5s);
+  simulation.Restart(1);
+  simulation.Run(5s);
+  const size_t before = simulation.arrivals(0);
+  simulation.SetDispatches(0, false);
+  simulation.SetDispatches(1, true);
+  simulation.Run(1s);
+  CHECK(simulation.arrivals(0) - before <= 1);
 }
 
-// What was told of one start of an upstream must not bind the next.
-TEST(RateLimit, Report_OfAnEarlierStart_BindsNobody) {
+// A report about one incarnation of an upstream must not apply to the next.
+TEST(RateLimit, Report_OfAnEarlierIncarnation_IsIgnored) {
   DispatchHarness first;
   DispatchHarness second;
   for (DispatchHarness* harness : {&first, &second}) {
@@ -166,15 +169,15 @@
   AttemptReport report = DispatchHarness::Report(AttemptEnd::kAnswered);
   report.rate_limit = {RateLimitPresence::kNamed, 0};
   first.End(cookie, report);
-  const auto news = first.dispatcher->TakeRateLimitUpdates(first.now);
-  CHECK(!news.empty());
-  second.dispatcher->OnRateLimitReport(second.now, news.front().report);
+  const auto updates = first.dispatcher->TakeRateLimitUpdates(first.now);
+  CHECK(!updates.empty());
+  second.dispatcher->OnRateLimitReport(second.now, updates.front().report);
   second.Offer();
   CHECK_EQUAL(1, second.running.size());
 }
 
-/// One upstream of two names a limit that leaves it nothing for seconds.
-TEST_GROUP(RateLimitWays) {
+/// One of two upstreams advertises a limit that allows no request for seconds.
+TEST_GROUP(RateLimitDispatch) {
   std::unique_ptr<DispatchHarness> harness;
   UpstreamHandle limited;
   UpstreamHandle free;
@@ -191,7 +194,8 @@
     this->Settle();
   }
 
-  // The VM has been the shard's first owner for long.
+  // Makes the VM the shard's first owner for long enough to use the whole
+  // limit.
   void Settle() {
     const auto view = this->harness->fixture.Build();
     this->harness->fixture.view.self =
@@ -211,7 +215,7 @@
     return report;
   }
 
-  void Name(double per_second) {
+  void AdvertiseLimit(double per_second) {
     for (int i = 0; i < 4; ++i) {
       this->harness->Offer();
     }
@@ -219,8 +223,8 @@
     this->EndAll();
   }
 
-  // All upstreams of the shard name the limit.
-  void NameAll(double per_second) {
+  // All upstreams of the shard advertise the limit.
+  void AdvertiseLimitOnAll(double per_second) {
     this->harness->WarmUp();
     this->OfferMany(4);
     this->harness->EndOn(this->limited, Limited(per_second));
@@ -241,7 +245,7 @@
     }
   }
 
-  void CheckSpared() {
+  void CheckLimitedGetsNothing() {
     CHECK_EQUAL(0, this->harness->RunningOn(this->limited));
   }
 
@@ -254,34 +258,34 @@
   }
 };
 
-TEST(RateLimitWays, Offer_FromTheQueueOrAhead_Spared) {
-  this->Name(0);
+TEST(RateLimitDispatch, Offer_FromTheQueueOrAhead_SkipsLimited) {
+  this->AdvertiseLimit(0);
   this->OfferMany();
   this->harness->Advance(100ms);
-  this->CheckSpared();
+  this->CheckLimitedGetsNothing();
 }
 
-TEST(RateLimitWays, Hedge_Due_Spared) {
+TEST(RateLimitDispatch, Hedge_Due_SkipsLimited) {
   this->harness->WarmUp(200);
-  this->Name(0);
+  this->AdvertiseLimit(0);
   DispatchRequest request = this->harness->Request();
   request.hedge = true;
   this->harness->Offer(request);
   this->harness->Advance(200ms);
-  this->CheckSpared();
+  this->CheckLimitedGetsNothing();
 }
 
-TEST(RateLimitWays, Repeat_AfterADeathOrARefusal_Spared) {
-  this->Name(0);
+TEST(RateLimitDispatch, Retry_AfterACrashOrARefusal_SkipsLimited) {
+  this->AdvertiseLimit(0);
   for (const AttemptEnd end : {AttemptEnd::kDied, AttemptEnd::kShed}) {
     const uint64_t cookie = this->harness->Offer();
     this->harness->End(cookie, end);
     this->harness->Advance(20ms);
-    this->CheckSpared();
+    this->CheckLimitedGetsNothing();
   }
 }
 
-TEST(RateLimitWays, StaleConnection_NotSentAgainThere) {
+TEST(RateLimitDispatch, StaleConnection_LimitAdvertised_NotSentAgain) {
   this->OfferMany(4);
   const auto on_limited = this->harness->running.at(
       this->harness->running.at(0).upstream == this->limited ? 0 : 1);
@@ -302,23 +306,24 @@
                                                       on_limited.attempt));
 }
 
-TEST(RateLimitWays, Isolation_OfASuspect_Spared) {
+TEST(RateLimitDispatch, Isolation_OfASuspect_SkipsLimited) {
   DispatcherOptions options;
   options.quarantine = Quarantine::Create({});
   this->Start(options);
-  this->Name(0);
+  this->AdvertiseLimit(0);
   constexpr Fingerprint kSuspect = 7;
   options.quarantine->OnCrash(this->harness->now, 1, {{kSuspect}});
   DispatchRequest request = this->harness->Request();
   request.fingerprint = kSuspect;
   this->harness->Offer(request);
   CHECK_EQUAL(1, this->harness->running.size());
-  this->CheckSpared();
+  this->CheckLimitedGetsNothing();
 }
 
-// A request is held until an upstream is fast again, and those that may be are
-// asked: a question takes the place of a request.
-TEST(RateLimitWays, Question_WhileARequestIsHeld_NotAsked) {
+// Failure: while a request is held until an upstream is fast again, the
+// candidates are probed, and a probe uses up the rate limit in place of a
+// request.
+TEST(RateLimitDispatch, Probe_WhileARequestIsHeld_SkipsLimited) {
   this->Start({}, true);
   this->OfferMany(2);
   this->harness->AnswerLoadQuery(this->free, 10);
@@ -334,24 +339,25 @@
   for (const UpstreamHandle asked : this->harness->asked) {
     CHECK(asked != this->limited);
   }
-  this->CheckSpared();
+  this->CheckLimitedGetsNothing();
 }
 
-// An answer to what was sent before the limit was named comes after it.
-TEST(RateLimitWays, Answer_SentBeforeTheLimitWasNamed_DoesNotEndIt) {
+// An answer to a request that was sent before the limit was advertised arrives
+// after it.
+TEST(RateLimitDispatch, Answer_SentBeforeTheLimit_DoesNotEndIt) {
   this->OfferMany(4);
   this->harness->EndOn(this->limited, Limited(0));
   this->harness->Advance(1ms);
-  AttemptReport silent = DispatchHarness::Report(AttemptEnd::kAnswered);
-  silent.rate_limit = {RateLimitPresence::kNone, 0};
-  this->harness->EndOn(this->limited, silent);
+  AttemptReport without_limit = DispatchHarness::Report(AttemptEnd::kAnswered);
+  without_limit.rate_limit = {RateLimitPresence::kNone, 0};
+  this->harness->EndOn(this->limited, without_limit);
   this->EndAll();
   this->OfferMany();
-  this->CheckSpared();
+  this->CheckLimitedGetsNothing();
 }
 
-TEST(RateLimitWays, Answer_Unreadable_ChangesNothing) {
-  this->Name(0);
+TEST(RateLimitDispatch, Answer_Unreadable_ChangesNothing) {
+  this->AdvertiseLimit(0);
   this->harness->Advance(11s);
   this->OfferMany(4);
   CHECK_EQUAL(1, this->harness->RunningOn(this->limited));
@@ -359,30 +365,31 @@
                        DispatchHarness::Report(AttemptEnd::kAnswered));
   this->EndAll();
   this->OfferMany();
-  this->CheckSpared();
+  this->CheckLimitedGetsNothing();
 }
 
-// It starts again at the same address: what the earlier start said is over.
-TEST(RateLimitWays, View_ReplacedAtOneAddress_NotLimited) {
+// The upstream restarts at the same address: the limit of the earlier
+// incarnation no longer applies.
+TEST(RateLimitDispatch, View_UpstreamReplacedAtSameAddress_NotLimited) {
   this->harness->fixture.AddIncarnations();
-  this->Name(0);
+  this->AdvertiseLimit(0);
   this->limited = this->harness->fixture.RestartUpstream(this->limited);
   this->harness->Apply();
   this->OfferMany();
   CHECK(this->harness->RunningOn(this->limited) > 0);
 }
 
-TEST(RateLimitWays, Limit_NamedChangedAndEnded_ToldOnceEach) {
-  this->Name(5);
+TEST(RateLimitDispatch, Limit_AdvertisedChangedEnded_OneEventEach) {
+  this->AdvertiseLimit(5);
   this->harness->Advance(1s);
-  this->Name(5);
+  this->AdvertiseLimit(5);
   this->harness->Advance(1s);
-  this->Name(2);
+  this->AdvertiseLimit(2);
   this->harness->Advance(3s);
   this->OfferMany(4);
-  AttemptReport silent = DispatchHarness::Report(AttemptEnd::kAnswered);
-  silent.rate_limit = {RateLimitPresence::kNone, 0};
-  this->harness->EndOn(this->limited, silent);
+  AttemptReport without_limit = DispatchHarness::Report(AttemptEnd::kAnswered);
+  without_limit.rate_limit = {RateLimitPresence::kNone, 0};
+  this->harness->EndOn(this->limited, without_limit);
   size_t named = 0;
   size_t ended = 0;
   for (const UpstreamEvent& event : this->harness->events) {
@@ -393,10 +400,10 @@
   CHECK_EQUAL(1, ended);
 }
 
-// They stand in the queue until they are late, though it is known that they
-// can't be served.
-TEST(RateLimitWays, Offer_MoreThanTheyTake_ToldAtOnceWhenToComeBack) {
-  this->NameAll(2);
+// Failure: requests wait in the queue until their deadlines have passed, though
+// it is known that they can't be served.
+TEST(RateLimitDispatch, Offer_AboveTheLimits_RefusedAtOnceWithRetryTime) {
+  this->AdvertiseLimitOnAll(2);
   this->OfferMany(100);
   const size_t waiting = this->harness->Queued();
   CHECK(waiting >= 1);
@@ -410,8 +417,8 @@
   CHECK_EQUAL(0, this->CountRefused(Refusal::kDeadlinePassedInQueue));
 }
 
-TEST(RateLimitWays, Offer_BackgroundThatCanNotBeServed_ToldAtOnce) {
-  this->NameAll(0);
+TEST(RateLimitDispatch, Offer_BackgroundThatCanNotBeServed_RefusedAtOnce) {
+  this->AdvertiseLimitOnAll(0);
   DispatchRequest request = this->harness->Request();
   request.traffic_class = TrafficClass::kBackground;
   request.deadline = this->harness->now + 3s;
@@ -419,8 +426,8 @@
   CHECK(Refusal::kUpstreamRateLimit == this->harness->RefusalFor(cookie));
 }
 
-TEST(RateLimitWays, Limit_FallsWhileRequestsWait_ToldAtOnce) {
-  this->NameAll(20);
+TEST(RateLimitDispatch, Limit_FallsWhileRequestsWait_RefusedAtOnce) {
+  this->AdvertiseLimitOnAll(20);
   this->OfferMany(10);
   this->harness->Advance(60ms);
   const size_t waiting = this->harness->Queued();
@@ -433,10 +440,10 @@
   CHECK(this->CountRefused(Refusal::kUpstreamRateLimit) > 5);
 }
 
-// Siblings without a limit pause for a moment, and requests are refused for the
-// rate of the one that has one.
-TEST(RateLimitWays, Siblings_PauseForAMoment_WaitedFor) {
-  this->Name(0);
+// Failure: the upstreams without a limit pause for a moment, and requests are
+// refused because of the rate limit of the one that has one.
+TEST(RateLimitDispatch, Siblings_PauseForAMoment_RequestsWait) {
+  this->AdvertiseLimit(0);
   this->OfferMany(2);
   while (!this->harness->running.empty()) {
     this->harness->EndAt(0, DispatchHarness::Report(AttemptEnd::kShed));
@@ -447,11 +454,12 @@
   CHECK_EQUAL(0, this->CountRefused(Refusal::kUpstreamRateLimit));
 }
 
-// A team that asks for much takes all that limited upstreams can do.
-TEST(RateLimitWays, TwoTeams_OneAsksForMuchMore_TheOtherIsServed) {
+// Failure: a team with many requests uses up the whole capacity of limited
+// upstreams.
+TEST(RateLimitDispatch, TwoTeams_OneSendsMuchMore_OtherIsServed) {
   const auto other = this->harness->fixture.AddTeam("fjellmagasin");
   this->harness->Apply();
-  this->NameAll(10);
+  this->AdvertiseLimitOnAll(10);
   std::set<uint64_t> of_other;
   size_t served = 0;
   for (int i = 0; i < 200; ++i) {
