--- a/packages/decision/include/basilsill/decision/quota.h
+++ b/packages/decision/include/basilsill/decision/quota.h
@@ -45,7 +45,7 @@
   friend bool operator==(const QuotaWant&, const QuotaWant&) = default;
 };
 
-/// Credits that come back since their requests were refused without having run.
+/// Credits returned because their requests were refused without having run.
 struct QuotaReturn {
   TeamKey team = 0;
   uint32_t count = 0;
--- a/packages/decision/include/basilsill/decision/quota_coordinator.h
+++ b/packages/decision/include/basilsill/decision/quota_coordinator.h
@@ -40,7 +40,7 @@
   void OnAnswer(LeaseTime now, VmHandle from, const QuotaAnswer& answer);
 
   /// A message of `TakeOutgoing` can't be sent: there is no link.
-  void OnUnsent(LeaseTime now, const OutgoingQuotaMessage& send);
+  void OnUnsent(LeaseTime now, const OutgoingQuotaMessage& unsent);
 
   void Tick(LeaseTime now);
 
--- a/packages/decision/src/dispatcher_rate_limit.cc
+++ b/packages/decision/src/dispatcher_rate_limit.cc
@@ -150,9 +150,9 @@
 
 std::vector<RateLimitUpdate> DispatcherCore::TakeRateLimitUpdates(
     TimePoint now) {
-  std::vector<RateLimitUpdate> news;
+  std::vector<RateLimitUpdate> updates;
   for (const RateLimitReport& report : std::exchange(this->ended_limits, {})) {
-    this->AddUpdatesForOwners(report, news);
+    this->AddUpdatesForOwners(report, updates);
   }
   for (uint32_t row = 0; row < this->shards.size(); ++row) {
     ShardState& shard = this->shards.at(row);
@@ -168,10 +168,10 @@
       RateLimitReport report = this->ReportOf(shard, limited.place);
       report.named = true;
       report.requests_per_second = limited.quota.limit();
-      this->AddUpdatesForOwners(report, news);
+      this->AddUpdatesForOwners(report, updates);
     }
   }
-  return news;
+  return updates;
 }
 
 void DispatcherCore::AddUpdatesForOwners(
--- a/packages/decision/src/entry_core.h
+++ b/packages/decision/src/entry_core.h
@@ -35,8 +35,7 @@
   UpstreamHandle failed_upstream;
   /// Refusal of an attempt that may have run; kNone if there was none.
   Refusal uncertain_refusal = Refusal::kNone;
-  bool counts_for_silence =
-      false;  ///< Counts for the silence of its dispatcher.
+  bool counts_for_silence = false;
 };
 
 /// A shard that a request could go to.
--- a/packages/decision/src/quota_coordinator.cc
+++ b/packages/decision/src/quota_coordinator.cc
@@ -117,14 +117,14 @@
 }
 
 void QuotaCoordinator::OnUnsent(LeaseTime now,
-                                const OutgoingQuotaMessage& send) {
-  const auto* request = std::get_if<QuotaRequest>(&send.message);
+                                const OutgoingQuotaMessage& unsent) {
+  const auto* request = std::get_if<QuotaRequest>(&unsent.message);
   if (request == nullptr) {
     return;
   }
   QuotaAnswer answer;
   answer.number = request->number;
-  this->OnAnswer(now, send.to.vm, answer);
+  this->OnAnswer(now, unsent.to.vm, answer);
 }
 
 // A VM may open a link before this VM has it in its view. It can't be answered.
--- a/packages/decision/test/cold_quota_test.cc
+++ b/packages/decision/test/cold_quota_test.cc
@@ -157,7 +157,7 @@
   }
 
   size_t max_sends_while_cold() const { return this->max_cold_sends; }
-  size_t sent() const { return this->all_sent; }
+  size_t sent() const { return this->total_sent; }
 
  private:
   struct Probe {
@@ -189,8 +189,8 @@
   }
 
   // One or two VMs consider themselves dispatchers, and which ones changes
-  // several times per second. VMs restart one at a time, and the upstream
-  // becomes cold at any moment.
+  // several times per second. At most one VM restarts every two seconds, and
+  // the upstream becomes cold at any moment.
   void InjectRandomEvent() {
     if (this->random(400) == 0) {
       const uint32_t first = this->random(kVms);
@@ -255,9 +255,9 @@
       if (known) {
         continue;
       }
-      const std::chrono::milliseconds request(10 + this->random(30));
-      vm.active_requests.push_back({action.attempt, this->now + request});
-      ++this->all_sent;
+      const std::chrono::milliseconds duration(10 + this->random(30));
+      vm.active_requests.push_back({action.attempt, this->now + duration});
+      ++this->total_sent;
       if (this->now < this->cold_until) {
         this->CountColdSend();
       }
@@ -303,7 +303,7 @@
   TimePoint cold_until{};
   std::deque<TimePoint> cold_sends;
   size_t max_cold_sends = 0;
-  size_t all_sent = 0;
+  size_t total_sent = 0;
 };
 
 }  // namespace
--- a/packages/decision/test/configuration_freshness_test.cc
+++ b/packages/decision/test/configuration_freshness_test.cc
@@ -167,7 +167,7 @@
     uint64_t stamp = 0;
     std::optional<FreshnessVouch> vouch;
     size_t known_changes = 0;
-    Duration changes_until_then{0};
+    Duration due{0};
   };
 
   LeaseTime ClockOf(uint32_t vm) const {
@@ -181,7 +181,7 @@
   }
 
   void Send(Message message) {
-    message.changes_until_then = this->now + this->Delay();
+    message.due = this->now + this->Delay();
     this->messages.push_back(message);
   }
 
@@ -203,7 +203,7 @@
 
   void Deliver() {
     for (size_t i = 0; i < this->messages.size();) {
-      if (this->messages[i].changes_until_then > this->now) {
+      if (this->messages[i].due > this->now) {
         ++i;
         continue;
       }
--- a/packages/decision/test/quota_history_test.cc
+++ b/packages/decision/test/quota_history_test.cc
@@ -30,11 +30,11 @@
   return limits;
 }
 
-double MaxAdmitted(const TeamLimits& limits) {
+double MaxAllowed(const TeamLimits& limits) {
   const double window = std::chrono::duration<double>(kWindow).count();
-  const double asked =
+  const double quota_in_window =
       limits.requests_per_second * window + limits.burst - kBurstSlack;
-  return asked * (1 + kToleratedExcess) + kToleratedRequests;
+  return quota_in_window * (1 + kToleratedExcess) + kToleratedRequests;
 }
 
 double UsedFraction(const QuotaSimulation& simulation,
@@ -113,7 +113,7 @@
     simulation.Run(5s);
     for (size_t team = 0; team < options.teams.size(); ++team) {
       CHECK_TRUE(static_cast<double>(simulation.MaxAdmittedIn(team, kWindow)) <=
-                 MaxAdmitted(options.teams[team]));
+                 MaxAllowed(options.teams[team]));
     }
   }
 }
@@ -130,7 +130,7 @@
 TEST(QuotaHistory, CallersEverywhere_DemandAboveQuota_UsesNearlyAll) {
   QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
-  options.vms_each = 12;
+  options.vms_per_data_centre = 12;
   QuotaSimulation simulation(options);
   simulation.StartLoad(0, simulation.AllVms(), 240);
   simulation.Run(32s);
@@ -156,7 +156,7 @@
 TEST(QuotaHistory, SmallTeamWithinItsQuota_ManyVms_IsRarelyRefused) {
   QuotaSimulationOptions options;
   options.teams = {Quota(3, 3)};
-  options.vms_each = 30;
+  options.vms_per_data_centre = 30;
   QuotaSimulation simulation(options);
   simulation.StartLoad(0, simulation.AllVms(), 2);
   simulation.Run(120s);
@@ -186,11 +186,11 @@
   simulation.StartLoad(0, simulation.AllVms(), 240);
   simulation.Run(20s);
   CHECK_TRUE(static_cast<double>(simulation.MaxAdmittedIn(0, kWindow)) <=
-             MaxAdmitted(options.teams[0]));
+             MaxAllowed(options.teams[0]));
 }
 
-// The lender of a data centre dies. Its share is available again within the
-// lease's term, and the other shares are lent meanwhile.
+// All VMs of a data centre die, its lender among them. The shares of the other
+// data centres are lent meanwhile.
 TEST(QuotaHistory, LendersDie_DemandWithinTwoThirds_IsStillServed) {
   QuotaSimulationOptions options;
   options.teams = {Quota(60, 60)};
@@ -229,10 +229,10 @@
 // The number of store calls for leases does not grow with the number of VMs and
 // requests.
 TEST(QuotaHistory, StoreCalls_TenTimesTheVms_StayTheSame) {
-  const auto calls = [](size_t vms_each, double per_second) {
+  const auto calls = [](size_t vms_per_data_centre, double per_second) {
     QuotaSimulationOptions options;
     options.teams = {Quota(60, 60)};
-    options.vms_each = vms_each;
+    options.vms_per_data_centre = vms_per_data_centre;
     QuotaSimulation simulation(options);
     simulation.StartLoad(0, simulation.AllVms(), per_second);
     simulation.Run(20s);
--- a/packages/decision/test/quota_simulation.cc
+++ b/packages/decision/test/quota_simulation.cc
@@ -33,7 +33,7 @@
       admitted(given.teams.size()),
       refused(given.teams.size()),
       sent(given.teams.size()) {
-  for (size_t i = 0; i < given.data_centres * given.vms_each; ++i) {
+  for (size_t i = 0; i < given.data_centres * given.vms_per_data_centre; ++i) {
     Vm vm;
     vm.name = "vm-" + std::to_string(i);
     vm.data_centre = i % given.data_centres;
@@ -171,18 +171,21 @@
     vm.coordinator->Ask(now, 0, *std::move(request));
   }
   this->CallStore(index, vm.coordinator->NextLeaseCall(now));
-  for (std::vector<OutgoingQuotaMessage> sends = vm.coordinator->TakeOutgoing();
-       !sends.empty(); sends = vm.coordinator->TakeOutgoing()) {
-    for (const OutgoingQuotaMessage& send : sends) {
-      this->Deliver(index, send);
+  for (std::vector<OutgoingQuotaMessage> messages_to_send =
+           vm.coordinator->TakeOutgoing();
+       !messages_to_send.empty();
+       messages_to_send = vm.coordinator->TakeOutgoing()) {
+    for (const OutgoingQuotaMessage& outgoing : messages_to_send) {
+      this->Deliver(index, outgoing);
     }
   }
 }
 
-void QuotaSimulation::Deliver(size_t from, const OutgoingQuotaMessage& send) {
+void QuotaSimulation::Deliver(size_t from,
+                              const OutgoingQuotaMessage& outgoing) {
   Vm& sender = this->vms[from];
-  if (!IsValid(send.to.vm)) {
-    const auto* answer = std::get_if<QuotaAnswer>(&send.message);
+  if (!IsValid(outgoing.to.vm)) {
+    const auto* answer = std::get_if<QuotaAnswer>(&outgoing.message);
     this->ScheduleAfter(
         Duration(0), [this, from, process = sender.process, answer = *answer] {
           this->RunOnVm(from, process, [this, from, answer] {
@@ -194,16 +197,16 @@
     return;
   }
   ++this->message_count;
-  const size_t to = send.to.vm.index;
+  const size_t to = outgoing.to.vm.index;
   const Vm& receiver = this->vms[to];
   if (!receiver.alive || receiver.partition != sender.partition) {
-    sender.coordinator->OnUnsent(this->ClockOf(sender), send);
+    sender.coordinator->OnUnsent(this->ClockOf(sender), outgoing);
     return;
   }
   const VmHandle sender_handle{static_cast<uint32_t>(from), 0};
   this->ScheduleAfter(this->NetworkDelay(), [this, to, sender_handle,
                                              process = receiver.process,
-                                             message = send.message] {
+                                             message = outgoing.message] {
     this->RunOnVm(to, process, [this, to, sender_handle, message] {
       Vm& vm = this->vms[to];
       const LeaseTime now = this->ClockOf(vm);
--- a/packages/decision/test/quota_simulation.h
+++ b/packages/decision/test/quota_simulation.h
@@ -25,7 +25,7 @@
 struct QuotaSimulationOptions {
   uint64_t seed = 1;
   size_t data_centres = 3;
-  size_t vms_each = 4;
+  size_t vms_per_data_centre = 4;
   bool has_leases = true;
   std::vector<TeamLimits> teams;
 };
@@ -114,7 +114,7 @@
   RoutingView ViewOf(size_t vm) const;
   void Tick(size_t vm, uint64_t process);
   void Pump(size_t vm);
-  void Deliver(size_t from, const OutgoingQuotaMessage& send);
+  void Deliver(size_t from, const OutgoingQuotaMessage& outgoing);
   void CallStore(size_t vm, QuotaLeaseCall call);
   void WriteLease(size_t vm, uint64_t process);
   void ScheduleNextArrival(const Source& source);
--- a/packages/decision/test/rate_limit_simulation.cc
+++ b/packages/decision/test/rate_limit_simulation.cc
@@ -54,12 +54,12 @@
                                    std::optional<double> per_second) {
   Upstream& row = this->upstreams.at(upstream);
   if (!row.limit && per_second) {
-    row.first_named = this->now;
+    row.first_advertised_at = this->now;
   }
   const double before = row.limit.value_or(kNoLimit);
   if (per_second && *per_second < before) {
     row.limit_before = before;
-    row.fell_at = this->now;
+    row.decreased_at = this->now;
   }
   row.limit = per_second;
 }
@@ -125,8 +125,8 @@
   if (vm.dispatches && this->random(1'000'000) < offers) {
     vm.harness.Offer();
   }
-  this->TakeSends(number, vm);
-  this->TakeProbes(number, vm);
+  this->RecordSends(number, vm);
+  this->ReceiveProbes(number, vm);
 }
 
 // Sends reports several times per second to the VMs that can be reached.
@@ -149,22 +149,22 @@
 }
 
 void RateLimitSimulation::EndRequests(uint32_t number, Vm& vm) {
-  for (const ActiveRequest& work : std::exchange(vm.active_requests, {})) {
-    if (work.ends > this->now) {
-      vm.active_requests.push_back(work);
+  for (const ActiveRequest& request : std::exchange(vm.active_requests, {})) {
+    if (request.ends > this->now) {
+      vm.active_requests.push_back(request);
     } else {
-      this->EndRequest(number, vm, work);
+      this->EndRequest(number, vm, request);
     }
   }
 }
 
 void RateLimitSimulation::EndRequest(uint32_t number,
                                      Vm& vm,
-                                     const ActiveRequest& work) {
+                                     const ActiveRequest& request) {
   const auto& running = vm.harness.running;
   const auto found = std::find_if(
       running.begin(), running.end(),
-      [&work](const auto& run) { return run.attempt == work.attempt; });
+      [&request](const auto& run) { return run.attempt == request.attempt; });
   if (found == running.end()) {
     return;
   }
@@ -174,7 +174,7 @@
   } else {
     const bool is_shed = this->Chance(this->options.shed_percent);
     report.end = is_shed ? AttemptEnd::kShed : AttemptEnd::kAnswered;
-    report.rate_limit = this->AdvertiseLimit(number, work.upstream);
+    report.rate_limit = this->AdvertiseLimit(number, request.upstream);
     this->answers += is_shed ? 0 : 1;
   }
   vm.harness.EndAt(static_cast<size_t>(found - running.begin()), report);
@@ -193,13 +193,13 @@
   return {RateLimitPresence::kNamed, *limit};
 }
 
-void RateLimitSimulation::TakeSends(uint32_t number, Vm& vm) {
+void RateLimitSimulation::RecordSends(uint32_t number, Vm& vm) {
   for (const DispatchAction& action :
        std::vector<DispatchAction>(vm.harness.running)) {
     const bool known =
         std::any_of(vm.active_requests.begin(), vm.active_requests.end(),
-                    [&](const ActiveRequest& work) {
-                      return work.attempt == action.attempt;
+                    [&](const ActiveRequest& request) {
+                      return request.attempt == action.attempt;
                     });
     if (known) {
       continue;
@@ -209,14 +209,15 @@
         vm.harness.dispatcher->MaySendAgain(this->now, action.attempt)) {
       this->CountArrival(number, action.upstream);
     }
-    const auto half = static_cast<uint32_t>(this->options.work.count() / 2);
-    const std::chrono::milliseconds work(half + this->random(2 * half + 1));
+    const auto half =
+        static_cast<uint32_t>(this->options.request_duration.count() / 2);
+    const std::chrono::milliseconds duration(half + this->random(2 * half + 1));
     vm.active_requests.push_back(
-        {action.attempt, action.upstream, this->now + work});
+        {action.attempt, action.upstream, this->now + duration});
   }
 }
 
-void RateLimitSimulation::TakeProbes(uint32_t number, Vm& vm) {
+void RateLimitSimulation::ReceiveProbes(uint32_t number, Vm& vm) {
   for (const UpstreamHandle upstream : std::exchange(vm.harness.asked, {})) {
     this->CountArrival(number, upstream);
     ++this->upstreams.at(upstream.index).probes;
@@ -252,7 +253,7 @@
 
 void RateLimitSimulation::CheckBound(Upstream& upstream) {
   const double step = std::chrono::duration<double>(kStep).count();
-  const bool just_fell = this->now - upstream.fell_at < kNoticeDelay;
+  const bool just_fell = this->now - upstream.decreased_at < kNoticeDelay;
   const double limit = std::max(upstream.limit.value_or(kNoLimit),
                                 just_fell ? upstream.limit_before : 0);
   const double allowed = limit * step;
@@ -266,7 +267,8 @@
          this->now - upstream.recent.front().at >= kWindow) {
     upstream.recent.pop_front();
   }
-  if (!upstream.limit || this->now - upstream.first_named < kCheckedAfter) {
+  if (!upstream.limit ||
+      this->now - upstream.first_advertised_at < kCheckedAfter) {
     return;
   }
   const double bound = kExcess * upstream.allowed_sum + kSlack;
--- a/packages/decision/test/rate_limit_simulation.h
+++ b/packages/decision/test/rate_limit_simulation.h
@@ -22,7 +22,7 @@
   uint32_t upstreams = 3;
   uint16_t slots = 2;
   double requests_per_second = 25;  ///< For each VM that dispatches.
-  std::chrono::milliseconds work{120};
+  std::chrono::milliseconds request_duration{120};
   uint32_t vms = 1;
   uint32_t stale_percent = 0;  ///< Of sends: the connection is stale.
   uint32_t died_percent = 0;   ///< Of attempts: no answer.
@@ -89,8 +89,8 @@
     /// The limit before its last decrease, and when that was; VMs have a moment
     /// to notice it.
     double limit_before = 0;
-    TimePoint fell_at{};
-    TimePoint first_named = kNever;
+    TimePoint decreased_at{};
+    TimePoint first_advertised_at = kNever;
     std::deque<Arrival> recent;
     std::deque<double> allowed;  ///< For each step of the window.
     double allowed_sum = 0;
@@ -102,9 +102,9 @@
   void UpdateReachability(uint32_t number);
   void Step(uint32_t number);
   void EndRequests(uint32_t number, Vm& vm);
-  void EndRequest(uint32_t number, Vm& vm, const ActiveRequest& work);
-  void TakeSends(uint32_t number, Vm& vm);
-  void TakeProbes(uint32_t number, Vm& vm);
+  void EndRequest(uint32_t number, Vm& vm, const ActiveRequest& request);
+  void RecordSends(uint32_t number, Vm& vm);
+  void ReceiveProbes(uint32_t number, Vm& vm);
   void AnswerProbes(uint32_t number, Vm& vm);
   void CountArrival(uint32_t number, UpstreamHandle upstream);
   AdvertisedRateLimit AdvertiseLimit(uint32_t number, UpstreamHandle upstream);
