--- a/packages/decision/test/cold_quota_test.cc
+++ b/packages/decision/test/cold_quota_test.cc
@@ -255,8 +255,8 @@
       if (known) {
         continue;
       }
-      const std::chrono::milliseconds duration(10 + this->random(30));
-      vm.active_requests.push_back({action.attempt, this->now + duration});
+      const std::chrono::milliseconds service_time(10 + this->random(30));
+      vm.active_requests.push_back({action.attempt, this->now + service_time});
       ++this->total_sent;
       if (this->now < this->cold_until) {
         this->CountColdSend();
--- a/packages/decision/test/rate_limit_simulation.cc
+++ b/packages/decision/test/rate_limit_simulation.cc
@@ -211,9 +211,10 @@
     }
     const auto half =
         static_cast<uint32_t>(this->options.request_duration.count() / 2);
-    const std::chrono::milliseconds duration(half + this->random(2 * half + 1));
+    const std::chrono::milliseconds service_time(half +
+                                                 this->random(2 * half + 1));
     vm.active_requests.push_back(
-        {action.attempt, action.upstream, this->now + duration});
+        {action.attempt, action.upstream, this->now + service_time});
   }
 }
 
