--- a/packages/decision/src/entry_router.cc
+++ b/packages/decision/src/entry_router.cc
@@ -9,7 +9,7 @@
 
 constexpr Duration kRetryAfter = std::chrono::milliseconds(100);
 
-// A VM that shuts down is avoided for this long, by when the view shows it.
+// How long a VM that shuts down is avoided. The view shows its state by then.
 constexpr Duration kShutdownAvoidTime = std::chrono::seconds(1);
 
 constexpr size_t kBudgetReserve = 2 * limits::kMaxServices;
--- a/packages/decision/src/quota_borrower.cc
+++ b/packages/decision/src/quota_borrower.cc
@@ -79,7 +79,8 @@
                               kMaxRetryAfter);
 }
 
-// A void credit is not returned: the lender's bucket has refilled since.
+// A void credit is dropped: the lender accepts credits only within their
+// lifetime.
 void QuotaBorrower::Return(LeaseTime now,
                            TeamKey key,
                            const QuotaCredit& credit) {
--- a/packages/decision/src/rate_limit_cache.cc
+++ b/packages/decision/src/rate_limit_cache.cc
@@ -9,9 +9,9 @@
 namespace basilsill {
 namespace {
 
-// A limit is reported every few seconds while the upstream sends answers. An
-// upstream that gets one request in ten seconds answers no more often than
-// that.
+// How long a report is valid. A limit is reported every few seconds while the
+// upstream sends answers, but an upstream that gets one request in ten seconds
+// answers no more often than that.
 constexpr Duration kMaxAge = std::chrono::seconds(30);
 
 }  // namespace
--- a/packages/decision/src/rate_limit_quota.cc
+++ b/packages/decision/src/rate_limit_quota.cc
@@ -6,10 +6,11 @@
 namespace basilsill {
 namespace {
 
-// A change of the limit by no more than this fraction is not reported.
+// A change of the limit by no more than this fraction of itself raises no
+// event.
 constexpr double kReportThreshold = 0.2;
 
-// At least one request in ten seconds is sent, whatever the limit.
+// At least one request in ten seconds is allowed, whatever the limit.
 constexpr double kMinPerSecond = 0.1;
 
 // Unused rate that may be caught up on, in seconds. It keeps a high limit
--- a/packages/decision/src/rate_limit_quota.h
+++ b/packages/decision/src/rate_limit_quota.h
@@ -11,7 +11,7 @@
 
 /// How an answer changed the known limit.
 enum class RateLimitChange : uint8_t {
-  kNone,   ///< No change, or one too small to report.
+  kNone,   ///< No change, or one too small for an event.
   kNamed,  ///< A limit is advertised for the first time, or a different one.
   kEnded,
   kCount
