--- a/packages/base/include/basilsill/base/limits.h
+++ b/packages/base/include/basilsill/base/limits.h
@@ -139,7 +139,7 @@
 
 /// VMs write a due checkpoint one after the other, this far apart, until one
 /// is there.
-inline constexpr milliseconds kCheckpointTurn = seconds(5);
+inline constexpr milliseconds kCheckpointStagger = seconds(5);
 
 inline constexpr size_t kMaxPendingChanges = 1024;
 inline constexpr milliseconds kChangeRetryMin = milliseconds(100);
--- a/packages/decision/include/basilsill/decision/announcement.h
+++ b/packages/decision/include/basilsill/decision/announcement.h
@@ -21,9 +21,9 @@
 namespace basilsill {
 
 enum class AnnouncementStepKind : uint8_t {
-  kNone,        ///< Nothing to do now.
-  kAskHelper,   ///< Ask `helper` to write it, as request `number`.
-  kWriteAlone,  ///< Write it.
+  kNone,           ///< Nothing to do now.
+  kAskHelper,      ///< Ask `helper` to write it, as request `number`.
+  kWriteDirectly,  ///< Write it.
   kCount
 };
 
@@ -58,7 +58,7 @@
                       bool written);
 
   /// The call of kWriteAlone has ended.
-  void OnWroteAlone(TimePoint now, bool written);
+  void OnDirectWriteDone(TimePoint now, bool written);
 
   /// The list shows an entry of this VM. @param is_current It holds what this
   /// start of the VM says.
--- a/packages/decision/include/basilsill/decision/membership.h
+++ b/packages/decision/include/basilsill/decision/membership.h
@@ -61,10 +61,10 @@
 
 /// Why a link to a peer is kept, most important first.
 enum class PeerUse : uint8_t {
-  kNews,        ///< One tells the other what it reads at the platform.
-  kShard,       ///< One dispatches what the other's callers ask for.
-  kPartition,   ///< One works for claims of the other's callers.
-  kDataCentre,  ///< Same data centre: snapshots, quarantine.
+  kPropagation,  ///< One tells the other what it reads at the platform.
+  kShard,        ///< One dispatches what the other's callers ask for.
+  kPartition,    ///< One works for claims of the other's callers.
+  kDataCentre,   ///< Same data centre: snapshots, quarantine.
   kCount
 };
 
@@ -131,7 +131,9 @@
   /// A message came from `vm`, on any link.
   /// @returns false if it is from another incarnation than the current one:
   /// the message must be dropped.
-  virtual bool OnHeard(TimePoint now, VmHandle vm, uint64_t incarnation) = 0;
+  virtual bool OnMessageReceived(TimePoint now,
+                                 VmHandle vm,
+                                 uint64_t incarnation) = 0;
 
   /// The last control link to `incarnation` of `vm` broke.
   virtual void OnLinkLost(TimePoint now, VmHandle vm, uint64_t incarnation) = 0;
--- a/packages/decision/include/basilsill/decision/news_plan.h
+++ b/packages/decision/include/basilsill/decision/propagation_plan.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_DECISION_NEWS_PLAN_H_
-#define BASILSILL_DECISION_NEWS_PLAN_H_
+#ifndef BASILSILL_DECISION_PROPAGATION_PLAN_H_
+#define BASILSILL_DECISION_PROPAGATION_PLAN_H_
 
 #include <cstddef>
 #include <vector>
@@ -25,33 +25,33 @@
 inline constexpr size_t kRelaysPerDataCentre = 2;
 
 /// @returns the VMs that tell `data_centre`, in the order of work.
-std::vector<VmHandle> TellersOf(const std::vector<VmRow>& vms,
-                                DataCentreHandle data_centre);
+std::vector<VmHandle> RelaysOf(const std::vector<VmRow>& vms,
+                               DataCentreHandle data_centre);
 
-struct NewsPlan {
+struct PropagationPlan {
   /// Place of this VM in the order in which VMs read for all; the number of VMs
   /// if it has none. Those that tell come first, by size.
   size_t rank = 0;
   /// This VM tells others what it reads, and hands on what it is told from
   /// other data centres.
-  bool tells = false;
+  bool is_relay = false;
   /// VMs that this one keeps a link with to be told and to tell: those that
   /// tell its data centre, and if it tells itself, all that do.
   std::vector<VmHandle> links;
 };
 
 /// @returns the part of `self`.
-NewsPlan PlanNews(const std::vector<VmRow>& vms, VmHandle self);
+PropagationPlan PlanPropagation(const std::vector<VmRow>& vms, VmHandle self);
 
 /// @returns whom `self` tells what it has read itself, of those that it is
 /// linked with.
-std::vector<VmHandle> ReadTargets(const NewsPlan& plan,
-                                  const std::vector<VmRow>& vms,
-                                  VmHandle self,
-                                  const std::vector<VmHandle>& linked);
+std::vector<VmHandle> PublishTargets(const PropagationPlan& plan,
+                                     const std::vector<VmRow>& vms,
+                                     VmHandle self,
+                                     const std::vector<VmHandle>& linked);
 
 /// @returns to whom `self` hands on what `teller` told it.
-std::vector<VmHandle> RelayTargets(const NewsPlan& plan,
+std::vector<VmHandle> RelayTargets(const PropagationPlan& plan,
                                    const std::vector<VmRow>& vms,
                                    VmHandle self,
                                    VmHandle teller,
@@ -59,4 +59,4 @@
 
 }  // namespace basilsill
 
-#endif  // BASILSILL_DECISION_NEWS_PLAN_H_
+#endif  // BASILSILL_DECISION_PROPAGATION_PLAN_H_
--- a/packages/decision/include/basilsill/decision/start_plan.h
+++ b/packages/decision/include/basilsill/decision/start_plan.h
@@ -14,7 +14,7 @@
 /// @returns true if VMs that start wait for others to tell them all, in a fleet
 /// of `known` VMs. In a small one each lists for itself at once, and telling it
 /// all as well would only cost octets.
-bool StartsWait(size_t known);
+bool ShouldWaitForState(size_t known);
 
 /// @returns how long a VM that starts waits for another one to tell it all,
 /// before it lists a topic for itself. Those far back wait longer: if nobody
@@ -27,7 +27,7 @@
 /// into their time-out, and none of the VMs is ever ready. So in such a fleet
 /// they list one after the other, some dozens a second, and nearly all are told
 /// before their turn.
-Duration StartPatience(size_t rank, bool waits, size_t known);
+Duration StartListingDelay(size_t rank, bool waits, size_t known);
 
 /// @returns how long a VM waits before its first call where the whole
 /// installation starts for the first time.
--- a/packages/decision/include/basilsill/decision/topic_follower.h
+++ b/packages/decision/include/basilsill/decision/topic_follower.h
@@ -54,7 +54,7 @@
   Duration max_silence{0};
   /// The same while the store is in trouble, as own calls show it, and the
   /// longest between two tries of a VM far back in the order.
-  Duration trouble_silence{0};
+  Duration degraded_max_silence{0};
   Duration retry_min = std::chrono::milliseconds(100);
   /// The longest between two tries of the first VM, and of one that has not
   /// listed the topic yet.
@@ -111,10 +111,10 @@
   void OnFailed(TimePoint now);
 
   /// A call was answered, and took so long.
-  void OnCallTook(TimePoint now, Duration took);
+  void OnCallLatency(TimePoint now, Duration took);
 
   /// @returns true once the newest records were listed whole.
-  bool is_whole() const { return this->whole; }
+  bool is_fully_listed() const { return this->whole; }
 
   /// @returns true while nothing is known to be missing before `offset()`.
   bool is_gapless() const { return this->whole && !this->listing; }
--- a/packages/decision/include/basilsill/decision/topic_records.h
+++ b/packages/decision/include/basilsill/decision/topic_records.h
@@ -37,18 +37,18 @@
   void EndListing();
 
   /// `record` said something new, and other VMs may not know it.
-  void AddUntold(const KeyedRecord& record);
+  void AddRecent(const KeyedRecord& record);
 
   /// Nobody will be told what stands before `settled`.
-  void ForgetTold(uint64_t settled);
+  void ForgetRecentBefore(uint64_t settled);
 
   /// @returns from which offset on `UntoldFrom` knows all that said something
   /// new.
-  uint64_t untold_since() const { return this->complete_from; }
+  uint64_t recent_complete_since() const { return this->complete_from; }
 
   /// @returns what may not be known elsewhere, from offset `start` on: of each
   /// key the last record.
-  std::vector<KeyedRecord> UntoldFrom(uint64_t start) const;
+  std::vector<KeyedRecord> RecentFrom(uint64_t start) const;
 
   /// @returns the newest record of each key, of those at offset `start` or
   /// later, in the order of their offsets.
--- a/packages/decision/include/basilsill/decision/upstream_registry.h
+++ b/packages/decision/include/basilsill/decision/upstream_registry.h
@@ -53,7 +53,7 @@
 };
 
 /// How what is thought of an upstream changed.
-enum class UpstreamBelief : uint8_t {
+enum class UpstreamTransitionKind : uint8_t {
   kListed,        ///< It is new.
   kStartedAgain,  ///< A younger start of an upstream that was known.
   kLeaving,       ///< It says so itself.
@@ -64,15 +64,15 @@
 };
 
 /// What an entry was worth to the registry.
-enum class EntryWorth : uint8_t {
+enum class EntryResult : uint8_t {
   kNew,       ///< It says something that was not known.
   kRenewal,   ///< It says what was known.
   kOutdated,  ///< Newer words are known, or those of a younger start.
   kCount
 };
 
-struct UpstreamNews {
-  UpstreamBelief belief = UpstreamBelief::kCount;
+struct UpstreamTransition {
+  UpstreamTransitionKind transition_kind = UpstreamTransitionKind::kCount;
   std::string id;
   std::string service;
   Endpoint endpoint;
@@ -106,7 +106,7 @@
 
   /// An entry was written at `offset`. One that is older than what is known
   /// of the id is ignored.
-  EntryWorth OnEntry(TimePoint now, uint64_t offset, RegisteredUpstream entry);
+  EntryResult OnEntry(TimePoint now, uint64_t offset, RegisteredUpstream entry);
 
   /// What stands under `id` can't be read, or names no upstream: another
   /// writer put it there. It says nothing of the upstream that was known, which
@@ -133,7 +133,7 @@
 
   /// @returns what changed since the last call, for the log. The first list is
   /// left out: all of it is new.
-  std::vector<UpstreamNews> TakeNews();
+  std::vector<UpstreamTransition> TakeNews();
 
   /// @returns the sets of which a routing view shows something else since the
   /// last call.
@@ -153,7 +153,7 @@
   /// @param ids All entries at one endpoint.
   void MarkShadowed(const std::set<std::string>& ids);
   void Touch(const Row& row);
-  void AddNews(UpstreamBelief belief, const Row& row);
+  void AddNews(UpstreamTransitionKind transition_kind, const Row& row);
 
   RegistryOptions options;
   Rows entries;
@@ -166,7 +166,7 @@
   std::set<std::string, std::less<>> listed;
   bool listing = false;
   bool was_listed = false;
-  std::vector<UpstreamNews> news;
+  std::vector<UpstreamTransition> news;
   bool platform_lost = false;
   TimePoint doubt_until{};
   uint64_t changes = 0;
--- a/packages/decision/src/announcement.cc
+++ b/packages/decision/src/announcement.cc
@@ -41,7 +41,7 @@
       this->state == State::kWaiting || this->state == State::kAsked;
   if (open && now >= this->alone_at) {
     this->state = State::kWriting;
-    return {AnnouncementStepKind::kWriteAlone, {}, 0};
+    return {AnnouncementStepKind::kWriteDirectly, {}, 0};
   }
   if (this->state != State::kWaiting || this->turn >= this->peers.size()) {
     return {};
@@ -68,7 +68,7 @@
   this->state = written ? State::kDone : State::kWaiting;
 }
 
-void Announcement::OnWroteAlone(TimePoint now, bool written) {
+void Announcement::OnDirectWriteDone(TimePoint now, bool written) {
   if (written) {
     this->state = State::kDone;
     return;
--- a/packages/decision/src/checkpoint_planner.cc
+++ b/packages/decision/src/checkpoint_planner.cc
@@ -20,7 +20,7 @@
   if (!this->due_since) {
     this->due_since = now;
   }
-  const auto turn = situation.rank * limits::kCheckpointTurn;
+  const auto turn = situation.rank * limits::kCheckpointStagger;
   // Parts can be lost, and a log may retain less than one checkpoint has.
   // Without a pause the VM would then do nothing but write checkpoints.
   const bool has_rested =
--- a/packages/decision/src/entry_router.cc
+++ b/packages/decision/src/entry_router.cc
@@ -114,7 +114,7 @@
   // summary first. Without this check, the process would crash when it looks up
   // the unknown VM.
   if (IsValid(from)) {
-    this->silence.OnWord(now, from);
+    this->silence.OnReceived(now, from);
   }
   this->shard_estimates.OnSummary(now, summary);
 }
@@ -134,7 +134,7 @@
 void EntryCore::OnLink(TimePoint now, VmHandle vm, bool usable) {
   this->LinkOf(vm).lost = !usable;
   if (usable) {
-    this->silence.OnWord(now, vm);
+    this->silence.OnReceived(now, vm);
   }
 }
 
--- a/packages/decision/src/membership.cc
+++ b/packages/decision/src/membership.cc
@@ -131,7 +131,7 @@
   this->Adopt(*member, hello);
   member->link = PeerLink::kUp;
   member->backoff = Duration::zero();
-  this->OnHeard(now, vm, hello.incarnation);
+  this->OnMessageReceived(now, vm, hello.incarnation);
   this->UpdateRow(vm);
   return {HelloVerdict::kAccepted, vm};
 }
@@ -175,7 +175,7 @@
 void MembershipTable::OnLeaving(TimePoint now,
                                 VmHandle vm,
                                 uint64_t incarnation) {
-  if (!this->OnHeard(now, vm, incarnation)) {
+  if (!this->OnMessageReceived(now, vm, incarnation)) {
     return;
   }
   this->members.Find(vm)->says_leaving = true;
--- a/packages/decision/src/membership_links.cc
+++ b/packages/decision/src/membership_links.cc
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-bool MembershipTable::OnHeard(TimePoint now,
-                              VmHandle vm,
-                              uint64_t incarnation) {
+bool MembershipTable::OnMessageReceived(TimePoint now,
+                                        VmHandle vm,
+                                        uint64_t incarnation) {
   Member* member = this->members.Find(vm);
   if (member == nullptr || member->incarnation != incarnation) {
     return false;
--- a/packages/decision/src/membership_table.h
+++ b/packages/decision/src/membership_table.h
@@ -53,7 +53,9 @@
                 uint64_t version,
                 const std::vector<ListedVm>& vms) override;
   HelloResult OnHello(TimePoint now, const VmHello& hello) override;
-  bool OnHeard(TimePoint now, VmHandle vm, uint64_t incarnation) override;
+  bool OnMessageReceived(TimePoint now,
+                         VmHandle vm,
+                         uint64_t incarnation) override;
   void OnLinkLost(TimePoint now, VmHandle vm, uint64_t incarnation) override;
   void OnOpenFailed(TimePoint now, VmHandle vm) override;
   void OnLeaving(TimePoint now, VmHandle vm, uint64_t incarnation) override;
--- a/packages/decision/src/peer_silence.cc
+++ b/packages/decision/src/peer_silence.cc
@@ -43,7 +43,7 @@
   peer.waiting -= peer.waiting > 0 ? 1 : 0;
 }
 
-void PeerSilence::OnWord(TimePoint now, VmHandle vm) {
+void PeerSilence::OnReceived(TimePoint now, VmHandle vm) {
   Peer& peer = this->PeerOf(vm);
   if (peer.waiting == 0) {
     return;
--- a/packages/decision/src/peer_silence.h
+++ b/packages/decision/src/peer_silence.h
@@ -20,7 +20,7 @@
   void OnDone(VmHandle vm);
 
   /// Anything came from `vm`.
-  void OnWord(TimePoint now, VmHandle vm);
+  void OnReceived(TimePoint now, VmHandle vm);
 
   /// @returns true if `vm` owes an answer for far longer than it usually does,
   /// and than `expected` for a request there.
--- a/packages/decision/src/news_plan.cc
+++ b/packages/decision/src/propagation_plan.cc
@@ -1,4 +1,4 @@
-#include "basilsill/decision/news_plan.h"
+#include "basilsill/decision/propagation_plan.h"
 
 #include <algorithm>
 #include <map>
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-std::vector<VmHandle> TellersOf(const std::vector<VmRow>& vms,
-                                DataCentreHandle data_centre) {
+std::vector<VmHandle> RelaysOf(const std::vector<VmRow>& vms,
+                               DataCentreHandle data_centre) {
   std::vector<VmHandle> others;
   std::vector<VmHandle> tellers = Tellers(vms, others);
   std::erase_if(tellers, [&vms, data_centre](VmHandle vm) {
@@ -44,44 +44,44 @@
   return tellers;
 }
 
-NewsPlan PlanNews(const std::vector<VmRow>& vms, VmHandle self) {
+PropagationPlan PlanPropagation(const std::vector<VmRow>& vms, VmHandle self) {
   std::vector<VmHandle> others;
   const std::vector<VmHandle> tellers = Tellers(vms, others);
-  NewsPlan plan;
-  plan.tells = Contains(tellers, self);
+  PropagationPlan plan;
+  plan.is_relay = Contains(tellers, self);
   std::vector<VmHandle> order = tellers;
   order.insert(order.end(), others.begin(), others.end());
   const auto own = std::find(order.begin(), order.end(), self);
   plan.rank = static_cast<size_t>(own - order.begin());
   for (const VmHandle teller : tellers) {
-    if (teller != self && (plan.tells || IsNear(vms, teller, self))) {
+    if (teller != self && (plan.is_relay || IsNear(vms, teller, self))) {
       plan.links.push_back(teller);
     }
   }
   return plan;
 }
 
-std::vector<VmHandle> ReadTargets(const NewsPlan& plan,
-                                  const std::vector<VmRow>& vms,
-                                  VmHandle self,
-                                  const std::vector<VmHandle>& linked) {
+std::vector<VmHandle> PublishTargets(const PropagationPlan& plan,
+                                     const std::vector<VmRow>& vms,
+                                     VmHandle self,
+                                     const std::vector<VmHandle>& linked) {
   std::vector<VmHandle> told;
   for (const VmHandle vm : linked) {
     const bool tells_there = Contains(plan.links, vm);
-    if (plan.tells && (IsNear(vms, vm, self) || tells_there)) {
+    if (plan.is_relay && (IsNear(vms, vm, self) || tells_there)) {
       told.push_back(vm);
     }
   }
   return told;
 }
 
-std::vector<VmHandle> RelayTargets(const NewsPlan& plan,
+std::vector<VmHandle> RelayTargets(const PropagationPlan& plan,
                                    const std::vector<VmRow>& vms,
                                    VmHandle self,
                                    VmHandle teller,
                                    const std::vector<VmHandle>& linked) {
   std::vector<VmHandle> told;
-  if (!plan.tells || !IsValid(teller) || IsNear(vms, teller, self)) {
+  if (!plan.is_relay || !IsValid(teller) || IsNear(vms, teller, self)) {
     return told;
   }
   for (const VmHandle vm : linked) {
--- a/packages/decision/src/quota_coordinator.cc
+++ b/packages/decision/src/quota_coordinator.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "basilsill/decision/news_plan.h"
+#include "basilsill/decision/propagation_plan.h"
 
 namespace basilsill {
 namespace {
@@ -69,7 +69,7 @@
     std::vector<VmHandle> possible_lenders;
     for (const DataCentreRow& row : view.data_centres) {
       if (IsValid(row.handle) && row.name == name) {
-        possible_lenders = TellersOf(view.vms, row.handle);
+        possible_lenders = RelaysOf(view.vms, row.handle);
       }
     }
     if (name == this->options.data_centre) {
--- a/packages/decision/src/start_plan.cc
+++ b/packages/decision/src/start_plan.cc
@@ -43,11 +43,11 @@
 
 }  // namespace
 
-bool StartsWait(size_t known) {
+bool ShouldWaitForState(size_t known) {
   return known >= kSmallFleet;
 }
 
-Duration StartPatience(size_t rank, bool waits, size_t known) {
+Duration StartListingDelay(size_t rank, bool waits, size_t known) {
   if (rank < kFirstListers || !waits) {
     return Duration(0);
   }
--- a/packages/decision/src/topic_follower.cc
+++ b/packages/decision/src/topic_follower.cc
@@ -198,7 +198,7 @@
 
 Duration TopicFollower::Patience(TimePoint now) const {
   const Duration longest = now < this->trouble_until
-                               ? this->options.trouble_silence
+                               ? this->options.degraded_max_silence
                                : this->options.max_silence;
   return this->ByPlace(this->Interval(now), longest);
 }
@@ -269,12 +269,12 @@
     return std::min(this->options.retry_min * doubled, this->options.retry_max);
   }
   const auto place = static_cast<int64_t>(this->rank);
-  return std::min(
-      this->options.retry_min * doubled * (1 + place),
-      this->ByPlace(this->options.retry_max, this->options.trouble_silence));
+  return std::min(this->options.retry_min * doubled * (1 + place),
+                  this->ByPlace(this->options.retry_max,
+                                this->options.degraded_max_silence));
 }
 
-void TopicFollower::OnCallTook(TimePoint now, Duration took) {
+void TopicFollower::OnCallLatency(TimePoint now, Duration took) {
   if (took >= kSlowCall) {
     this->trouble_until = now + kTroubleLasts;
   }
--- a/packages/decision/src/topic_records.cc
+++ b/packages/decision/src/topic_records.cc
@@ -54,7 +54,7 @@
   });
 }
 
-void TopicRecords::AddUntold(const KeyedRecord& record) {
+void TopicRecords::AddRecent(const KeyedRecord& record) {
   if (this->recent.size() == kMaxUntold) {
     this->complete_from =
         std::max(this->complete_from, this->recent.front().offset + 1);
@@ -63,7 +63,7 @@
   this->recent.push_back(record);
 }
 
-void TopicRecords::ForgetTold(uint64_t settled) {
+void TopicRecords::ForgetRecentBefore(uint64_t settled) {
   this->complete_from = std::max(this->complete_from, settled);
   std::erase_if(this->recent, [settled](const KeyedRecord& record) {
     return record.offset < settled;
@@ -74,7 +74,7 @@
 // all ten go to every VM, though the last is all that counts. It shows as
 // octets between data centres that rise tenfold while configurations come in
 // quick succession.
-std::vector<KeyedRecord> TopicRecords::UntoldFrom(uint64_t start) const {
+std::vector<KeyedRecord> TopicRecords::RecentFrom(uint64_t start) const {
   std::map<std::string_view, uint64_t> last;
   for (const KeyedRecord& record : this->recent) {
     uint64_t& offset = last[record.key];
--- a/packages/decision/src/upstream_registry.cc
+++ b/packages/decision/src/upstream_registry.cc
@@ -22,21 +22,21 @@
 UpstreamRegistry::UpstreamRegistry(const RegistryOptions& options)
     : options(options) {}
 
-EntryWorth UpstreamRegistry::OnEntry(TimePoint now,
-                                     uint64_t offset,
-                                     RegisteredUpstream entry) {
+EntryResult UpstreamRegistry::OnEntry(TimePoint now,
+                                      uint64_t offset,
+                                      RegisteredUpstream entry) {
   if (this->listing) {
     this->listed.insert(entry.id);
   }
   if (this->IsOlderStart(entry)) {
-    return EntryWorth::kOutdated;
+    return EntryResult::kOutdated;
   }
   const auto known = this->entries.find(entry.id);
   if (known != this->entries.end() && !TellsStart(entry)) {
     entry.started = known->second.entry.started;
   }
   if (known != this->entries.end() && offset < known->second.offset) {
-    return EntryWorth::kOutdated;
+    return EntryResult::kOutdated;
   }
   this->NoteStart(entry);
   const bool starts_again = known != this->entries.end() &&
@@ -72,17 +72,17 @@
   }
   this->Place(row.entry.id, row.entry.endpoint);
   if (is_new) {
-    this->AddNews(
-        starts_again ? UpstreamBelief::kStartedAgain : UpstreamBelief::kListed,
-        row);
+    this->AddNews(starts_again ? UpstreamTransitionKind::kStartedAgain
+                               : UpstreamTransitionKind::kListed,
+                  row);
   }
   if (had_lapsed) {
-    this->AddNews(UpstreamBelief::kBack, row);
+    this->AddNews(UpstreamTransitionKind::kBack, row);
   }
   if (begins_to_leave) {
-    this->AddNews(UpstreamBelief::kLeaving, row);
+    this->AddNews(UpstreamTransitionKind::kLeaving, row);
   }
-  return changed || had_lapsed ? EntryWorth::kNew : EntryWorth::kRenewal;
+  return changed || had_lapsed ? EntryResult::kNew : EntryResult::kRenewal;
 }
 
 void UpstreamRegistry::OnUnreadable(std::string_view id) {
@@ -126,14 +126,15 @@
   this->entries.erase(row);
 }
 
-void UpstreamRegistry::AddNews(UpstreamBelief belief, const Row& row) {
+void UpstreamRegistry::AddNews(UpstreamTransitionKind transition_kind,
+                               const Row& row) {
   if (this->was_listed) {
-    this->news.push_back({belief, row.entry.id, row.entry.service,
+    this->news.push_back({transition_kind, row.entry.id, row.entry.service,
                           row.entry.endpoint, row.offset});
   }
 }
 
-std::vector<UpstreamNews> UpstreamRegistry::TakeNews() {
+std::vector<UpstreamTransition> UpstreamRegistry::TakeNews() {
   return std::exchange(this->news, {});
 }
 
@@ -148,7 +149,7 @@
   // One that said that it leaves has not merely lapsed.
   if (this->Doubts(now) && !found->second.entry.leaving) {
     if (!found->second.lapsed) {
-      this->AddNews(UpstreamBelief::kDoubted, found->second);
+      this->AddNews(UpstreamTransitionKind::kDoubted, found->second);
     }
     found->second.lapsed = true;
     return;
@@ -212,7 +213,7 @@
 
 void UpstreamRegistry::Erase(std::string_view id) {
   const auto found = this->entries.find(id);
-  this->AddNews(UpstreamBelief::kGone, found->second);
+  this->AddNews(UpstreamTransitionKind::kGone, found->second);
   this->TakeOut(found);
 }
 
--- a/packages/decision/test/checkpoint_test.cc
+++ b/packages/decision/test/checkpoint_test.cc
@@ -232,12 +232,12 @@
 TEST(CheckpointPlan, Tick_NotFirstInLine_WaitsItsTurnAlsoAfterAnOutage) {
   this->situation.next_offset = limits::kCheckpointEvery;
   this->situation.rank = 2;
-  CHECK_FALSE(this->TickAfter(limits::kCheckpointTurn));
-  CHECK_FALSE(this->TickAfter(limits::kCheckpointTurn));
+  CHECK_FALSE(this->TickAfter(limits::kCheckpointStagger));
+  CHECK_FALSE(this->TickAfter(limits::kCheckpointStagger));
   this->planner.OnLogUnavailable();
-  CHECK_FALSE(this->TickAfter(10 * limits::kCheckpointTurn));
-  CHECK_FALSE(this->TickAfter(limits::kCheckpointTurn));
-  CHECK(this->TickAfter(limits::kCheckpointTurn));
+  CHECK_FALSE(this->TickAfter(10 * limits::kCheckpointStagger));
+  CHECK_FALSE(this->TickAfter(limits::kCheckpointStagger));
+  CHECK(this->TickAfter(limits::kCheckpointStagger));
 }
 
 TEST(CheckpointPlan, Tick_RetentionNearsTheCheckpoint_Writes) {
--- a/packages/decision/test/membership_test.cc
+++ b/packages/decision/test/membership_test.cc
@@ -93,7 +93,7 @@
       const bool asked =
           CountActions(*this->members, MembershipActionKind::kHeartbeat) > 0;
       if (answers && asked) {
-        this->members->OnHeard(this->now, vm, 7);
+        this->members->OnMessageReceived(this->now, vm, 7);
       }
     }
   }
@@ -132,7 +132,7 @@
 TEST(Membership, OnHello_NodeRestarted_OldIncarnationDoesNothing) {
   const VmHandle a = this->Connect("a", 7);
   CHECK(this->Connect("a", 8) == a);
-  CHECK_FALSE(this->members->OnHeard(this->now, a, 7));
+  CHECK_FALSE(this->members->OnMessageReceived(this->now, a, 7));
   this->members->OnLeaving(this->now, a, 7);
   this->members->OnLinkLost(this->now, a, 7);
   CHECK(this->StateOf("a") == VmState::kLive);
@@ -401,7 +401,7 @@
     if (action.incarnation != this->vms[to].incarnation) {
       asker.OnLinkLost(this->now, action.vm, action.incarnation);
     } else if (!lost) {
-      asker.OnHeard(this->now, action.vm, action.incarnation);
+      asker.OnMessageReceived(this->now, action.vm, action.incarnation);
     }
   }
 
--- a/packages/decision/test/news_plan_test.cc
+++ b/packages/decision/test/propagation_plan_test.cc
@@ -1,6 +1,6 @@
 // Tests of how what one VM read at the platform spreads over a fleet.
 
-#include "basilsill/decision/news_plan.h"
+#include "basilsill/decision/propagation_plan.h"
 
 #include <algorithm>
 #include <deque>
@@ -11,8 +11,8 @@
 
 #include <CppUTest/TestHarness.h>
 
-using basilsill::NewsPlan;
-using basilsill::PlanNews;
+using basilsill::PlanPropagation;
+using basilsill::PropagationPlan;
 using basilsill::VmHandle;
 using basilsill::VmRow;
 using basilsill::VmState;
@@ -36,9 +36,9 @@
 
 }  // namespace
 
-TEST_GROUP(NewsPlan) {
+TEST_GROUP(PropagationPlan) {
   std::vector<VmRow> rows = MakeVmRows(300, kDataCentres);
-  std::vector<NewsPlan> plans;
+  std::vector<PropagationPlan> plans;
   std::vector<std::set<VmHandle>> linked;
   std::set<VmHandle> frozen;
 
@@ -57,7 +57,7 @@
     this->plans.clear();
     this->linked.assign(this->rows.size(), {});
     for (const VmRow& row : this->rows) {
-      this->plans.push_back(PlanNews(this->rows, row.handle));
+      this->plans.push_back(PlanPropagation(this->rows, row.handle));
       for (const VmHandle vm : this->plans.back().links) {
         this->linked[row.handle.index].insert(vm);
         this->linked[vm.index].insert(row.handle);
@@ -67,9 +67,9 @@
 
   /// @returns the VM that reads first.
   VmHandle FirstReader() const {
-    const auto first =
-        std::find_if(this->plans.begin(), this->plans.end(),
-                     [](const NewsPlan& plan) { return plan.rank == 0; });
+    const auto first = std::find_if(
+        this->plans.begin(), this->plans.end(),
+        [](const PropagationPlan& plan) { return plan.rank == 0; });
     return this->rows.at(first - this->plans.begin()).handle;
   }
 
@@ -90,8 +90,8 @@
         on_the_way.push_back({from, to});
       }
     };
-    send(reader, ReadTargets(this->plans.at(reader.index), this->rows, reader,
-                             this->LinkedWith(reader)));
+    send(reader, PublishTargets(this->plans.at(reader.index), this->rows,
+                                reader, this->LinkedWith(reader)));
     while (!on_the_way.empty()) {
       const Message message = on_the_way.front();
       on_the_way.pop_front();
@@ -109,19 +109,19 @@
 
 // Six VMs told everybody. A change of 44 KB took one of them half a second on
 // its link, and those at the end of it took it for silent.
-TEST(NewsPlan, OneReads_AllHearAndNoVmSendsToMoreThanItsDataCentre) {
+TEST(PropagationPlan, OneReads_AllHearAndNoVmSendsToMoreThanItsDataCentre) {
   const Sent sent = this->Spread(this->FirstReader());
   CHECK_EQUAL(299, sent.heard.size());
   CHECK(sent.most_by_one <= 300 / kDataCentres + 2 * kDataCentres);
 }
 
-TEST(NewsPlan, OneReads_CrossesToEachDataCentreTwice) {
+TEST(PropagationPlan, OneReads_CrossesToEachDataCentreTwice) {
   const Sent sent = this->Spread(this->FirstReader());
   CHECK_EQUAL(2 * (kDataCentres - 1), sent.across);
 }
 
 // Twice the VMs: as many octets between data centres for a change.
-TEST(NewsPlan, TwiceTheFleet_CrossesNoMoreOften) {
+TEST(PropagationPlan, TwiceTheFleet_CrossesNoMoreOften) {
   this->rows = MakeVmRows(600, kDataCentres);
   this->Plan();
   CHECK_EQUAL(2 * (kDataCentres - 1), this->Spread(this->FirstReader()).across);
@@ -129,7 +129,7 @@
 
 // One of the two that hand on in a data centre stands still, and its links stay
 // open for seconds.
-TEST(NewsPlan, OneOfTwoFrozen_AllOthersHear) {
+TEST(PropagationPlan, OneOfTwoFrozen_AllOthersHear) {
   const VmHandle reader = this->FirstReader();
   for (const VmHandle teller : this->plans.at(reader.index).links) {
     if (!this->IsNear(teller, reader)) {
@@ -143,27 +143,27 @@
 
 // Links are clogged, so VMs far back in the order read for themselves. If each
 // told all its peers, the links would only get worse.
-TEST(NewsPlan, ReaderFarBack_TellsNobody) {
+TEST(PropagationPlan, ReaderFarBack_TellsNobody) {
   for (const VmRow& row : this->rows) {
-    const NewsPlan& plan = this->plans.at(row.handle.index);
+    const PropagationPlan& plan = this->plans.at(row.handle.index);
     const bool among_first = plan.rank < 2 * kDataCentres;
-    CHECK_EQUAL(among_first, plan.tells);
+    CHECK_EQUAL(among_first, plan.is_relay);
     if (!among_first) {
       CHECK_EQUAL(0, this->Spread(row.handle).all);
     }
   }
 }
 
-TEST(NewsPlan, ThatTells_SuspectedOrLeaving_NextOneTells) {
+TEST(PropagationPlan, ThatTells_SuspectedOrLeaving_NextOneTells) {
   const VmHandle reader = this->FirstReader();
   this->rows.at(reader.index).state = VmState::kSuspected;
   this->Plan();
   CHECK(this->FirstReader() != reader);
-  CHECK_FALSE(this->plans.at(reader.index).tells);
+  CHECK_FALSE(this->plans.at(reader.index).is_relay);
 }
 
 // The VMs of a small fleet in three data centres: two of each tell.
-TEST(NewsPlan, SmallFleet_AllHear) {
+TEST(PropagationPlan, SmallFleet_AllHear) {
   this->rows = MakeVmRows(14, 3);
   this->Plan();
   CHECK_EQUAL(13, this->Spread(this->FirstReader()).heard.size());
--- a/packages/decision/test/start_fleet_test.cc
+++ b/packages/decision/test/start_fleet_test.cc
@@ -13,7 +13,7 @@
 #include "basilsill/decision/announcement.h"
 #include "basilsill/decision/group_append.h"
 #include "basilsill/decision/membership.h"
-#include "basilsill/decision/news_plan.h"
+#include "basilsill/decision/propagation_plan.h"
 #include "basilsill/decision/start_plan.h"
 #include "basilsill/decision/state_send_budget.h"
 #include "vm_rows.h"
@@ -63,7 +63,7 @@
     list[index] = all[index];
     known[index] = all[index];
     std::vector<VmHandle> opened = StartHelpers(list, self);
-    for (const VmHandle vm : PlanNews(list, self).links) {
+    for (const VmHandle vm : PlanPropagation(list, self).links) {
       opened.push_back(vm);
     }
     std::sort(opened.begin(), opened.end());
@@ -223,7 +223,7 @@
       if (this->IsUp(step.helper.index)) {
         helper.group.Add(this->now, {HandleOf(i), step.number, own});
       }
-    } else if (step.kind == AnnouncementStepKind::kWriteAlone) {
+    } else if (step.kind == AnnouncementStepKind::kWriteDirectly) {
       node.group.Add(this->now, {VmHandle{}, 0, own});
     }
     if (node.group.due() <= this->now) {
@@ -270,7 +270,7 @@
     const bool written = !call.records.empty() && call.answered;
     for (const AppendRequest& request : node.group.End()) {
       if (!IsValid(request.from)) {
-        node.announcement.OnWroteAlone(this->now, written);
+        node.announcement.OnDirectWriteDone(this->now, written);
       } else if (this->IsUp(request.from.index)) {
         this->nodes[request.from.index].announcement.OnHelperAnswer(
             this->now, HandleOf(call.by), request.number, written);
--- a/packages/decision/test/start_test.cc
+++ b/packages/decision/test/start_test.cc
@@ -50,14 +50,14 @@
 // by page: a thousand calls. Those behind the first ones wait to be told, but
 // not for long, as the first ones may not come up.
 TEST(StartPlan, StartPatience_LargeFleet_OnlyTheFirstListAtOnce) {
-  const bool large = basilsill::StartsWait(109);
-  const bool small = basilsill::StartsWait(14);
-  CHECK(basilsill::StartPatience(0, large, 312) == 0ms);
-  CHECK(basilsill::StartPatience(1, large, 312) == 0ms);
-  CHECK(basilsill::StartPatience(2, large, 312) > 0ms);
-  CHECK(basilsill::StartPatience(50, large, 312) <= 500ms);
-  CHECK(basilsill::StartPatience(311, large, 312) <= 600ms);
-  CHECK(basilsill::StartPatience(5, small, 312) == 0ms);
+  const bool large = basilsill::ShouldWaitForState(109);
+  const bool small = basilsill::ShouldWaitForState(14);
+  CHECK(basilsill::StartListingDelay(0, large, 312) == 0ms);
+  CHECK(basilsill::StartListingDelay(1, large, 312) == 0ms);
+  CHECK(basilsill::StartListingDelay(2, large, 312) > 0ms);
+  CHECK(basilsill::StartListingDelay(50, large, 312) <= 500ms);
+  CHECK(basilsill::StartListingDelay(311, large, 312) <= 600ms);
+  CHECK(basilsill::StartListingDelay(5, small, 312) == 0ms);
 }
 
 // Nobody is there to tell. All of 300 would list everything in the same
@@ -68,7 +68,7 @@
   const auto listers = [](size_t known) {
     size_t count = 0;
     for (size_t rank = 0; rank < known; ++rank) {
-      count += basilsill::StartPatience(rank, true, known) <= 2s ? 1 : 0;
+      count += basilsill::StartListingDelay(rank, true, known) <= 2s ? 1 : 0;
     }
     return count;
   };
@@ -77,10 +77,10 @@
 }
 
 TEST(StartPlan, StartPatience_FarBack_ListsLater) {
-  CHECK(basilsill::StartPatience(3, true, 312) <
-        basilsill::StartPatience(30, true, 312));
-  CHECK(basilsill::StartPatience(30, true, 312) <
-        basilsill::StartPatience(300, true, 312));
+  CHECK(basilsill::StartListingDelay(3, true, 312) <
+        basilsill::StartListingDelay(30, true, 312));
+  CHECK(basilsill::StartListingDelay(30, true, 312) <
+        basilsill::StartListingDelay(300, true, 312));
 }
 
 // An installation of 300 VMs is set up: all start at the same moment, look who
@@ -235,8 +235,8 @@
 TEST(Announcement, KnowsNobody_WritesAtOnce) {
   this->announcement.Begin(this->now, false, 7);
   CHECK(this->announcement.Next(this->now).kind ==
-        AnnouncementStepKind::kWriteAlone);
-  this->announcement.OnWroteAlone(this->now, true);
+        AnnouncementStepKind::kWriteDirectly);
+  this->announcement.OnDirectWriteDone(this->now, true);
   CHECK(this->announcement.done());
 }
 
@@ -260,7 +260,7 @@
   this->announcement.Next(this->now);
   CHECK(this->announcement.due() <= this->now + 500ms);
   CHECK(this->announcement.Next(this->now + 500ms).kind ==
-        AnnouncementStepKind::kWriteAlone);
+        AnnouncementStepKind::kWriteDirectly);
 }
 
 TEST(Announcement, HelperCanNot_AnotherIsAsked) {
@@ -288,7 +288,7 @@
   this->announcement.OnLinked(kFirst);
   this->announcement.Begin(this->now, false, 7);
   this->announcement.Next(this->now);
-  this->announcement.OnWroteAlone(this->now, false);
+  this->announcement.OnDirectWriteDone(this->now, false);
   CHECK(this->announcement.Next(this->now).kind ==
         AnnouncementStepKind::kAskHelper);
 }
@@ -298,7 +298,7 @@
 TEST(Announcement, AnotherWordListed_SaidAgain) {
   this->announcement.Begin(this->now, false, 7);
   this->announcement.Next(this->now);
-  this->announcement.OnWroteAlone(this->now, true);
+  this->announcement.OnDirectWriteDone(this->now, true);
   this->announcement.OnListed(this->now, true);
   CHECK(this->announcement.done());
   this->announcement.OnListed(this->now, false);
--- a/packages/decision/test/topic_follower_test.cc
+++ b/packages/decision/test/topic_follower_test.cc
@@ -20,7 +20,7 @@
   TopicFollowerOptions options;
   options.interval = 600ms;
   options.max_silence = 1050ms;
-  options.trouble_silence = 1800ms;
+  options.degraded_max_silence = 1800ms;
   return options;
 }
 
@@ -40,7 +40,7 @@
   CHECK_FALSE(fresh.OnPage(this->now, 10, true, "m"));
   CHECK(fresh.NextCall().kind == TopicCallKind::kListNewest);
   STRCMP_EQUAL("m", fresh.NextCall().after.c_str());
-  CHECK_FALSE(fresh.is_whole());
+  CHECK_FALSE(fresh.is_fully_listed());
 }
 
 // A record is appended between the first page of a list and the last. Reading
@@ -215,7 +215,7 @@
     if (this->is_down) {
       this->vms[vm].OnFailed(this->now);
     } else {
-      this->vms[vm].OnCallTook(this->now, this->call_time);
+      this->vms[vm].OnCallLatency(this->now, this->call_time);
       this->Tell(vm);
     }
   }
--- a/packages/decision/test/topic_records_test.cc
+++ b/packages/decision/test/topic_records_test.cc
@@ -29,10 +29,10 @@
 // one counts, and each one told goes to every VM.
 TEST(TopicRecords, Untold_KeyChangedOften_OnlyItsLastIsTold) {
   for (uint64_t offset = 0; offset < 10; ++offset) {
-    this->records.AddUntold(Record("config", offset));
+    this->records.AddRecent(Record("config", offset));
   }
-  this->records.AddUntold(Record("other", 10));
-  const auto untold = this->records.UntoldFrom(0);
+  this->records.AddRecent(Record("other", 10));
+  const auto untold = this->records.RecentFrom(0);
   CHECK_EQUAL(2, untold.size());
   CHECK_EQUAL(9, untold[0].offset);
 }
@@ -65,9 +65,9 @@
 
 // A removal is the last word of its key like any other.
 TEST(TopicRecords, Untold_ChangedThenRemoved_RemovalIsTold) {
-  this->records.AddUntold(Record("a", 1));
-  this->records.AddUntold(Record("a", 2, true));
-  const auto untold = this->records.UntoldFrom(0);
+  this->records.AddRecent(Record("a", 1));
+  this->records.AddRecent(Record("a", 2, true));
+  const auto untold = this->records.RecentFrom(0);
   CHECK_EQUAL(1, untold.size());
   CHECK(untold[0].removed);
 }
@@ -75,9 +75,9 @@
 // News can overtake one another; an older one must not take the place of the
 // newer.
 TEST(TopicRecords, Untold_OlderComesLate_NewerStays) {
-  this->records.AddUntold(Record("a", 7));
-  this->records.AddUntold(Record("a", 3));
-  CHECK_EQUAL(1, this->records.UntoldFrom(4).size());
-  this->records.ForgetTold(8);
-  CHECK(this->records.UntoldFrom(0).empty());
+  this->records.AddRecent(Record("a", 7));
+  this->records.AddRecent(Record("a", 3));
+  CHECK_EQUAL(1, this->records.RecentFrom(4).size());
+  this->records.ForgetRecentBefore(8);
+  CHECK(this->records.RecentFrom(0).empty());
 }
--- a/packages/decision/test/upstream_registry_test.cc
+++ b/packages/decision/test/upstream_registry_test.cc
@@ -14,8 +14,8 @@
 using namespace std::chrono_literals;
 using basilsill::RegisteredUpstream;
 using basilsill::TimePoint;
-using basilsill::UpstreamBelief;
 using basilsill::UpstreamRegistry;
+using basilsill::UpstreamTransitionKind;
 
 TEST_GROUP(UpstreamRegistry) {
   UpstreamRegistry registry;
@@ -195,16 +195,16 @@
   this->Remove("b");
   const auto news = this->registry.TakeNews();
   CHECK_EQUAL(3, news.size());
-  CHECK(news[0].belief == UpstreamBelief::kListed);
-  CHECK(news[1].belief == UpstreamBelief::kLeaving);
+  CHECK(news[0].transition_kind == UpstreamTransitionKind::kListed);
+  CHECK(news[1].transition_kind == UpstreamTransitionKind::kLeaving);
   STRCMP_EQUAL("a", news[1].id.c_str());
-  CHECK(news[2].belief == UpstreamBelief::kDoubted);
+  CHECK(news[2].transition_kind == UpstreamTransitionKind::kDoubted);
   this->Write(Entry("b", 81));
   this->Remove("a");
   const auto later = this->registry.TakeNews();
   CHECK_EQUAL(2, later.size());
-  CHECK(later[0].belief == UpstreamBelief::kBack);
-  CHECK(later[1].belief == UpstreamBelief::kGone);
+  CHECK(later[0].transition_kind == UpstreamTransitionKind::kBack);
+  CHECK(later[1].transition_kind == UpstreamTransitionKind::kGone);
 }
 
 // An address was given to another upstream while this VM could not read; it
@@ -275,7 +275,7 @@
   this->Write(Started("a", 200ms));
   const auto news = this->registry.TakeNews();
   CHECK_EQUAL(1, news.size());
-  CHECK(news[0].belief == UpstreamBelief::kStartedAgain);
+  CHECK(news[0].transition_kind == UpstreamTransitionKind::kStartedAgain);
 }
 
 // Another writer puts something unreadable in the place of a good entry. The
--- a/packages/node/src/control.cc
+++ b/packages/node/src/control.cc
@@ -9,7 +9,7 @@
 #include <boost/asio/use_awaitable.hpp>
 
 #include "basilsill/decision/api_keys.h"
-#include "basilsill/decision/news_plan.h"
+#include "basilsill/decision/propagation_plan.h"
 #include "basilsill/node/log.h"
 #include "basilsill/node/task_end.h"
 
@@ -159,7 +159,7 @@
     return result;
   };
   link.on_heard = [this](VmHandle vm, uint64_t heard) {
-    return this->members->OnHeard(MonotonicClock::now(), vm, heard);
+    return this->members->OnMessageReceived(MonotonicClock::now(), vm, heard);
   };
   link.on_linked = [this](VmHandle vm) { this->OnLinked(vm); };
   link.on_heartbeat = [this](VmHandle vm, const wire::Heartbeat& heartbeat) {
@@ -368,8 +368,8 @@
 void Control::CollectNeeds() {
   this->needs.clear();
   const std::vector<VmRow>& rows = this->members->rows();
-  for (const VmHandle vm : PlanNews(rows, this->members->self()).links) {
-    this->needs.push_back({vm, PeerUse::kNews});
+  for (const VmHandle vm : PlanPropagation(rows, this->members->self()).links) {
+    this->needs.push_back({vm, PeerUse::kPropagation});
   }
   for (const VmHandle vm : this->CollectWorkers()) {
     if (vm != this->members->self()) {
