--- a/packages/base/include/basilsill/base/endpoint.h
+++ b/packages/base/include/basilsill/base/endpoint.h
@@ -7,11 +7,11 @@
 
 #include "basilsill/base/error.h"
 
-/// Where something listens.
+/// Network endpoints.
 
 namespace basilsill {
 
-/// An IP number and a port, never a host name.
+/// An IP address and a port; never a host name.
 struct Endpoint {
   std::string address;
   uint16_t port = 0;
@@ -22,9 +22,10 @@
 /// @returns `endpoint` as "127.0.0.1:80" or "[::1]:80".
 std::string ToString(const Endpoint& endpoint);
 
-/// Reads what ToString writes.
-/// @param path Where `text` stands, for the failure.
-/// @returns the endpoint, or kOutOfRange if `text` is none. The port may be 0.
+/// Parses the format of ToString.
+/// @param path Location of `text`, for the failure.
+/// @returns the endpoint, or kOutOfRange if `text` is not one. The port may be
+/// 0.
 Result<Endpoint> ParseEndpoint(std::string_view text, std::string_view path);
 
 }  // namespace basilsill
--- a/packages/base/include/basilsill/base/error.h
+++ b/packages/base/include/basilsill/base/error.h
@@ -9,46 +9,47 @@
 
 #include <boost/outcome/result.hpp>
 
-/// Typed failures. A failure is a kind out of a closed list, with the place
-/// it was found at and a detail for people; programs decide by kind alone.
+/// Typed failures. A failure consists of a kind from a closed list, the
+/// location at which it was found, and a detail for people; programs decide by
+/// kind alone.
 
 namespace basilsill {
 
-/// Every kind of failure outside of answering a request (those are reasons,
-/// see reason.h).
+/// Every kind of failure, except for the reasons for which requests are refused
+/// (see reason.h).
 enum class FailureKind : uint8_t {
   kUnreadable,           ///< A file or input could not be read.
-  kSyntax,               ///< Input is not what its format allows.
-  kUnknownField,         ///< A field that the format does not have.
-  kMissingField,         ///< A field that must be there is not.
-  kWrongType,            ///< A field holds another type than allowed.
-  kOutOfRange,           ///< A value is outside of its range.
-  kDuplicate,            ///< Two entries claim one name.
-  kDanglingReference,    ///< A reference names nothing that exists.
-  kInUse,                ///< A resource is still referred to.
-  kConflict,             ///< Based on a version that is not the current one.
+  kSyntax,               ///< The input violates its format.
+  kUnknownField,         ///< The format has no such field.
+  kMissingField,         ///< A required field is missing.
+  kWrongType,            ///< A field has a type that is not allowed.
+  kOutOfRange,           ///< A value is out of its range.
+  kDuplicate,            ///< Two entries have the same name.
+  kDanglingReference,    ///< A reference to something that doesn't exist.
+  kInUse,                ///< A resource is still referenced.
+  kConflict,             ///< A change is based on an outdated version.
   kNotFound,             ///< No such resource.
-  kLimitReached,         ///< A fixed capacity is used up.
+  kLimitReached,         ///< A fixed capacity is exhausted.
   kPlatformUnavailable,  ///< The platform did not answer in time.
   kPlatformRejected,     ///< The platform answered with an error.
-  kTrimmed,              ///< Records asked for are past retention.
+  kTrimmed,              ///< The requested records are past retention.
   kUnresolved,           ///< Whether an append took effect is not yet known.
   kMalformedFrame,       ///< A peer frame can't be decoded.
-  kOversizedFrame,       ///< A peer frame is above its limit.
+  kOversizedFrame,       ///< A peer frame exceeds the size limit.
   kVersionMismatch,      ///< Peers speak different protocol versions.
   kNetwork,              ///< A socket call failed.
-  kInternal,             ///< A fault of the program itself.
+  kInternal,             ///< A bug in the program.
   kCount
 };
 
-/// @returns the stable name of `kind`, as logs and API answers carry it.
+/// @returns the stable name of `kind`, used in logs and API answers.
 std::string_view FailureName(FailureKind kind);
 
 /// One failure.
 struct Failure {
   FailureKind kind = FailureKind::kCount;
-  std::string path;    ///< Where: a JSON pointer, file, or endpoint.
-  std::string detail;  ///< What was found and what is allowed.
+  std::string path;    ///< Location: a JSON pointer, file or endpoint.
+  std::string detail;  ///< What was found and what was expected.
 
   friend bool operator==(const Failure&, const Failure&) = default;
 };
@@ -56,7 +57,7 @@
 /// @returns `failure` as one line for logs.
 std::string ToString(const Failure& failure);
 
-/// Thrown where a failure leaves the normal path of a caller.
+/// Thrown for a failure that the caller does not handle as a value.
 class FailureError : public std::exception {
  public:
   explicit FailureError(Failure failure);
@@ -69,7 +70,7 @@
   std::string text;
 };
 
-/// Outcome policy: reading the value of a failed result throws FailureError.
+/// Outcome policy: access to the value of a failed result throws FailureError.
 struct ThrowFailure : boost::outcome_v2::policy::base {
   template <typename Impl>
   static constexpr void wide_value_check(Impl&& self) {
@@ -93,11 +94,11 @@
   }
 };
 
-/// Outcome of a factory or of another call that can fail.
+/// Result of a factory or of another call that can fail.
 template <typename T>
 using Result = boost::outcome_v2::basic_result<T, Failure, ThrowFailure>;
 
-/// Outcome of a check that reports all its findings at once.
+/// Result of a check that reports all failures at once.
 template <typename T>
 using CheckedResult =
     boost::outcome_v2::basic_result<T, std::vector<Failure>, ThrowFailure>;
--- a/packages/base/include/basilsill/base/event.h
+++ b/packages/base/include/basilsill/base/event.h
@@ -5,15 +5,15 @@
 #include <span>
 #include <string_view>
 
-/// Numbered log events. docs/EVENTS.md is the catalogue of this table; a test
-/// holds the two together.
+/// Numbered log events. docs/EVENTS.md documents this table; a test checks that
+/// the two agree.
 
 namespace basilsill {
 
 enum class Severity : uint8_t { kDebug, kInfo, kWarning, kError, kCount };
 
-/// Every event that any package logs. Declared in blocks of 100 by subject;
-/// a number is never used again for another meaning.
+/// All events that any package logs, in blocks by subject. A number is never
+/// reused for another meaning.
 enum class Event : uint16_t {
   // 100: process and settings
   kNodeStarting = 100,
@@ -82,7 +82,7 @@
   kCheckpointWritten = 513,
   kSnapshotTaken = 514,
   kLogTrimmed = 515,
-  // 600: requests that must not repeat
+  // 600: requests that must not be executed twice
   kClaimLost = 600,
   kClaimUnresolved = 601,
   kDoneRecorded = 602,
--- a/packages/base/include/basilsill/base/handle.h
+++ b/packages/base/include/basilsill/base/handle.h
@@ -7,13 +7,13 @@
 #include <utility>
 #include <vector>
 
-/// Typed handles with a generation, and the fixed-capacity table that
-/// allocates them. Entities are always named by handle, never by pointer.
+/// Typed handles with a generation, and the fixed-capacity table that allocates
+/// them. Entities are always referred to by handle, never by pointer.
 
 namespace basilsill {
 
-/// Names one entity of a table.
-/// @tparam Tag Empty type that keeps handles of different tables apart.
+/// Refers to one entity of a table.
+/// @tparam Tag Empty type that distinguishes handles of different tables.
 template <typename Tag>
 struct Handle {
   static constexpr uint32_t kInvalidIndex = UINT32_MAX;
@@ -24,7 +24,8 @@
   friend auto operator<=>(const Handle&, const Handle&) = default;
 };
 
-/// @returns true if `handle` names some entity; it may be gone by now.
+/// @returns true if `handle` refers to an entity, which may have been destroyed
+/// since.
 template <typename Tag>
 constexpr bool IsValid(Handle<Tag> handle) {
   return handle.index != Handle<Tag>::kInvalidIndex;
@@ -38,7 +39,7 @@
  public:
   using HandleType = Handle<Tag>;
 
-  /// @param capacity Most entities alive at once.
+  /// @param capacity Maximum number of entities alive at once.
   explicit HandleTable(size_t capacity) : slots(capacity) {
     this->free_indices.reserve(capacity);
     for (size_t i = capacity; i > 0; --i) {
@@ -60,7 +61,7 @@
     return {index, slot.generation};
   }
 
-  /// Frees the entity; a stale or invalid handle is ignored.
+  /// Destroys the entity; a stale or invalid handle is ignored.
   /// @returns true if an entity was destroyed.
   bool Destroy(HandleType handle) {
     if (!this->Contains(handle)) {
@@ -75,15 +76,15 @@
     return true;
   }
 
-  /// @returns true if `handle` names an entity that is still alive.
+  /// @returns true if `handle` refers to an entity that is still alive.
   bool Contains(HandleType handle) const {
     return handle.index < this->slots.size() &&
            this->slots[handle.index].alive &&
            this->slots[handle.index].generation == handle.generation;
   }
 
-  /// @returns the entity, or nullptr for a stale or invalid handle. The
-  /// pointer is good until the entity is destroyed.
+  /// @returns the entity, or nullptr for a stale or invalid handle. The pointer
+  /// is valid until the entity is destroyed.
   T* Find(HandleType handle) {
     return this->Contains(handle) ? &this->slots[handle.index].value : nullptr;
   }
@@ -91,7 +92,8 @@
     return this->Contains(handle) ? &this->slots[handle.index].value : nullptr;
   }
 
-  /// @returns the handle of the entity alive at `index`, invalid if none is.
+  /// @returns the handle of the entity at `index`, or an invalid one if none is
+  /// alive there.
   HandleType HandleAt(uint32_t index) const {
     if (index >= this->slots.size() || !this->slots[index].alive) {
       return {};
--- a/packages/base/include/basilsill/base/http_header.h
+++ b/packages/base/include/basilsill/base/http_header.h
@@ -5,7 +5,7 @@
 
 namespace basilsill {
 
-/// One header field of control traffic. Callers' requests never go this way.
+/// One header field of control traffic. Not used for requests of callers.
 struct HttpHeader {
   std::string name;
   std::string value;
--- a/packages/base/include/basilsill/base/limits.h
+++ b/packages/base/include/basilsill/base/limits.h
@@ -6,15 +6,15 @@
 
 #include "basilsill/base/time.h"
 
-/// Every fixed limit of the project in one place. A limit that an operator
-/// may change is a setting (docs/SETTINGS.md) whose default stands here.
+/// All fixed limits of the project. For a limit that an operator may change by
+/// a setting (docs/SETTINGS.md), this file has the default.
 
 namespace basilsill::limits {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Tables of configuration, per tenant.
+// Configuration tables, per tenant.
 inline constexpr size_t kMaxTeams = 1024;
 inline constexpr size_t kMaxServices = 1024;
 inline constexpr size_t kMaxRules = 8192;
@@ -27,16 +27,16 @@
 inline constexpr size_t kMaxApiKeyBytes = 256;
 inline constexpr size_t kMaxApiKeysPerTeam = 65536;
 
-// Requests at one worker (one traffic thread).
+// Requests in one worker (one traffic thread).
 inline constexpr size_t kMaxRequestsPerWorker = 16384;
 inline constexpr size_t kMaxQueuePerShard = 4096;
 inline constexpr size_t kMaxShardsPerWorker = 1024;
 
-/// Upstream instances that one dispatcher owns at most: 64 instances of 2
-/// slots at 5 ms are 25,600 requests/s, about one core of a small VM.
+/// Maximum number of upstream instances that one dispatcher owns: 64 instances
+/// of 2 slots at 5 ms serve 25,600 requests/s, about one core of a small VM.
 inline constexpr size_t kMaxUpstreamsPerShard = 64;
 
-// Slots of one upstream instance, as the brief gives them.
+// Slots (concurrent requests) of one upstream instance.
 inline constexpr unsigned kDefaultSlotsPerUpstream = 2;
 
 // Callers.
@@ -57,44 +57,45 @@
 inline constexpr size_t kStreamWindowBytes = 256 * 1024;
 inline constexpr size_t kMaxStreamsPerLink = 16384;
 
-/// Octets of a body that ride in the frame of its head.
+/// Octets of a body that are sent in the frame of its head.
 inline constexpr size_t kMaxInlineBodyBytes = 4 * 1024;
 inline constexpr size_t kMaxHeaderFields = 256;
 
-/// Names and values of a message's header fields: what a caller may send and
-/// what the nodes add.
+/// Total octets of the names and values of a message's header fields: those
+/// that a caller may send and those that the nodes add.
 inline constexpr size_t kMaxPeerHeaderBytes = 2 * kMaxHeaderBytes;
 inline constexpr size_t kMaxWorkersPerVm = 256;
 
-/// Longest time that a message may carry.
+/// Longest duration that a message may contain.
 inline constexpr milliseconds kMaxPeerDuration = std::chrono::hours(24);
 inline constexpr size_t kMaxCrashReports = 256;
 inline constexpr size_t kMaxRateLimitReports = 256;
 
-/// Teams whose quota one message asks for or lends from.
+/// Maximum number of teams for which one message requests or grants quota.
 inline constexpr size_t kMaxQuotaTeams = 256;
 
-/// Records of the platform that one VM hands on to others in a message; more
-/// are read by each for itself.
+/// Octets of platform records that a VM relays to others in one message. VMs
+/// read larger amounts from the platform themselves.
 inline constexpr size_t kMaxNewsBytes = 128 * 1024;
 
-/// Topics of the platform that VMs tell each other of.
+/// Topics of the platform whose records VMs relay to each other.
 inline constexpr size_t kMaxTopics = 16;
 
-/// A record that one VM writes for another: what a VM says of itself has a few
-/// hundred octets.
+/// Octets of a record that one VM writes for another; the announcement of a VM
+/// has a few hundred octets.
 inline constexpr size_t kMaxWriteBytes = 4 * 1024;
 
-/// Body octets that one stream, and all streams of a link, have waiting to be
-/// written. Each stream may hold kMaxInlineBodyBytes beyond the link's share.
+/// Body octets that may be queued for writing, for one stream and for all
+/// streams of a link. Each stream may queue kMaxInlineBodyBytes in addition to
+/// the limit of the link.
 inline constexpr size_t kStreamQueueBytes = 2 * kBodyChunkBytes;
 inline constexpr size_t kLinkQueueBytes = 4 * 1024 * 1024;
 
-/// Octets of messages that belong to no open stream and wait to be written. A
-/// peer that makes more of them than it reads is cut off.
+/// Octets of queued messages that belong to no open stream. A peer that causes
+/// more of them than it reads is disconnected.
 inline constexpr size_t kLinkControlBytes = 4 * 1024 * 1024;
 
-// Requests that must not repeat.
+// Requests that must not be executed twice.
 inline constexpr size_t kMaxKeptAnswerBytes = 4 * 1024;
 inline constexpr milliseconds kClaimWindow = std::chrono::hours(24);
 inline constexpr size_t kClaimPartitions = 64;
@@ -109,36 +110,37 @@
 inline constexpr unsigned kMaxTeamWeight = 1000;
 inline constexpr double kMaxTeamRate = 10'000'000;
 inline constexpr milliseconds kMaxColdTime = std::chrono::minutes(10);
-inline constexpr unsigned kMaxColdRate = 10'000;  // Requests a second.
+inline constexpr unsigned kMaxColdRate = 10'000;  // Requests per second.
 inline constexpr double kDefaultRetryRatio = 0.1;
 inline constexpr double kDefaultHedgeRatio = 0.02;
 inline constexpr double kDefaultBulkSlotShare = 0.5;
 
-/// Records after which a change that has not come up yet is void, and for
-/// which decided change ids are remembered.
+/// Number of records after which a pending change that has not appeared in the
+/// log is void. Ids of decided changes are remembered for as many records.
 inline constexpr size_t kChangeWindow = 4096;
 
-/// One record of the configuration stream. A change is smaller, so that its
-/// resource fits into a part of a checkpoint.
+/// Octets of one record of the configuration stream. The limit for a change is
+/// lower, so that its resource fits into one part of a checkpoint.
 inline constexpr size_t kMaxRecordBytes = 64 * 1024;
 inline constexpr size_t kMaxChangeBytes = 60 * 1024;
 inline constexpr size_t kMaxCheckpointParts = 1024;
 
-/// Checkpoints that are put together at once; others' parts are dropped.
+/// Checkpoints assembled from parts at the same time; parts of further ones are
+/// dropped.
 inline constexpr size_t kMaxOpenCheckpoints = 4;
 
-/// Records after which a checkpoint is due, and how far back from the end of
-/// the log one is looked for first.
+/// Number of records after which a checkpoint is due, and the number of records
+/// before the end of the log that are first searched for one.
 inline constexpr size_t kCheckpointEvery = 1024;
 inline constexpr size_t kCheckpointSearch = 4 * kCheckpointEvery;
 
-/// A checkpoint is due at this age even if nothing changed: the log's
-/// retention may be a time.
+/// A checkpoint is due at this age even if nothing changed, because the log's
+/// retention may be time-based.
 inline constexpr milliseconds kCheckpointMaxAge = std::chrono::hours(6);
 inline constexpr milliseconds kCheckpointMinInterval = seconds(10);
 
-/// VMs write a due checkpoint one after the other, this far apart, until one
-/// is there.
+/// Interval at which VMs attempt, one after the other, to write a due
+/// checkpoint until one is written.
 inline constexpr milliseconds kCheckpointStagger = seconds(5);
 
 inline constexpr size_t kMaxPendingChanges = 1024;
@@ -152,9 +154,9 @@
 inline constexpr size_t kMaxAppendRecords = 1024;
 inline constexpr size_t kMaxAppendBytes = 1024 * 1024;
 inline constexpr size_t kMaxReadRecords = 1024;
-/// Record bytes after which a platform ends an answer early.
+/// Record octets after which a platform ends an answer early.
 inline constexpr size_t kMaxReadBytes = 1024 * 1024;
-/// JSON writes a byte of a record as six at worst.
+/// JSON encodes one octet of a record as up to six.
 inline constexpr size_t kMaxPlatformAnswerBytes = 8 * 1024 * 1024;
 inline constexpr size_t kMaxIdlePlatformLinks = 8;
 inline constexpr milliseconds kPlatformConnectTimeout = milliseconds(500);
--- a/packages/base/include/basilsill/base/reason.h
+++ b/packages/base/include/basilsill/base/reason.h
@@ -4,21 +4,21 @@
 #include <cstdint>
 #include <string_view>
 
-/// Why a request was refused, and why one was tried again. One table gives
-/// each reason its number, name, HTTP status and promise; counters, answers
-/// and log events are all made from it.
+/// The reasons for which requests are refused or retried. One table defines the
+/// number, name, HTTP status and promise of each refusal; counters, answers and
+/// log events are derived from it.
 
 namespace basilsill {
 
-/// What a caller may conclude from an answer that the system itself made.
+/// What an answer that the system itself generated promises to the caller.
 enum class Promise : uint8_t {
-  kNotRun,   ///< No upstream ran the request; it is safe to send it again.
-  kUnknown,  ///< An upstream may have run it, in part or whole.
+  kNotRun,   ///< No upstream executed the request; it is safe to retry.
+  kUnknown,  ///< An upstream may have executed it, partly or fully.
   kCount
 };
 
-/// Why the system answered a request itself. Numbers are part of the API:
-/// they are never used again for another meaning.
+/// Why the system answered a request itself. The numbers are part of the API
+/// and are never reused for another meaning.
 enum class Refusal : uint8_t {
   kNone = 0,
   kMalformedRequest,
@@ -61,7 +61,7 @@
   kCount
 };
 
-/// Why an attempt was made again, or was not although it could have been.
+/// Why a request was attempted again, or why a possible retry was denied.
 enum class Retry : uint8_t {
   kNone = 0,
   kConnectFailed,
@@ -72,11 +72,11 @@
   kUpstreamDied,
   kPeerLost,
   kHedge,
-  kUpstreamFailed,  ///< It answered that it failed.
+  kUpstreamFailed,  ///< The upstream answered with a failure.
   kDeniedBudget,
   kDeniedDeadline,
   kDeniedNotIdempotent,
-  kDeniedBodyGone,  ///< Part of the body went to the attempt that failed.
+  kDeniedBodyGone,  ///< Part of the body was consumed by the failed attempt.
   kCount
 };
 
@@ -85,8 +85,8 @@
   std::string_view name;  ///< Stable name for answers, counters and logs.
   uint16_t status;        ///< HTTP status of the answer.
   Promise promise;
-  bool retry_after;  ///< The answer tells when to come back.
-  bool retryable;    ///< The entry VM may try elsewhere by itself.
+  bool retry_after;  ///< The answer has a Retry-After field.
+  bool retryable;    ///< The entry VM may retry elsewhere.
 };
 
 /// @returns the row of `reason`.
@@ -95,7 +95,7 @@
 /// @returns the stable name of `reason`.
 std::string_view NameOf(Retry reason);
 
-/// @returns true if `reason` says why there was no further attempt.
+/// @returns true if `reason` is a reason for which a retry was denied.
 constexpr bool IsDenied(Retry reason) {
   return reason >= Retry::kDeniedBudget && reason < Retry::kCount;
 }
--- a/packages/base/include/basilsill/base/text.h
+++ b/packages/base/include/basilsill/base/text.h
@@ -7,12 +7,13 @@
 #include <string_view>
 #include <system_error>
 
-/// Small steps of reading text that formats of several packages have in common.
+/// Text parsing helpers shared by several packages.
 
 namespace basilsill {
 
-/// @returns the number that the whole of `text` is, without sign for unsigned
-/// types and without blanks; nothing if it is none or out of range.
+/// @returns the number that `text` as a whole represents, or nothing if it is
+/// not a number or out of range. Blanks are not allowed, nor is a sign for
+/// unsigned types.
 template <typename Number, typename... Form>
 std::optional<Number> ParseNumber(std::string_view text, Form... form) {
   Number number{};
@@ -24,11 +25,11 @@
   return number;
 }
 
-/// @returns `text` without the characters of `blanks` at its ends.
+/// @returns `text` without leading and trailing characters of `blanks`.
 std::string_view Trimmed(std::string_view text, std::string_view blanks);
 
-/// @returns `text` with the letters A to Z in lower case, as names of hosts
-/// are compared.
+/// @returns `text` with the letters A to Z in lower case, as host names are
+/// compared.
 std::string ToLowerAscii(std::string_view text);
 
 }  // namespace basilsill
--- a/packages/base/include/basilsill/base/time.h
+++ b/packages/base/include/basilsill/base/time.h
@@ -4,14 +4,14 @@
 #include <chrono>
 #include <cstdint>
 
-/// The clocks of the project. Decision code never reads a clock: it is handed a
-/// time point by the shell, or by a test in virtual time.
+/// The clocks of the project. Decision code never reads a clock: the shell, or
+/// a test with virtual time, passes it a time point.
 
 namespace basilsill {
 
 using Duration = std::chrono::nanoseconds;
 
-/// Monotonic time of one process. Means nothing to another process.
+/// Monotonic time of one process. Not comparable between processes.
 struct MonotonicClock {
   using rep = int64_t;
   using period = std::nano;
@@ -26,8 +26,8 @@
 };
 using TimePoint = MonotonicClock::time_point;
 
-/// As MonotonicClock, but goes on while the VM is suspended: for what has to
-/// end in time however long the process stands still.
+/// As MonotonicClock, but also advances while the VM is suspended: for leases,
+/// which must expire on time however long the process is stopped.
 struct LeaseClock {
   using rep = int64_t;
   using period = std::nano;
@@ -40,13 +40,13 @@
 };
 using LeaseTime = LeaseClock::time_point;
 
-/// Calendar time, as keys and records carry it. Never used for safety.
+/// Calendar time, as contained in keys and records. Safety never depends on it.
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// A span that is held in rows of large tables.
+/// A compact duration for rows of large tables.
 using ShortMillis = std::chrono::duration<uint32_t, std::milli>;
 
-/// The time point that never comes.
+/// A time point that is never reached.
 inline constexpr TimePoint kNever = TimePoint::max();
 
 }  // namespace basilsill
--- a/packages/base/src/boost_json.cc
+++ b/packages/base/src/boost_json.cc
@@ -1,4 +1,4 @@
-// Boost.JSON is compiled here once; Debian's package of the headers has no
-// library of it.
+// Compiles Boost.JSON from its headers, since Debian's package of the headers
+// does not include the library.
 
 #include <boost/json/src.hpp>
--- a/packages/base/test/event_test.cc
+++ b/packages/base/test/event_test.cc
@@ -1,4 +1,4 @@
-// Tests that hold the event table and docs/EVENTS.md together.
+// Tests that the event table and docs/EVENTS.md agree.
 
 #include "basilsill/base/event.h"
 
@@ -32,7 +32,7 @@
 
 TEST_GROUP(Event){};
 
-TEST(Event, Catalogue_EachEvent_StandsOnThePage) {
+TEST(Event, Catalogue_EachEvent_IsDocumented) {
   std::map<int, std::string> expected;
   for (const auto& info : basilsill::AllEvents()) {
     expected[static_cast<int>(info.event)] = std::string(info.name);
--- a/packages/base/test/handle_test.cc
+++ b/packages/base/test/handle_test.cc
@@ -6,19 +6,19 @@
 
 namespace {
 
-struct ThingTag;
-using ThingHandle = basilsill::Handle<ThingTag>;
-using ThingTable = basilsill::HandleTable<int, ThingTag>;
+struct EntityTag;
+using EntityHandle = basilsill::Handle<EntityTag>;
+using EntityTable = basilsill::HandleTable<int, EntityTag>;
 
 }  // namespace
 
 TEST_GROUP(HandleTable) {
-  ThingTable table{2};
+  EntityTable table{2};
 };
 
 TEST(HandleTable, Handle_DefaultConstructed_IsInvalid) {
-  CHECK_FALSE(basilsill::IsValid(ThingHandle{}));
-  CHECK(this->table.Find(ThingHandle{}) == nullptr);
+  CHECK_FALSE(basilsill::IsValid(EntityHandle{}));
+  CHECK(this->table.Find(EntityHandle{}) == nullptr);
 }
 
 TEST(HandleTable, Create_TableFull_ReturnsInvalid) {
@@ -28,10 +28,10 @@
   CHECK_EQUAL(2, this->table.size());
 }
 
-TEST(HandleTable, Find_SlotUsedAgain_StaleHandleFindsNothing) {
-  const ThingHandle old = this->table.Create(1);
+TEST(HandleTable, Find_SlotReused_StaleHandleFindsNothing) {
+  const EntityHandle old = this->table.Create(1);
   CHECK(this->table.Destroy(old));
-  const ThingHandle fresh = this->table.Create(2);
+  const EntityHandle fresh = this->table.Create(2);
   CHECK_EQUAL(old.index, fresh.index);
   CHECK(this->table.Find(old) == nullptr);
   CHECK_FALSE(this->table.Destroy(old));
--- a/packages/base/test/reason_test.cc
+++ b/packages/base/test/reason_test.cc
@@ -1,4 +1,4 @@
-// Tests that hold the reason tables whole.
+// Tests that the reason tables are complete and consistent.
 
 #include "basilsill/base/reason.h"
 
@@ -15,7 +15,7 @@
 
 TEST_GROUP(Reason){};
 
-TEST(Reason, Refusals_All_HaveOwnNames) {
+TEST(Reason, Refusals_All_HaveUniqueNames) {
   std::set<std::string> names;
   for (int i = 0; i < static_cast<int>(Refusal::kCount); ++i) {
     names.insert(std::string(InfoOf(static_cast<Refusal>(i)).name));
@@ -24,14 +24,14 @@
   CHECK_FALSE(names.contains(""));
 }
 
-TEST(Reason, Refusals_TriedElsewhere_ArePromisedNotRun) {
+TEST(Reason, Refusals_Retryable_PromiseNotRun) {
   for (int i = 1; i < static_cast<int>(Refusal::kCount); ++i) {
     const auto& info = InfoOf(static_cast<Refusal>(i));
     CHECK(!info.retryable || info.promise == Promise::kNotRun);
   }
 }
 
-TEST(Reason, Retries_All_HaveOwnNames) {
+TEST(Reason, Retries_All_HaveUniqueNames) {
   std::set<std::string> names;
   for (int i = 0; i < static_cast<int>(Retry::kCount); ++i) {
     names.insert(std::string(NameOf(static_cast<Retry>(i))));
--- a/packages/base/test/test_main.cc
+++ b/packages/base/test/test_main.cc
@@ -4,8 +4,8 @@
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
 int main(int argc, char** argv) {
-  // CppUTest's own leak detector is not safe with threads; leaks are found by
-  // the AddressSanitizer run of the same tests.
+  // CppUTest's own leak detector is not thread-safe; the AddressSanitizer run
+  // of the same tests detects leaks.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return CommandLineTestRunner::RunAllTests(argc, argv);
 }
--- a/packages/decision/include/basilsill/decision/announcement.h
+++ b/packages/decision/include/basilsill/decision/announcement.h
@@ -8,22 +8,23 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/view.h"
 
-/// How a VM gets its entry written to the platform's list of VMs: by a VM that
-/// already runs, which writes many at a time, or by itself if none does so in
-/// time. Pure; the shell sends and calls.
+/// Gets the entry of this VM written to the platform's VM list. A running VM
+/// (the helper) writes the entry on request, many entries in one call; if no
+/// helper does so in time, the VM writes the entry itself. Pure; the shell
+/// sends the messages and makes the calls.
 ///
-/// Only the VM that an entry names says what it holds. A helper that dies
-/// between its call and its answer leaves the entry written, or not; the VM
-/// writes it itself then, and the same record twice is one entry. A late write
-/// of an earlier start's entry may replace a later one's. The VM finds that out
-/// as it reads the list that it is on (OnListed), and writes its entry again.
+/// Only the VM that an entry names decides its contents. If a helper dies
+/// between its call and its answer, the entry may or may not have been written;
+/// the VM then writes the entry itself, which is idempotent. A late write of an
+/// entry of an earlier start of this VM may overwrite the current entry. The VM
+/// detects this when it reads the list (OnListed) and writes its entry again.
 
 namespace basilsill {
 
 enum class AnnouncementStepKind : uint8_t {
   kNone,           ///< Nothing to do now.
-  kAskHelper,      ///< Ask `helper` to write it, as request `number`.
-  kWriteDirectly,  ///< Write it.
+  kAskHelper,      ///< Ask `helper` to write the entry, as request `number`.
+  kWriteDirectly,  ///< Write the entry without a helper.
   kCount
 };
 
@@ -35,20 +36,21 @@
 
 class Announcement {
  public:
-  /// The entry is to be written.
-  /// @param others_listed Others are there who may help. A VM that knows nobody
-  /// does not wait for any.
-  /// @param spread A number of this VM's own, the same for the whole process:
-  /// VMs that nobody helped do not all write at the same moment.
+  /// Starts to get the entry written.
+  /// @param others_listed The VM list contains other VMs, which can help.
+  /// Without any, this VM writes its entry at once.
+  /// @param spread A number specific to this VM, constant for the life of the
+  /// process. It spreads out the direct writes of VMs that no helper served.
   void Begin(TimePoint now, bool others_listed, uint64_t spread);
 
-  /// A link with `vm` works.
+  /// The link with `vm` is up.
   void OnLinked(VmHandle vm);
 
-  /// @returns what to do now. The shell does it at once.
+  /// @returns the next step. The shell must carry it out at once.
   AnnouncementStep Next(TimePoint now);
 
-  /// @returns when Next is due if nothing else happens; kNever if done.
+  /// @returns when Next is due if no other method is called before; kNever if
+  /// no step is scheduled.
   TimePoint due() const;
 
   /// `vm` answered request `number`.
@@ -57,14 +59,14 @@
                       uint64_t number,
                       bool written);
 
-  /// The call of kWriteAlone has ended.
+  /// The call made for kWriteDirectly has ended.
   void OnDirectWriteDone(TimePoint now, bool written);
 
-  /// The list shows an entry of this VM. @param is_current It holds what this
-  /// start of the VM says.
+  /// The VM list contains an entry of this VM.
+  /// @param is_current The entry was written by this start of the VM.
   void OnListed(TimePoint now, bool is_current);
 
-  /// @returns true if nothing is left to be written.
+  /// @returns true if the entry is written.
   bool done() const { return this->state == State::kDone; }
 
  private:
@@ -75,7 +77,7 @@
   State state = State::kIdle;
   VmHandle asked;
   uint64_t number = 0;
-  TimePoint alone_at{};
+  TimePoint direct_write_at{};
   uint64_t spread = 0;
 };
 
--- a/packages/decision/include/basilsill/decision/data_centre_drains.h
+++ b/packages/decision/include/basilsill/decision/data_centre_drains.h
@@ -8,24 +8,26 @@
 #include <string>
 #include <string_view>
 
-/// Which data centres the operator drains, where the platform keeps a record
-/// for each as long as it is drained. Pure.
+/// The data centres that the operator drains. The platform keeps one record for
+/// each data centre for as long as it is drained. Pure.
 ///
-/// Records come from reads, from lists and from other VMs, more than once and
-/// in any order; the one that stands last in the platform's order counts. A
-/// record that was taken away may leave no trace but that a whole list does
-/// not have it.
+/// Records come from reads, listings and other VMs, possibly several times and
+/// in any order; for each data centre the record with the highest offset
+/// counts. If the store has dropped a removal record, only a complete listing
+/// shows the removal, because the data centre is missing from it.
 
 namespace basilsill {
 
 class DataCentreDrains {
  public:
-  /// The record at `offset` drains `data_centre`, or takes it back.
-  /// @returns false if that was known, or something newer is.
+  /// Applies the record at `offset`, which drains `data_centre` or ends its
+  /// drain.
+  /// @returns true if this changed `drained()`; false if the state was known or
+  /// a newer record is known.
   bool OnRecord(uint64_t offset, std::string_view data_centre, bool drained);
 
-  /// All records are being read anew. A data centre that is not among those
-  /// between these two calls is taken back.
+  /// Mark the begin and end of a complete listing. The drain of a data centre
+  /// for which no record arrives between the two calls ends.
   void BeginListing();
   void EndListing();
 
@@ -33,7 +35,7 @@
     return this->current;
   }
 
-  /// Counts changes of `drained`.
+  /// Number of changes of `drained()`.
   uint64_t version() const { return this->changes; }
 
  private:
@@ -45,7 +47,7 @@
   void Set(std::string_view data_centre, bool drained);
   bool HasRoom();
 
-  std::map<std::string, Row, std::less<>> rows;  // Also of those taken back.
+  std::map<std::string, Row, std::less<>> rows;  // Including ended drains.
   std::set<std::string, std::less<>> current;
   std::set<std::string, std::less<>> listed;
   bool listing = false;
--- a/packages/decision/include/basilsill/decision/declared_configuration.h
+++ b/packages/decision/include/basilsill/decision/declared_configuration.h
@@ -13,14 +13,14 @@
 #include "basilsill/decision/data_centre_drains.h"
 #include "basilsill/decision/upstream_registry.h"
 
-/// Configuration of installations whose platform holds it whole: one document
-/// with all routes, and a registry in which upstreams list themselves. Made
-/// into the same state that other installations fold from their log, so that
-/// one view builder and one decision code serve both.
+/// Configuration of installations whose platform declares it completely: one
+/// document with all routes, and a registry in which upstreams list themselves.
+/// It is converted to the same state that other installations build from their
+/// log, so that one view builder and one decision code serve both.
 
 namespace basilsill {
 
-/// What may be done again with a request of a route.
+/// Whether a request of a route may be executed more than once.
 enum class RouteKind : uint8_t {
   kSafe,      ///< May run more than once.
   kUnsafe,    ///< Runs at most once.
@@ -33,7 +33,8 @@
   std::string host;         ///< Lower case.
   std::string path_prefix;  ///< Begins and ends with a slash.
   RouteKind kind = RouteKind::kUnsafe;
-  std::vector<ServiceShare> services;  ///< One, or those of a split.
+  std::vector<ServiceShare>
+      services;  ///< One service, or several for a traffic split.
   std::chrono::milliseconds timeout{0};
   std::chrono::milliseconds target_latency{0};
   uint8_t max_attempts = 1;
@@ -44,7 +45,7 @@
 struct DeclaredTeam {
   std::string name;
   std::vector<ApiKeyDigest> api_keys;
-  /// Goes before the priority of the route; absent: the route's counts.
+  /// Overrides the priority of the route if set.
   std::optional<uint32_t> priority;
   double requests_per_second = 0;  ///< 0 is no limit.
   double burst = 0;
@@ -64,26 +65,28 @@
   CallerLimits callers;
 };
 
-/// What all of an installation is declared by.
+/// All inputs that declare an installation.
 struct DeclaredSources {
-  const DeclaredConfiguration& configuration;  ///< Passed CheckDeclared.
+  const DeclaredConfiguration&
+      configuration;  ///< Must have passed CheckDeclared.
   UpstreamRegistry& upstreams;
   const DataCentreDrains& drains;
 };
 
-/// @returns what stands against serving by `configuration`: a reference to a
-/// service that it does not have, a name that stands twice, or a key of two
-/// teams.
+/// @returns the errors in `configuration`: a reference to an undeclared
+/// service, a duplicate name, a route without a service, or an API key that two
+/// teams share. Empty if the configuration is valid.
 std::vector<Failure> CheckDeclared(const DeclaredConfiguration& configuration);
 
-/// The state that views are built from. A change of one upstream costs what its
-/// set costs, and not what all upstreams do: with 3,000 of them a change took 3
-/// ms of a core, ten times a second while many change, on every VM.
+/// The state from which routing views are built. The cost of an upstream change
+/// depends on the size of its set, not on the number of all upstreams: a full
+/// update with 3,000 upstreams takes 3 ms of a core, on every VM and ten times
+/// a second while many upstreams change.
 class DeclaredState {
  public:
-  /// Brings the state up to date.
-  /// @param sources The same registry and drains at each call. Entries of
-  /// services that the configuration does not have are left out.
+  /// Updates the state from `sources`.
+  /// @param sources Must refer to the same registry and drains at each call.
+  /// Entries of services that the configuration does not declare are left out.
   void Update(const DeclaredSources& sources);
 
   /// @returns true if an update would change nothing.
@@ -94,7 +97,7 @@
  private:
   void DeclareAll(const DeclaredConfiguration& configuration,
                   const UpstreamRegistry& upstreams);
-  void DeclareSets(const std::set<UpstreamSetKey>& touched,
+  void DeclareSets(const std::set<UpstreamSetKey>& changed_sets,
                    const UpstreamRegistry& upstreams);
   void DeclareDrains(const DataCentreDrains& drains);
 
--- a/packages/decision/include/basilsill/decision/membership.h
+++ b/packages/decision/include/basilsill/decision/membership.h
@@ -12,16 +12,17 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/view.h"
 
-/// Which VMs there are and which can be used: the platform's VM list, which
-/// lags, corrected by what this VM saw itself. Wrong beliefs cost latency,
-/// never a promise. Pure; belongs to the control thread.
+/// The VMs of the fleet and their states: the platform's VM list, which lags,
+/// corrected by what this VM observes itself. A wrong state costs latency, but
+/// never breaks a promise (see Promise). Pure; belongs to the control thread.
 
 namespace basilsill {
 
-/// @returns the incarnation of a process that starts at `now`. Later starts
-/// have higher ones while the clock does not run backwards. `random` is from
-/// the system's random source: claims rest on no two processes of a VM ever
-/// having the same incarnation, also if its clock repeats a millisecond.
+/// @returns the incarnation number of a process that starts at `now`. Later
+/// starts have higher numbers unless the clock runs backwards. `random` must
+/// come from the system's random source: claims rely on no two processes of a
+/// VM ever having the same incarnation, also if its clock repeats a
+/// millisecond.
 uint64_t MakeIncarnation(WallTime now, uint64_t random);
 
 /// One entry of the platform's VM list.
@@ -35,11 +36,11 @@
   friend bool operator==(const ListedVm&, const ListedVm&) = default;
 };
 
-/// What a process says of itself when a control link opens.
+/// Sent by each side when a control link opens.
 struct VmHello {
   std::string name;
   std::string data_centre;
-  uint64_t incarnation = 0;  ///< Differs for each start of a process.
+  uint64_t incarnation = 0;  ///< Unique for each start of a process.
   Endpoint control;
   std::vector<Endpoint> workers;
   bool leaving = false;
@@ -48,7 +49,7 @@
 
 enum class HelloVerdict : uint8_t {
   kAccepted,
-  kSuperseded,  ///< A newer incarnation of that VM is known.
+  kSuperseded,  ///< A newer incarnation of the VM is known.
   kOwnName,     ///< Another process runs under this VM's name.
   kTableFull,
   kCount
@@ -59,11 +60,11 @@
   VmHandle vm;
 };
 
-/// Why a link to a peer is kept, most important first.
+/// Purpose of a link to a peer, most important first.
 enum class PeerUse : uint8_t {
-  kPropagation,  ///< One tells the other what it reads at the platform.
-  kShard,        ///< One dispatches what the other's callers ask for.
-  kPartition,    ///< One works for claims of the other's callers.
+  kPropagation,  ///< One relays to the other what it reads from the platform.
+  kShard,        ///< One dispatches requests of the other's callers.
+  kPartition,    ///< One handles claims of the other's callers.
   kDataCentre,   ///< Same data centre: snapshots, quarantine.
   kCount
 };
@@ -75,8 +76,8 @@
 
 enum class MembershipActionKind : uint8_t {
   kOpenLink,   ///< Open a control link to `control` of `vm`.
-  kDropLink,   ///< Close the link to `vm`; it is of no use any more.
-  kHeartbeat,  ///< Ask `vm` for a sign of life; it answers at once.
+  kDropLink,   ///< Close the link to `vm`, which is no longer needed.
+  kHeartbeat,  ///< Send `vm` a heartbeat that it answers at once.
   kEvent,      ///< Log `event` about `vm`.
   kCount
 };
@@ -93,65 +94,67 @@
 struct MembershipOptions {
   VmHello self;
   size_t max_vms = limits::kMaxVms;
-  size_t max_peers = 48;  ///< Links kept for own needs.
+  size_t max_peers = 48;  ///< Links kept for this VM's needs.
   Duration heartbeat_after = std::chrono::seconds(1);
   Duration suspect_after = std::chrono::seconds(3);
   Duration reconnect_min = std::chrono::milliseconds(200);
   Duration reconnect_max = std::chrono::seconds(10);
-  /// A link that is not needed any more is kept this long.
+  /// How long an idle link is kept after it was last needed.
   Duration linger = std::chrono::seconds(30);
-  /// A VM that only own evidence speaks for is forgotten after this silence.
+  /// A VM that the platform does not list is removed after this time without a
+  /// message from it.
   Duration unlisted_after = std::chrono::seconds(60);
   Duration list_stale_after = std::chrono::seconds(60);
-  /// Damping: each loss of trust adds 1, halved after each half-life. Above
-  /// the threshold a VM must show signs of life without a break for longer
-  /// and longer before it is trusted again.
+  /// Damping: each suspicion adds 1 to a penalty, which is halved after each
+  /// half-life. Above the threshold, a VM must show signs of life without
+  /// interruption for an increasing time before it is trusted again.
   double damping_threshold = 3;
   Duration damping_half_life = std::chrono::seconds(30);
   Duration damping_hold = std::chrono::seconds(2);
   Duration damping_hold_max = std::chrono::seconds(60);
 };
 
-/// All that this VM knows of VMs.
+/// The table of VMs known to this VM.
 class Membership {
  public:
   static std::unique_ptr<Membership> Create(TimePoint now,
                                             const MembershipOptions& options);
   virtual ~Membership() = default;
 
-  /// The platform answered with its VM list. A version older than the newest
-  /// seen is ignored.
+  /// The platform answered with its VM list. A version lower than the highest
+  /// one seen is ignored.
   virtual void OnVmList(TimePoint now,
                         uint64_t version,
                         const std::vector<ListedVm>& vms) = 0;
 
-  /// A process introduced itself on a new link, in either direction.
+  /// A hello arrived on a new link, whichever side opened it.
   virtual HelloResult OnHello(TimePoint now, const VmHello& hello) = 0;
 
-  /// A message came from `vm`, on any link.
-  /// @returns false if it is from another incarnation than the current one:
+  /// A message of `incarnation` of `vm` arrived, on any link.
+  /// @returns false if `incarnation` is not the current one or `vm` is unknown;
   /// the message must be dropped.
   virtual bool OnMessageReceived(TimePoint now,
                                  VmHandle vm,
                                  uint64_t incarnation) = 0;
 
-  /// The last control link to `incarnation` of `vm` broke.
+  /// The last control link to `incarnation` of `vm` was lost.
   virtual void OnLinkLost(TimePoint now, VmHandle vm, uint64_t incarnation) = 0;
 
-  /// A link asked for by kOpenLink could not be opened.
+  /// A link requested by kOpenLink could not be opened.
   virtual void OnOpenFailed(TimePoint now, VmHandle vm) = 0;
 
-  /// `incarnation` of `vm` announced that it leaves.
+  /// `incarnation` of `vm` announced that it is leaving.
   virtual void OnLeaving(TimePoint now, VmHandle vm, uint64_t incarnation) = 0;
 
-  /// Replaces the set of peers that this VM wants to talk to. The most
-  /// important are kept if there are more than the bound.
+  /// Replaces the set of peers to which this VM needs links. If there are more
+  /// than `max_peers`, the most important are kept.
   virtual void SetNeeds(TimePoint now, const std::vector<PeerNeed>& needs) = 0;
 
-  /// This VM itself begins to leave.
+  /// This VM begins to leave.
   virtual void Leave(TimePoint now) = 0;
 
-  /// Silence, reconnects, heartbeats, damping.
+  /// Handles everything that depends on time: silent peers, reconnects,
+  /// heartbeats, expiry of unlisted VMs and the age of the list.
   virtual void Tick(TimePoint now) = 0;
 
   virtual VmHandle self() const = 0;
@@ -166,16 +169,16 @@
   /// new; invalid if there are too many.
   virtual DataCentreHandle InternDataCentre(std::string_view name) = 0;
 
-  /// Counts changes of `rows` and `data_centres`.
+  /// Number of changes of `rows` and `data_centres`.
   virtual uint64_t version() const = 0;
 
-  /// @returns the live VMs by own belief, this one included.
+  /// @returns the number of VMs whose row is live, this one included.
   virtual size_t LiveCount() const = 0;
 
   /// @returns true if the platform lists this VM as leaving.
   virtual bool SelfListedLeaving() const = 0;
 
-  /// @returns true if the platform did not answer for too long.
+  /// @returns true if the platform has not answered for `list_stale_after`.
   virtual bool IsListStale() const = 0;
 
   /// Actions since the last call of `ClearActions`, in order.
--- a/packages/decision/include/basilsill/decision/propagation_plan.h
+++ b/packages/decision/include/basilsill/decision/propagation_plan.h
@@ -6,55 +6,61 @@
 
 #include "basilsill/decision/view.h"
 
-/// Who reads the platform for whom, and how what is read spreads: from the VM
-/// that read it to all of its data centre and to two VMs of each other one, and
-/// from these to all of theirs. Pure, made of the VMs that a VM sees live; if
-/// two see different ones, some are told twice and some read for themselves.
+/// How data that one VM reads from the platform propagates through the fleet:
+/// the reader sends it to all VMs of its data centre and to two relay VMs of
+/// each other data centre, and each relay forwards it to all VMs of its own
+/// data centre. Pure; computed from the VMs that a VM sees as live. If two VMs
+/// see different sets, some VMs receive the data twice and others read the
+/// platform themselves.
 ///
-/// Failure: a few VMs tell everybody, whoever is where. It shows in a large
-/// fleet as a link that is busy for so long with one change that those at its
-/// end take it for silent and read for themselves, and as octets between data
-/// centres that grow with the square of the fleet. By data centre a change
-/// crosses twice, whatever the number of VMs, and no VM sends it to more than
-/// those of its own.
+/// Failure: a few VMs send every change to all others, whatever their data
+/// centre. In a large fleet a single change then occupies a link for so long
+/// that the last receivers take the sender for silent and read for themselves,
+/// and the traffic between data centres grows with the square of the fleet.
+/// With relays, a change is sent to each other data centre twice, whatever the
+/// number of VMs, and no VM sends it to more than the VMs of its own data
+/// centre and the relays.
 
 namespace basilsill {
 
-/// VMs of each data centre that tell its others. Two, so that one that dies or
-/// freezes is missed by nobody.
+/// Relay VMs of each data centre. Two, so that the loss of one loses no
+/// updates.
 inline constexpr size_t kRelaysPerDataCentre = 2;
 
-/// @returns the VMs that tell `data_centre`, in the order of work.
+/// @returns the relay VMs of `data_centre`, in the order of WorkOrder.
 std::vector<VmHandle> RelaysOf(const std::vector<VmRow>& vms,
                                DataCentreHandle data_centre);
 
 struct PropagationPlan {
-  /// Place of this VM in the order in which VMs read for all; the number of VMs
-  /// if it has none. Those that tell come first, by size.
+  /// Position of this VM in the common order in which VMs read for the fleet;
+  /// the number of live VMs if this VM is not in it. Relays come first, then
+  /// the other VMs, each group in the order of WorkOrder.
   size_t rank = 0;
-  /// This VM tells others what it reads, and hands on what it is told from
-  /// other data centres.
+  /// This VM is a relay: it sends what it reads to others, and forwards what it
+  /// receives from other data centres.
   bool is_relay = false;
-  /// VMs that this one keeps a link with to be told and to tell: those that
-  /// tell its data centre, and if it tells itself, all that do.
+  /// VMs with which this one keeps links for propagation: the relays of its
+  /// data centre or, if it is a relay itself, all relays.
   std::vector<VmHandle> links;
 };
 
-/// @returns the part of `self`.
+/// @returns the plan of `self`.
 PropagationPlan PlanPropagation(const std::vector<VmRow>& vms, VmHandle self);
 
-/// @returns whom `self` tells what it has read itself, of those that it is
-/// linked with.
+/// @returns those of the `linked` VMs to which `self` sends what it has read
+/// itself; none if `self` is not a relay.
 std::vector<VmHandle> PublishTargets(const PropagationPlan& plan,
                                      const std::vector<VmRow>& vms,
                                      VmHandle self,
                                      const std::vector<VmHandle>& linked);
 
-/// @returns to whom `self` hands on what `teller` told it.
+/// @returns those of the `linked` VMs to which `self` forwards what it received
+/// from `sender`; none unless `self` is a relay and `sender` is in another data
+/// centre.
 std::vector<VmHandle> RelayTargets(const PropagationPlan& plan,
                                    const std::vector<VmRow>& vms,
                                    VmHandle self,
-                                   VmHandle teller,
+                                   VmHandle sender,
                                    const std::vector<VmHandle>& linked);
 
 }  // namespace basilsill
--- a/packages/decision/include/basilsill/decision/state_fetch.h
+++ b/packages/decision/include/basilsill/decision/state_fetch.h
@@ -7,41 +7,43 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/view.h"
 
-/// Whom a VM that starts asks for all that others know: one linked VM at a
-/// time, since the answer is long. First its helpers (StartHelpers), as their
-/// links come up; any other one only if these have not told in time, since of
-/// two that start each could wait for the other. One that has no room says so
-/// at once, and the next is asked. Pure.
+/// Selects the peers from which a starting VM requests the full state, one
+/// linked VM at a time because the answer is long. The VM asks its helpers
+/// (StartHelpers) first, as their links come up, and any other linked VM only
+/// if the helpers have not answered in time: if VMs that start together asked
+/// each other, each could wait for the other. A peer without send budget
+/// declines at once, and the next one is asked. Pure.
 ///
-/// Failure: the platform refuses a VM that starts, for seconds, while it serves
-/// the others. The VM refuses all that callers ask of it, though all it lacks
-/// is known next door. It knows nobody, but the others know it by its
-/// announcement of before, and whoever comes before it in the ring keeps a link
-/// to it. So it asks on any link, whoever opened it. What it is told is as true
-/// as what the others serve by.
+/// Failure: the platform refuses a starting VM for seconds while it serves the
+/// others. The VM refuses all requests of callers, although its peers have the
+/// state that it lacks. It knows no other VM, but the others know it from an
+/// earlier announcement, and some of them keep links to it. So it asks over any
+/// link, whichever side opened it. The state that it receives is the one by
+/// which the others serve.
 
 namespace basilsill {
 
 class StateFetch {
  public:
-  /// A link with `vm` works.
-  /// @param is_helper It is one of this VM's StartHelpers.
+  /// The link with `vm` is up.
+  /// @param is_helper Whether `vm` is one of this VM's StartHelpers.
   void OnLinked(TimePoint now, VmHandle vm, bool is_helper);
 
-  /// `vm` does not tell. @param later It has nothing yet and will tell.
+  /// `vm` declined the request.
+  /// @param later `vm` has no state yet and will send it once it has.
   void OnDeclined(TimePoint now, VmHandle vm, bool later);
 
-  /// @returns whom to ask now, or none while an answer is waited for. Each call
-  /// that returns one counts as a question.
+  /// @returns the VM to ask now; invalid if none is to be asked, e.g. while an
+  /// answer is pending. Each call that returns a VM counts as a request to it.
   VmHandle Next(TimePoint now);
 
  private:
-  std::vector<VmHandle> peers;  ///< To be asked now, by turns.
+  std::vector<VmHandle> peers;  ///< Asked in turn.
   std::vector<VmHandle> others;
   size_t turn = 0;
-  TimePoint others_at = kNever;  ///< From then on others are asked too.
+  TimePoint include_others_at = kNever;  ///< When `others` join `peers`.
   VmHandle asked;
-  TimePoint next_at{};  ///< When another one is asked, if nothing comes.
+  TimePoint next_at{};  ///< When the next peer is asked if no answer comes.
 };
 
 }  // namespace basilsill
--- a/packages/decision/include/basilsill/decision/state_send_budget.h
+++ b/packages/decision/include/basilsill/decision/state_send_budget.h
@@ -5,32 +5,33 @@
 
 #include "basilsill/base/time.h"
 
-/// Which VMs that start this one tells all that it knows, and when. It tells
-/// those that ask, as far as its link allows. Pure.
+/// Token bucket that limits the bandwidth which this VM spends on sending the
+/// full state to starting VMs that request it. Pure.
 ///
-/// Failure: a VM with a narrow link comes to stand first in the order of work
-/// for all, as the larger ones restart or since it started before them. It told
-/// every VM that it is linked with all it knows, megabytes that clog its link.
-/// It shows as a VM whose own calls get no answer, which others suspect, while
-/// nothing is wrong with it. Asked by one after the other and bound by its link
-/// it tells few, and the others are told so at once and ask elsewhere.
+/// Failure: a VM with a narrow link becomes the first in the order of
+/// WorkOrder, because larger VMs restart or because it started before them. It
+/// sends the full state, megabytes, to every linked VM, which saturates its
+/// link: its own calls get no answer and other VMs suspect it although it
+/// works. With requests of one VM after the other and a limit by bandwidth it
+/// serves few VMs, and the others are declined at once and ask elsewhere.
 
 namespace basilsill {
 
 class StateSendBudget {
  public:
-  /// @param link_bytes_per_second Of this VM's link; 0: not known, no bound.
+  /// @param link_bytes_per_second Bandwidth of this VM's link; 0 if unknown,
+  /// which means no limit.
   explicit StateSendBudget(double link_bytes_per_second);
 
-  /// @returns true if so many octets may be told now.
+  /// @returns true if `bytes` octets may be sent now.
   bool HasRoom(TimePoint now, size_t bytes);
 
-  /// As HasRoom; if they may, they are counted.
+  /// As HasRoom, and deducts `bytes` from the budget if it returns true.
   bool Take(TimePoint now, size_t bytes);
 
  private:
-  double rate;  ///< Octets a second for those that start.
-  double room;  ///< Octets that may be told at once.
+  double rate;  ///< Octets per second for starting VMs; also the burst.
+  double room;  ///< Octets that may be sent now.
   TimePoint filled_at{};
 };
 
--- a/packages/decision/include/basilsill/decision/topic_records.h
+++ b/packages/decision/include/basilsill/decision/topic_records.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-/// What a VM keeps of a topic of a platform's record store for other VMs: the
-/// newest record of each key for those that start, and what is new for those
-/// that follow the topic. Pure.
+/// The records of a topic of the platform's record store that a VM keeps for
+/// other VMs: the newest record of each key for VMs that start, and recent
+/// changes for VMs that follow the topic. Pure.
 
 namespace basilsill {
 
@@ -18,47 +18,47 @@
   std::string key;
   std::string value;
   uint64_t offset = 0;
-  bool removed = false;  ///< It takes the key away.
+  bool removed = false;  ///< The record removes the key.
 };
 
 class TopicRecords {
  public:
-  /// @returns false if the record is no newer than the one kept of its key:
-  /// records are told more than once.
+  /// @returns true if the record is newer than the one kept for its key.
+  /// Records can arrive more than once.
   bool IsNewer(const KeyedRecord& record) const;
 
-  /// Keeps a newer record in the place of the one known of its key.
+  /// Replaces the record kept for the key if `record` is newer.
   void Keep(const KeyedRecord& record);
 
-  /// The whole topic is being listed anew. A key that OnListed does not name
-  /// between these two calls is gone: the record that took it away is lost.
+  /// Mark the begin and end of a complete listing. A key for which OnListed is
+  /// not called between them is removed: the store no longer has the record of
+  /// its removal.
   void BeginListing();
   void OnListed(const std::string& key);
   void EndListing();
 
-  /// `record` said something new, and other VMs may not know it.
+  /// Adds a record that changed something and that other VMs may not have.
   void AddRecent(const KeyedRecord& record);
 
-  /// Nobody will be told what stands before `settled`.
+  /// Drops the recent records before offset `settled`; no VM needs them.
   void ForgetRecentBefore(uint64_t settled);
 
-  /// @returns from which offset on `UntoldFrom` knows all that said something
-  /// new.
+  /// @returns the offset from which on `RecentFrom` has all records that
+  /// changed something.
   uint64_t recent_complete_since() const { return this->complete_from; }
 
-  /// @returns what may not be known elsewhere, from offset `start` on: of each
-  /// key the last record.
+  /// @returns the recent records from offset `start` on that are the last of
+  /// their key.
   std::vector<KeyedRecord> RecentFrom(uint64_t start) const;
 
-  /// @returns the newest record of each key, of those at offset `start` or
-  /// later, in the order of their offsets.
+  /// @returns the newest record of each key whose offset is at least `start`,
+  /// ordered by offset.
   std::vector<KeyedRecord> From(uint64_t start) const;
 
  private:
   std::map<std::string, KeyedRecord> newest;
   std::deque<KeyedRecord> recent;
-  uint64_t complete_from =
-      0;  ///< Nothing is missing in `recent` from there on.
+  uint64_t complete_from = 0;  ///< See recent_complete_since().
   std::set<std::string> listed;
   bool listing = false;
 };
--- a/packages/decision/include/basilsill/decision/upstream_registry.h
+++ b/packages/decision/include/basilsill/decision/upstream_registry.h
@@ -12,33 +12,35 @@
 #include "basilsill/base/endpoint.h"
 #include "basilsill/base/time.h"
 
-/// What upstreams say of themselves in a registry that the platform keeps:
-/// which there are, and which are leaving. An entry that its upstream does not
-/// renew lapses.
+/// The upstreams that list themselves in a registry which the platform keeps:
+/// which exist, and which are leaving. The platform removes an entry that its
+/// upstream does not renew.
 ///
-/// An entry that lapsed because its upstream could not reach the platform must
-/// not end work for an upstream that is well. So a removal that is seen while
-/// the platform is unreachable or has just come back is only believed once the
-/// upstream had time to list itself again.
+/// An entry may expire because its upstream could not reach the platform; a
+/// healthy upstream must not lose its work because of that. So a removal that
+/// is seen while the platform is unreachable or has just come back takes effect
+/// only after the upstream had time to list itself again.
 ///
-/// An upstream may start again under its id. The younger start displaces the
-/// older one, whatever comes in which order: the words of an older start may
-/// still be on their way when it has died. Starts of one id are told apart by
-/// the upstream's own clock, which is compared with nothing else.
+/// An upstream may restart under the same id. The later start replaces the
+/// earlier one, in whatever order their entries arrive: entries of an earlier
+/// start may still be in flight after it has died. Starts of one id are ordered
+/// by the upstream's own clock, which is compared with no other clock.
 
 namespace basilsill {
 
 /// One entry, as its upstream wrote it.
 struct RegisteredUpstream {
   std::string id;
-  /// Which start of `id` this is, by the upstream's own clock; 0: not told.
+  /// Start time by the upstream's own clock, which identifies the start of
+  /// `id`; 0 if unknown.
   std::chrono::milliseconds started{0};
   std::string service;
   std::string data_centre;
   Endpoint endpoint;
   uint16_t slots = 1;
-  bool leaving = false;  ///< Ends what it has and takes nothing new.
-  /// It runs slower than usual for so long, since it started a moment ago.
+  bool leaving = false;  ///< Finishes its requests and takes no new ones.
+  /// How much longer the upstream is slower than usual because it started
+  /// recently.
   std::chrono::milliseconds cold_for{0};
 
   friend bool operator==(const RegisteredUpstream&,
@@ -46,28 +48,28 @@
 };
 
 struct RegistryOptions {
-  /// How long upstreams that are well may take to list themselves again, once
-  /// the platform is back: two seconds by the platform's contract, and half a
-  /// second to read it.
+  /// How long healthy upstreams may take to list themselves again once the
+  /// platform is back: two seconds by the platform's contract, and half a
+  /// second to read the entries.
   Duration restore_time = std::chrono::milliseconds(2500);
 };
 
-/// How what is thought of an upstream changed.
+/// Changes of the state of an upstream, for the log.
 enum class UpstreamTransitionKind : uint8_t {
-  kListed,        ///< It is new.
-  kStartedAgain,  ///< A younger start of an upstream that was known.
-  kLeaving,       ///< It says so itself.
-  kDoubted,  ///< Removed while the platform was in trouble: not believed yet.
-  kBack,     ///< Doubted, and there after all.
+  kListed,        ///< A new upstream.
+  kStartedAgain,  ///< A later start of a known upstream.
+  kLeaving,       ///< The upstream announced that it is leaving.
+  kDoubted,  ///< Removed while the platform was unreachable; not in effect yet.
+  kBack,     ///< Listed again after kDoubted.
   kGone,
   kCount
 };
 
-/// What an entry was worth to the registry.
+/// Effect of an entry on the registry.
 enum class EntryResult : uint8_t {
-  kNew,       ///< It says something that was not known.
-  kRenewal,   ///< It says what was known.
-  kOutdated,  ///< Newer words are known, or those of a younger start.
+  kNew,       ///< The entry changed something.
+  kRenewal,   ///< The entry repeats what was known.
+  kOutdated,  ///< A newer entry or a later start of the id is known.
   kCount
 };
 
@@ -76,7 +78,7 @@
   std::string id;
   std::string service;
   Endpoint endpoint;
-  uint64_t offset = 0;  ///< Of the record that says so.
+  uint64_t offset = 0;  ///< Offset of the record behind the change.
 };
 
 /// The upstreams of one service in one data centre.
@@ -92,11 +94,11 @@
  public:
   struct Row {
     RegisteredUpstream entry;
-    uint64_t offset = 0;  ///< Place of the entry in the platform's records.
+    uint64_t offset = 0;  ///< Offset of the latest record of the entry.
     bool cold = false;
-    /// Another incarnation with a newer entry has the endpoint.
+    /// Another upstream with a newer entry has the same endpoint.
     bool shadowed = false;
-    bool lapsed = false;  ///< Removed, but not believed yet.
+    bool removal_pending = false;  ///< Removed, but the removal is deferred.
     TimePoint warm_at{};
   };
 
@@ -104,71 +106,72 @@
 
   explicit UpstreamRegistry(const RegistryOptions& options = {});
 
-  /// An entry was written at `offset`. One that is older than what is known
-  /// of the id is ignored.
+  /// An entry was written at `offset`. Entries older than the known one of the
+  /// id, or of an earlier start, are ignored.
   EntryResult OnEntry(TimePoint now, uint64_t offset, RegisteredUpstream entry);
 
-  /// What stands under `id` can't be read, or names no upstream: another
-  /// writer put it there. It says nothing of the upstream that was known, which
-  /// goes on until its entry is removed: it renews it within a heartbeat if it
-  /// lives.
+  /// The entry under `id` can't be read or is not an upstream's, because
+  /// another writer put it there. The known upstream is kept until its entry is
+  /// removed: if it lives, it renews its entry within a heartbeat.
   void OnUnreadable(std::string_view id);
 
   /// The entry of `id` was removed at `offset`.
   void OnRemoved(TimePoint now, uint64_t offset, std::string_view id);
 
-  /// All entries are being read anew. What is not listed between these two
-  /// calls counts as removed: the record of its removal may be lost.
+  /// Mark the begin and end of a complete listing. An upstream that is not
+  /// listed between the two calls counts as removed: the store may no longer
+  /// have the record of its removal.
   void BeginListing();
   void EndListing(TimePoint now);
 
-  /// The platform can't be reached, or can be again.
+  /// The platform became unreachable, or reachable again.
   void OnPlatformLost();
   void OnPlatformBack(TimePoint now);
 
-  /// Believes removals that are due, and ends cold times.
+  /// Applies deferred removals that are due, and ends cold periods.
   void Tick(TimePoint now);
 
   const Rows& rows() const { return this->entries; }
 
-  /// @returns what changed since the last call, for the log. The first list is
-  /// left out: all of it is new.
+  /// @returns the transitions since the last call, for the log. Those of the
+  /// first listing are left out, since all upstreams are new then.
   std::vector<UpstreamTransition> TakeNews();
 
-  /// @returns the sets of which a routing view shows something else since the
-  /// last call.
-  std::set<UpstreamSetKey> TakeTouched();
+  /// @returns the sets whose contents in a routing view changed since the last
+  /// call.
+  std::set<UpstreamSetKey> TakeChangedSets();
 
-  /// Counts changes of what a routing view shows of `rows`.
+  /// Number of changes of `rows` that are visible in a routing view.
   uint64_t version() const { return this->changes; }
 
  private:
-  bool Doubts(TimePoint now) const;
+  bool DefersRemovals(TimePoint now) const;
   bool IsOlderStart(const RegisteredUpstream& entry) const;
-  void NoteStart(const RegisteredUpstream& entry);
+  void RecordStart(const RegisteredUpstream& entry);
   void Erase(std::string_view id);
-  void Place(const std::string& id, const Endpoint& endpoint);
-  void LeaveEndpoint(const std::string& id, const Endpoint& endpoint);
-  void TakeOut(Rows::iterator row);
-  /// @param ids All entries at one endpoint.
+  void AddToEndpoint(const std::string& id, const Endpoint& endpoint);
+  void RemoveFromEndpoint(const std::string& id, const Endpoint& endpoint);
+  void RemoveRow(Rows::iterator row);
+  /// @param ids Ids of all entries at one endpoint.
   void MarkShadowed(const std::set<std::string>& ids);
-  void Touch(const Row& row);
-  void AddNews(UpstreamTransitionKind transition_kind, const Row& row);
+  void MarkSetChanged(const Row& row);
+  void AddTransition(UpstreamTransitionKind transition_kind, const Row& row);
 
   RegistryOptions options;
   Rows entries;
-  /// Of each id, also of those that have gone, from the first one heard of on.
-  std::map<std::string, std::chrono::milliseconds> youngest_starts;
+  /// Latest start of each id, including ids of removed upstreams.
+  std::map<std::string, std::chrono::milliseconds> latest_starts;
   std::deque<std::string> starts_in_order;
-  /// Ids of the entries at each endpoint: two while one follows the other.
-  std::map<std::string, std::set<std::string>> at_endpoint;
-  std::set<UpstreamSetKey> touched;
+  /// Ids of the entries at each endpoint; two if an address is reused before
+  /// the old entry is removed.
+  std::map<std::string, std::set<std::string>> ids_by_endpoint;
+  std::set<UpstreamSetKey> changed_sets;
   std::set<std::string, std::less<>> listed;
   bool listing = false;
-  bool was_listed = false;
-  std::vector<UpstreamTransition> news;
+  bool first_listing_done = false;
+  std::vector<UpstreamTransition> transitions;
   bool platform_lost = false;
-  TimePoint doubt_until{};
+  TimePoint defer_removals_until{};
   uint64_t changes = 0;
 };
 
--- a/packages/decision/src/announcement.cc
+++ b/packages/decision/src/announcement.cc
@@ -5,15 +5,17 @@
 namespace basilsill {
 namespace {
 
-// A helper gathers, and its call takes some milliseconds; one that has not
-// answered after this is gone, or its call is in trouble.
-constexpr Duration kHelpTime = std::chrono::milliseconds(250);
+// A helper collects requests before it writes, and its call takes some
+// milliseconds. A helper that has not answered within this time is gone, or its
+// call is failing.
+constexpr Duration kHelperTimeout = std::chrono::milliseconds(250);
 
-// Beyond that, VMs that nobody helped come one after the other.
-constexpr uint64_t kSpreadMilliseconds = 250;
+// Range of the additional delay by which the direct writes of VMs without a
+// helper are spread out.
+constexpr uint64_t kDirectWriteSpreadMs = 250;
 
-// Between two tries; nobody is worse served meanwhile, since a VM that is not
-// listed is found by those it links with.
+// Between two attempts. The delay does no harm: a VM that is not listed is
+// still known to the VMs that it opens links to.
 constexpr Duration kRetryInterval = std::chrono::milliseconds(400);
 
 }  // namespace
@@ -21,10 +23,11 @@
 void Announcement::Begin(TimePoint now, bool others_listed, uint64_t spread) {
   this->spread = spread;
   this->state = State::kWaiting;
-  this->alone_at = now;
+  this->direct_write_at = now;
   if (others_listed) {
-    this->alone_at +=
-        kHelpTime + std::chrono::milliseconds(spread % kSpreadMilliseconds);
+    this->direct_write_at +=
+        kHelperTimeout +
+        std::chrono::milliseconds(spread % kDirectWriteSpreadMs);
   }
 }
 
@@ -39,7 +42,7 @@
 AnnouncementStep Announcement::Next(TimePoint now) {
   const bool open =
       this->state == State::kWaiting || this->state == State::kAsked;
-  if (open && now >= this->alone_at) {
+  if (open && now >= this->direct_write_at) {
     this->state = State::kWriting;
     return {AnnouncementStepKind::kWriteDirectly, {}, 0};
   }
@@ -54,7 +57,7 @@
 TimePoint Announcement::due() const {
   const bool open =
       this->state == State::kWaiting || this->state == State::kAsked;
-  return open ? this->alone_at : kNever;
+  return open ? this->direct_write_at : kNever;
 }
 
 void Announcement::OnHelperAnswer(TimePoint /*now*/,
@@ -73,10 +76,11 @@
     this->state = State::kDone;
     return;
   }
-  // The platform may serve a peer and refuse this VM, so all are asked again.
+  // The platform may serve a peer although it refuses this VM, so all peers are
+  // asked again.
   this->state = State::kWaiting;
   this->turn = 0;
-  this->alone_at = now + kRetryInterval;
+  this->direct_write_at = now + kRetryInterval;
 }
 
 void Announcement::OnListed(TimePoint now, bool is_current) {
--- a/packages/decision/src/data_centre_drains.cc
+++ b/packages/decision/src/data_centre_drains.cc
@@ -7,11 +7,10 @@
 
 namespace basilsill {
 
-// Failure: a data centre is taken back, and the record that had drained it
-// arrives once more, from a VM that tells what it has read a moment ago. It
-// shows as a data centre without work that nobody drains. So what was taken
-// back is remembered with its place, and only a later record drains it again,
-// or a list, which has none but those that stand.
+// Failure: after a drain has ended, a relay VM delivers the older record that
+// had started it. The data centre would get no work although nobody drains it.
+// So the offset of an ended drain is kept, and only a later record or a
+// listing, which contains current records only, drains the data centre again.
 bool DataCentreDrains::OnRecord(uint64_t offset,
                                 std::string_view data_centre,
                                 bool drained) {
@@ -44,8 +43,9 @@
   this->listed.clear();
 }
 
-// A VM may be told the whole topic while its own list is on its way: then the
-// listing has ended, and what came since is no part of it.
+// While this VM lists the topic, another VM may send it the whole topic, which
+// ends the listing. Records that arrive afterwards are not part of it, so a
+// second EndListing has no effect.
 void DataCentreDrains::EndListing() {
   if (!std::exchange(this->listing, false)) {
     return;
@@ -67,8 +67,9 @@
   ++this->changes;
 }
 
-// Names come from the operator's keys, which nobody else bounds. Those that
-// were taken back make room; what is drained is never forgotten.
+// Names come from keys that the operator writes, and their number is unbounded.
+// Entries of ended drains are evicted when the table is full; drained data
+// centres never are.
 bool DataCentreDrains::HasRoom() {
   if (this->rows.size() < limits::kMaxDataCentres) {
     return true;
--- a/packages/decision/src/declared_configuration.cc
+++ b/packages/decision/src/declared_configuration.cc
@@ -10,12 +10,13 @@
 namespace basilsill {
 namespace {
 
-// Who asks without a key is of one team that stands for all. No declared team
-// has its name, since a header can't carry it as a whole.
+// Requests without an API key belong to this common team, as do all services.
+// No declared team can have this name, because a name with a space can't be
+// carried in a header as a whole.
 constexpr std::string_view kCommonTeam = "all callers";
 
-// Teams have no limits but their quotas: what bounds them is the room of the
-// upstreams and the process.
+// Declared teams have no concurrency or queue limit. Their requests are bounded
+// by their quotas and by the capacity of the upstreams and of the process.
 constexpr uint32_t kNoTeamLimit = limits::kMaxRequestsPerWorker;
 
 ResourceEntry MakeEntry(std::string name, ResourceSpec spec, uint64_t version) {
@@ -30,7 +31,7 @@
   return key.service + " in " + key.data_centre;
 }
 
-// Where room is short, teams share it as their quotas say.
+// Under overload, teams share the capacity in proportion to their quotas.
 uint32_t WeightOf(const DeclaredTeam& team) {
   const double rate = team.requests_per_second;
   if (rate <= 0) {
@@ -45,7 +46,7 @@
                                  : TrafficClass::kOrdinary;
 }
 
-// @returns the most urgent priority that requests can have.
+// @returns the most urgent priority (lowest number) that any request can have.
 uint32_t MostUrgent(const DeclaredConfiguration& configuration) {
   uint32_t most_urgent = UINT32_MAX;
   bool routes_count = configuration.teams.empty();
@@ -82,7 +83,7 @@
   return rule;
 }
 
-/// The resources of one configuration, without its upstreams.
+/// Converts one configuration to resources, without its upstreams.
 class DeclaredResources {
  public:
   explicit DeclaredResources(const DeclaredConfiguration& configuration)
@@ -149,7 +150,7 @@
   std::vector<ResourceEntry> entries;
 };
 
-// No key is named in a failure: failures are logged.
+// Failures are logged, so they must not contain an API key.
 void CheckTeams(const DeclaredConfiguration& configuration,
                 std::vector<Failure>& failures) {
   std::set<std::string_view> names = {kCommonTeam};
@@ -157,7 +158,7 @@
   for (const DeclaredTeam& team : configuration.teams) {
     if (!names.insert(team.name).second) {
       failures.push_back(
-          {FailureKind::kDuplicate, team.name, "team stands twice"});
+          {FailureKind::kDuplicate, team.name, "team is declared twice"});
     }
     for (const ApiKeyDigest& digest : team.api_keys) {
       const auto [place, is_new] = holders.emplace(digest, team.name);
@@ -178,14 +179,14 @@
   for (const DeclaredService& service : configuration.services) {
     if (!services.insert(service.name).second) {
       failures.push_back(
-          {FailureKind::kDuplicate, service.name, "service stands twice"});
+          {FailureKind::kDuplicate, service.name, "service is declared twice"});
     }
   }
   std::set<std::string_view> routes;
   for (const DeclaredRoute& route : configuration.routes) {
     if (!routes.insert(route.name).second) {
       failures.push_back(
-          {FailureKind::kDuplicate, route.name, "route stands twice"});
+          {FailureKind::kDuplicate, route.name, "route is declared twice"});
     }
     if (route.services.empty()) {
       failures.push_back(
@@ -205,9 +206,10 @@
 void DeclaredState::Update(const DeclaredSources& sources) {
   ++this->updates;
   this->upstreams_version = sources.upstreams.version();
-  const std::set<UpstreamSetKey> touched = sources.upstreams.TakeTouched();
+  const std::set<UpstreamSetKey> changed_sets =
+      sources.upstreams.TakeChangedSets();
   if (this->configuration_version == sources.configuration.version) {
-    this->DeclareSets(touched, sources.upstreams);
+    this->DeclareSets(changed_sets, sources.upstreams);
   } else {
     this->DeclareAll(sources.configuration, sources.upstreams);
   }
@@ -235,7 +237,8 @@
                         std::move(entries));
 }
 
-// A new configuration may name other services, so all sets are made anew too.
+// A new configuration may declare other services, so all upstream sets are
+// rebuilt too.
 void DeclaredState::DeclareAll(const DeclaredConfiguration& configuration,
                                const UpstreamRegistry& upstreams) {
   this->configuration_version = configuration.version;
@@ -253,15 +256,15 @@
   this->DeclareSets(all, upstreams);
 }
 
-// One set a service and data centre. The version of each is that of the update
-// that made it, so that views share what did not change.
-void DeclaredState::DeclareSets(const std::set<UpstreamSetKey>& touched,
+// Builds one set for each service and data centre. The version of a set is that
+// of the update that built it, so that views share unchanged sets.
+void DeclaredState::DeclareSets(const std::set<UpstreamSetKey>& changed_sets,
                                 const UpstreamRegistry& upstreams) {
   std::map<UpstreamSetKey, UpstreamSetSpec> sets;
   for (const auto& [id, row] : upstreams.rows()) {
     const RegisteredUpstream& entry = row.entry;
     const UpstreamSetKey key{entry.service, entry.data_centre};
-    if (row.shadowed || !touched.contains(key) ||
+    if (row.shadowed || !changed_sets.contains(key) ||
         !this->services.contains(entry.service)) {
       continue;
     }
@@ -273,8 +276,8 @@
     set.incarnations.push_back({entry.id, entry.started});
   }
   std::vector<ResourceId> dropped;
-  dropped.reserve(touched.size());
-  for (const UpstreamSetKey& key : touched) {
+  dropped.reserve(changed_sets.size());
+  for (const UpstreamSetKey& key : changed_sets) {
     dropped.push_back({ResourceKind::kUpstreamSet, NameOf(key)});
   }
   std::vector<ResourceEntry> entries;
--- a/packages/decision/src/membership.cc
+++ b/packages/decision/src/membership.cc
@@ -8,8 +8,9 @@
 namespace basilsill {
 namespace {
 
-/// Superseded incarnations remembered for a VM. More restarts than this while
-/// messages of the first are still on the way do not occur.
+/// Number of superseded incarnations remembered for a VM. More restarts than
+/// this while messages of the first incarnation are still in flight do not
+/// occur.
 constexpr size_t kMaxSuperseded = 8;
 
 constexpr int kIncarnationRandomBits = 20;
@@ -74,7 +75,7 @@
   const VmHandle vm = this->members.Create(std::move(member));
   if (IsValid(vm)) {
     this->by_name.emplace(name, vm);
-    this->Act(MembershipActionKind::kEvent, vm, Event::kVmJoined);
+    this->AddAction(MembershipActionKind::kEvent, vm, Event::kVmJoined);
   }
   return vm;
 }
@@ -84,15 +85,15 @@
                                const std::vector<ListedVm>& vms) {
   this->list_at = now;
   this->list_stale = false;
-  // Failure: an answer of a lagging reader overtakes a newer one. It shows as
-  // a lower version; adopting it would bring back VMs that have left.
+  // Failure: an answer of a lagging replica arrives after a newer one. Its
+  // version is lower; applying it would bring back VMs that have left.
   if (version < this->list_version) {
     return;
   }
   this->list_version = version;
   this->members.ForEach([](VmHandle, Member& member) {
     member.listed = false;
-    member.list_says_leaving = false;
+    member.listed_leaving = false;
   });
   for (const ListedVm& entry : vms) {
     const VmHandle vm = this->FindOrAdd(entry.name);
@@ -105,7 +106,7 @@
       this->self_leaving = entry.leaving;
       continue;
     }
-    member->list_says_leaving = entry.leaving;
+    member->listed_leaving = entry.leaving;
     if (member->incarnation == 0) {
       member->data_centre = this->InternDataCentre(entry.data_centre);
       member->control = entry.control;
@@ -146,11 +147,13 @@
       member.superseded.end()) {
     return true;
   }
-  // Failure: a VM is restarted while its clock runs backwards, so that the
-  // new incarnation has the lower number. Refusing it by its number alone
-  // would keep it out for ever; so the known one must also show that it runs.
-  const bool known_runs = member.link == PeerLink::kUp &&
-                          now - member.heard_at < this->options.suspect_after;
+  // Failure: a VM restarts while its clock runs backwards, so that the new
+  // incarnation has the lower number. If it were rejected by its number alone,
+  // it could never join; so it is rejected only while the known incarnation
+  // shows signs of life.
+  const bool known_runs =
+      member.link == PeerLink::kUp &&
+      now - member.last_message_at < this->options.suspect_after;
   return other < member.incarnation && known_runs;
 }
 
@@ -163,9 +166,9 @@
       member.superseded.push_back(member.incarnation);
     }
     member.incarnation = hello.incarnation;
-    member.says_leaving = false;
+    member.announced_leaving = false;
   }
-  member.says_leaving |= hello.leaving;
+  member.announced_leaving |= hello.leaving;
   member.data_centre = this->InternDataCentre(hello.data_centre);
   member.control = hello.control;
   member.workers = hello.workers;
@@ -178,28 +181,28 @@
   if (!this->OnMessageReceived(now, vm, incarnation)) {
     return;
   }
-  this->members.Find(vm)->says_leaving = true;
+  this->members.Find(vm)->announced_leaving = true;
   this->UpdateRow(vm);
 }
 
 void MembershipTable::Leave(TimePoint /*now*/) {
-  this->members.Find(this->own)->says_leaving = true;
+  this->members.Find(this->own)->announced_leaving = true;
   this->UpdateRow(this->own);
 }
 
-// The platform may have forgotten a VM that works, or not know it yet: while
-// it shows signs of life it stays. One that said it leaves is gone with its
-// link.
-bool MembershipTable::IsHeardOf(TimePoint now, const Member& member) const {
-  const bool left = member.says_leaving && member.link == PeerLink::kNone;
+// The platform's list may lack a VM that works: such a VM is kept while
+// messages arrive from it. A VM that announced its leaving is removed once its
+// link is closed.
+bool MembershipTable::IsActive(TimePoint now, const Member& member) const {
+  const bool left = member.announced_leaving && member.link == PeerLink::kNone;
   return member.incarnation != 0 && !left &&
-         now - member.heard_at < this->options.unlisted_after;
+         now - member.last_message_at < this->options.unlisted_after;
 }
 
 void MembershipTable::DropUnlisted(TimePoint now) {
   std::vector<VmHandle> gone;
   this->members.ForEach([&](VmHandle vm, const Member& member) {
-    if (vm != this->own && !member.listed && !this->IsHeardOf(now, member)) {
+    if (vm != this->own && !member.listed && !this->IsActive(now, member)) {
       gone.push_back(vm);
     }
   });
@@ -208,7 +211,7 @@
     if (member.link != PeerLink::kNone) {
       this->DropLink(now, vm, member);
     }
-    this->Act(MembershipActionKind::kEvent, vm, Event::kVmGone);
+    this->AddAction(MembershipActionKind::kEvent, vm, Event::kVmGone);
     this->by_name.erase(member.name);
     this->members.Destroy(vm);
     this->table[vm.index] = VmRow{};
@@ -220,7 +223,8 @@
   if (!this->list_stale &&
       now - this->list_at >= this->options.list_stale_after) {
     this->list_stale = true;
-    this->Act(MembershipActionKind::kEvent, this->own, Event::kVmListStale);
+    this->AddAction(MembershipActionKind::kEvent, this->own,
+                    Event::kVmListStale);
   }
 }
 
@@ -259,13 +263,15 @@
   const bool begins_to_leave =
       row.state == VmState::kLeaving && known.state != VmState::kLeaving;
   if (begins_to_leave) {
-    this->Act(MembershipActionKind::kEvent, vm, Event::kVmLeaving);
+    this->AddAction(MembershipActionKind::kEvent, vm, Event::kVmLeaving);
   }
   known = std::move(row);
   ++this->changes;
 }
 
-void MembershipTable::Act(MembershipActionKind kind, VmHandle vm, Event event) {
+void MembershipTable::AddAction(MembershipActionKind kind,
+                                VmHandle vm,
+                                Event event) {
   const Member& member = *this->members.Find(vm);
   this->pending_actions.push_back(
       {kind, vm, member.name, member.incarnation, member.control, event});
--- a/packages/decision/src/membership_links.cc
+++ b/packages/decision/src/membership_links.cc
@@ -4,14 +4,15 @@
 #include "basilsill/decision/claim_key.h"
 #include "membership_table.h"
 
-/// Who can be reached: links, heartbeats, suspicion.
+/// The part of MembershipTable that tracks which VMs are reachable: links,
+/// heartbeats, suspicion.
 
 namespace basilsill {
 namespace {
 
-/// A link that is silent for so many times the span of suspicion is opened
-/// anew: its other end may have vanished without closing it.
-constexpr int kSilentSpans = 4;
+/// A link is reopened after a silence of this many times `suspect_after`: the
+/// peer may have vanished without closing it.
+constexpr int kReopenAfterSpans = 4;
 
 struct RankedNeed {
   PeerUse use;
@@ -32,9 +33,9 @@
   if (member == nullptr || member->incarnation != incarnation) {
     return false;
   }
-  member->heard_at = now;
+  member->last_message_at = now;
   if (member->trust.IsSuspected() && member->link == PeerLink::kUp) {
-    member->trust.OnSign(now);
+    member->trust.OnSignOfLife(now);
     this->TryTrust(now, vm);
   }
   return true;
@@ -50,7 +51,7 @@
   }
   member->link = PeerLink::kNone;
   member->open_at = now;
-  if (this->IsWanted(*member)) {
+  if (this->NeedsLink(*member)) {
     this->Suspect(now, vm);
   }
 }
@@ -69,8 +70,9 @@
 
 void MembershipTable::SetNeeds(TimePoint now,
                                const std::vector<PeerNeed>& needs) {
-  // Which of many equals are kept is chosen by a hash of both names, the same
-  // at both ends, so that two VMs mostly agree on whether they are peers.
+  // Among needs of equal use, the peers to keep are chosen by a hash of both
+  // names. It is the same at both ends, so that two VMs mostly agree on whether
+  // they are peers.
   std::vector<RankedNeed> ranked;
   for (const PeerNeed& need : needs) {
     const Member* member = this->members.Find(need.vm);
@@ -104,10 +106,10 @@
   });
 }
 
-// A suspected VM is no owner of anything any more, so nobody needs it; without
-// a link there would never be evidence that it works again. One that leaves is
-// not waited for.
-bool MembershipTable::IsWanted(const Member& member) const {
+// No VM needs a suspected VM, since it owns no shard, but without a link there
+// would never be evidence that it works again. No link is opened to a VM that
+// is leaving.
+bool MembershipTable::NeedsLink(const Member& member) const {
   return !member.IsLeaving() && (member.needed || member.trust.IsSuspected());
 }
 
@@ -123,17 +125,17 @@
 }
 
 void MembershipTable::TickOpen(TimePoint now, VmHandle vm, Member& member) {
-  if (!this->IsWanted(member) || now < member.open_at) {
+  if (!this->NeedsLink(member) || now < member.open_at) {
     return;
   }
   member.link = PeerLink::kOpening;
   member.opened_here = true;
-  this->Act(MembershipActionKind::kOpenLink, vm);
+  this->AddAction(MembershipActionKind::kOpenLink, vm);
 }
 
 void MembershipTable::TickUp(TimePoint now, VmHandle vm, Member& member) {
-  const Duration silence = now - member.heard_at;
-  if (!this->IsWanted(member)) {
+  const Duration silence = now - member.last_message_at;
+  if (!this->NeedsLink(member)) {
     const bool idle = silence > this->options.linger &&
                       now - member.needed_at > this->options.linger;
     if (member.opened_here && idle) {
@@ -144,27 +146,28 @@
   if (silence >= this->options.suspect_after) {
     this->Suspect(now, vm);
   }
-  if (silence >= this->options.suspect_after * kSilentSpans) {
+  if (silence >= this->options.suspect_after * kReopenAfterSpans) {
     return this->DropLink(now, vm, member);
   }
-  // Traffic is the heartbeat; only on an idle link one is asked for.
-  const Duration since = now - std::max(member.heard_at, member.heartbeat_at);
+  // Any message counts as a heartbeat; one is requested only on an idle link.
+  const Duration since =
+      now - std::max(member.last_message_at, member.heartbeat_at);
   if (since >= this->options.heartbeat_after) {
     member.heartbeat_at = now;
-    this->Act(MembershipActionKind::kHeartbeat, vm);
+    this->AddAction(MembershipActionKind::kHeartbeat, vm);
   }
 }
 
 void MembershipTable::DropLink(TimePoint now, VmHandle vm, Member& member) {
   member.link = PeerLink::kNone;
   member.open_at = now;
-  this->Act(MembershipActionKind::kDropLink, vm);
+  this->AddAction(MembershipActionKind::kDropLink, vm);
 }
 
 void MembershipTable::Suspect(TimePoint now, VmHandle vm) {
   Member& member = *this->members.Find(vm);
   if (member.trust.Suspect(now, this->options)) {
-    this->Act(MembershipActionKind::kEvent, vm, Event::kVmSuspected);
+    this->AddAction(MembershipActionKind::kEvent, vm, Event::kVmSuspected);
     this->UpdateRow(vm);
   }
 }
@@ -172,7 +175,7 @@
 void MembershipTable::TryTrust(TimePoint now, VmHandle vm) {
   Member& member = *this->members.Find(vm);
   if (member.trust.TryTrust(now, this->options)) {
-    this->Act(MembershipActionKind::kEvent, vm, Event::kVmTrusted);
+    this->AddAction(MembershipActionKind::kEvent, vm, Event::kVmTrusted);
     this->UpdateRow(vm);
   }
 }
--- a/packages/decision/src/membership_table.h
+++ b/packages/decision/src/membership_table.h
@@ -9,18 +9,19 @@
 #include "basilsill/decision/membership.h"
 #include "membership_trust.h"
 
-/// The state behind Membership, its methods in two files: membership.cc (who
-/// there is) and membership_links.cc (who can be reached).
+/// Implementation of Membership. Its methods are in two files: membership.cc
+/// (which VMs exist) and membership_links.cc (which VMs are reachable).
 
 namespace basilsill {
 
 enum class PeerLink : uint8_t { kNone, kOpening, kUp, kCount };
 
-/// One VM as this one knows it.
+/// State of one VM.
 struct Member {
-  /// By the list or by its own word, whichever came first: both may lag.
+  /// The VM is leaving if either the list or the VM itself says so, because
+  /// both may lag.
   bool IsLeaving() const {
-    return this->list_says_leaving || this->says_leaving;
+    return this->listed_leaving || this->announced_leaving;
   }
 
   std::string name;
@@ -28,18 +29,18 @@
   Endpoint control;
   uint32_t capacity = 0;
   std::vector<Endpoint> workers;
-  uint64_t incarnation = 0;  ///< 0 until it said hello.
+  uint64_t incarnation = 0;  ///< 0 until its hello.
   std::vector<uint64_t> superseded;
   bool listed = false;
-  bool list_says_leaving = false;
-  bool says_leaving = false;  ///< The current incarnation announced it.
+  bool listed_leaving = false;
+  bool announced_leaving = false;  ///< By the current incarnation.
 
   PeerTrust trust;
   PeerLink link = PeerLink::kNone;
   bool opened_here = false;
   bool needed = false;
-  TimePoint needed_at;  ///< When it was needed last.
-  TimePoint heard_at;
+  TimePoint needed_at;  ///< When the VM was last needed.
+  TimePoint last_message_at;
   TimePoint heartbeat_at;
   TimePoint open_at;  ///< When the next attempt to open a link is due.
   Duration backoff{0};
@@ -82,18 +83,18 @@
   VmHandle FindOrAdd(std::string_view name);
   bool IsSuperseded(TimePoint now, const Member& member, uint64_t other) const;
   void Adopt(Member& member, const VmHello& hello);
-  bool IsHeardOf(TimePoint now, const Member& member) const;
+  bool IsActive(TimePoint now, const Member& member) const;
   void DropUnlisted(TimePoint now);
   void CheckListAge(TimePoint now);
   void UpdateRow(VmHandle vm);
-  void Act(MembershipActionKind kind,
-           VmHandle vm,
-           Event event = Event::kVmJoined);
+  void AddAction(MembershipActionKind kind,
+                 VmHandle vm,
+                 Event event = Event::kVmJoined);
 
   // membership_links.cc
   void Suspect(TimePoint now, VmHandle vm);
   void TryTrust(TimePoint now, VmHandle vm);
-  bool IsWanted(const Member& member) const;
+  bool NeedsLink(const Member& member) const;
   void TickLink(TimePoint now, VmHandle vm, Member& member);
   void TickOpen(TimePoint now, VmHandle vm, Member& member);
   void TickUp(TimePoint now, VmHandle vm, Member& member);
@@ -109,7 +110,7 @@
   uint64_t list_version = 0;
   TimePoint list_at;
   bool list_stale = false;
-  bool self_leaving = false;  ///< As the platform lists it.
+  bool self_leaving = false;  ///< By the platform's list.
   std::vector<MembershipAction> pending_actions;
 };
 
--- a/packages/decision/src/membership_trust.cc
+++ b/packages/decision/src/membership_trust.cc
@@ -21,25 +21,25 @@
   return true;
 }
 
-void PeerTrust::OnSign(TimePoint now) {
+void PeerTrust::OnSignOfLife(TimePoint now) {
   this->steady_since = std::min(this->steady_since, now);
 }
 
 bool PeerTrust::TryTrust(TimePoint now, const MembershipOptions& options) {
-  // Failure: a link that breaks every few seconds and works in between. Work
-  // sent in each good moment would be lost in the next bad one, and every
-  // turn moves the shards of the peer back and forth. The hold grows with
-  // each turn, so the peer is left alone until its link is quiet.
+  // Failure: a link breaks every few seconds and works in between. Requests
+  // sent while it works are lost at the next break, and every change moves the
+  // shards of the peer back and forth. The required time without failure grows
+  // with each break, so the peer gets no work until its link is stable.
   if (!this->suspected || this->steady_since == kNever ||
-      now - this->steady_since < this->Hold(now, options)) {
+      now - this->steady_since < this->RequiredSteadyTime(now, options)) {
     return false;
   }
   this->suspected = false;
   return true;
 }
 
-Duration PeerTrust::Hold(TimePoint now,
-                         const MembershipOptions& options) const {
+Duration PeerTrust::RequiredSteadyTime(TimePoint now,
+                                       const MembershipOptions& options) const {
   const double excess =
       this->PenaltyAt(now, options) - options.damping_threshold;
   if (excess <= 0) {
--- a/packages/decision/src/membership_trust.h
+++ b/packages/decision/src/membership_trust.h
@@ -5,7 +5,7 @@
 #include "basilsill/decision/membership.h"
 
 /// Whether one peer is trusted to work: suspicion, and damping of peers that
-/// fail and come back again and again.
+/// fail and recover repeatedly.
 
 namespace basilsill {
 
@@ -13,18 +13,20 @@
  public:
   bool IsSuspected() const { return this->suspected; }
 
-  /// The peer failed or is silent: its signs of life count anew from here.
-  /// @returns true if it was trusted until now.
+  /// The peer failed or is silent. Restarts the period of continuous signs of
+  /// life that TryTrust requires.
+  /// @returns true if the peer was trusted until now.
   bool Suspect(TimePoint now, const MembershipOptions& options);
 
-  /// A sign of life.
-  void OnSign(TimePoint now);
+  /// A message arrived from the peer.
+  void OnSignOfLife(TimePoint now);
 
-  /// @returns true if the peer is trusted again from now on.
+  /// @returns true if the peer was suspected and is trusted from now on.
   bool TryTrust(TimePoint now, const MembershipOptions& options);
 
  private:
-  Duration Hold(TimePoint now, const MembershipOptions& options) const;
+  Duration RequiredSteadyTime(TimePoint now,
+                              const MembershipOptions& options) const;
   double PenaltyAt(TimePoint now, const MembershipOptions& options) const;
 
   bool suspected = false;
--- a/packages/decision/src/peer_silence.cc
+++ b/packages/decision/src/peer_silence.cc
@@ -12,8 +12,8 @@
 constexpr int kDeviations = 6;
 constexpr int kExpectedTimes = 4;
 
-// Taking a dispatcher for silent that only has a long queue puts a second one
-// to work on the same upstreams, so this is no hair trigger.
+// If a dispatcher with a long queue is wrongly taken for silent, a second
+// dispatcher starts to use the same upstreams, so the minimum is generous.
 constexpr Duration kMinTimeout = std::chrono::milliseconds(100);
 constexpr Duration kFirstTimeout = std::chrono::seconds(1);
 
--- a/packages/decision/src/peer_silence.h
+++ b/packages/decision/src/peer_silence.h
@@ -7,23 +7,26 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/view.h"
 
-/// Notices dispatchers that have gone silent, from the requests that are on
-/// their way there anyway. A VM that is paused or cut off keeps its links open
-/// for long; until they break, each request sent there would be stuck.
+/// Detects dispatchers that have gone silent, by the requests that are in
+/// flight to them anyway. A VM that is paused or cut off keeps its links open
+/// for a long time, and every request sent to it until they break would be
+/// stuck.
 
 namespace basilsill {
 
 class PeerSilence {
  public:
-  /// A request that should be answered soon went to `vm`, until its OnDone.
+  /// A request that should be answered soon was sent to `vm`. Each call must be
+  /// followed by one of OnDone.
   void OnSent(TimePoint now, VmHandle vm);
   void OnDone(VmHandle vm);
 
-  /// Anything came from `vm`.
+  /// A message arrived from `vm`.
   void OnReceived(TimePoint now, VmHandle vm);
 
-  /// @returns true if `vm` owes an answer for far longer than it usually does,
-  /// and than `expected` for a request there.
+  /// @returns true if a request to `vm` is in flight and `vm` has been silent
+  /// for far longer than usual and than `expected`, the expected duration of a
+  /// request there.
   bool IsSilent(TimePoint now, VmHandle vm, Duration expected) const;
 
  private:
@@ -31,14 +34,14 @@
     VmHandle vm;
     uint32_t waiting = 0;
     bool known = false;
-    TimePoint since{};  ///< Last word, or the first request since nothing.
-    Duration mean{0};   ///< From then to the next word.
+    TimePoint since{};  ///< Last message, or first request in flight if later.
+    Duration mean{0};   ///< Mean time from `since` to the next message.
     Duration deviation{0};
   };
 
   Peer& PeerOf(VmHandle vm);
 
-  std::vector<Peer> peers;  ///< By index of the handle.
+  std::vector<Peer> peers;  ///< Indexed by handle.
 };
 
 }  // namespace basilsill
--- a/packages/decision/src/propagation_plan.cc
+++ b/packages/decision/src/propagation_plan.cc
@@ -7,25 +7,25 @@
 namespace basilsill {
 namespace {
 
-bool IsNear(const std::vector<VmRow>& vms, VmHandle a, VmHandle b) {
+bool InSameDataCentre(const std::vector<VmRow>& vms, VmHandle a, VmHandle b) {
   return a.index < vms.size() && b.index < vms.size() &&
          vms[a.index].data_centre == vms[b.index].data_centre;
 }
 
-// @returns the live VMs that tell, in the order of work, and behind them in
-// `others` those that don't.
-std::vector<VmHandle> Tellers(const std::vector<VmRow>& vms,
-                              std::vector<VmHandle>& others) {
+// @returns the live relay VMs in the order of WorkOrder. Appends the other live
+// VMs to `others` in the same order.
+std::vector<VmHandle> Relays(const std::vector<VmRow>& vms,
+                             std::vector<VmHandle>& others) {
   std::map<DataCentreHandle, size_t> found;
-  std::vector<VmHandle> tellers;
+  std::vector<VmHandle> relays;
   for (const VmHandle vm : WorkOrder(vms)) {
     size_t& count = found[vms.at(vm.index).data_centre];
     std::vector<VmHandle>& part =
-        count < kRelaysPerDataCentre ? tellers : others;
+        count < kRelaysPerDataCentre ? relays : others;
     part.push_back(vm);
     ++count;
   }
-  return tellers;
+  return relays;
 }
 
 bool Contains(const std::vector<VmHandle>& vms, VmHandle vm) {
@@ -37,25 +37,26 @@
 std::vector<VmHandle> RelaysOf(const std::vector<VmRow>& vms,
                                DataCentreHandle data_centre) {
   std::vector<VmHandle> others;
-  std::vector<VmHandle> tellers = Tellers(vms, others);
-  std::erase_if(tellers, [&vms, data_centre](VmHandle vm) {
+  std::vector<VmHandle> relays = Relays(vms, others);
+  std::erase_if(relays, [&vms, data_centre](VmHandle vm) {
     return vms[vm.index].data_centre != data_centre;
   });
-  return tellers;
+  return relays;
 }
 
 PropagationPlan PlanPropagation(const std::vector<VmRow>& vms, VmHandle self) {
   std::vector<VmHandle> others;
-  const std::vector<VmHandle> tellers = Tellers(vms, others);
+  const std::vector<VmHandle> relays = Relays(vms, others);
   PropagationPlan plan;
-  plan.is_relay = Contains(tellers, self);
-  std::vector<VmHandle> order = tellers;
+  plan.is_relay = Contains(relays, self);
+  std::vector<VmHandle> order = relays;
   order.insert(order.end(), others.begin(), others.end());
   const auto own = std::find(order.begin(), order.end(), self);
   plan.rank = static_cast<size_t>(own - order.begin());
-  for (const VmHandle teller : tellers) {
-    if (teller != self && (plan.is_relay || IsNear(vms, teller, self))) {
-      plan.links.push_back(teller);
+  for (const VmHandle relay : relays) {
+    if (relay != self &&
+        (plan.is_relay || InSameDataCentre(vms, relay, self))) {
+      plan.links.push_back(relay);
     }
   }
   return plan;
@@ -65,31 +66,32 @@
                                      const std::vector<VmRow>& vms,
                                      VmHandle self,
                                      const std::vector<VmHandle>& linked) {
-  std::vector<VmHandle> told;
+  std::vector<VmHandle> targets;
   for (const VmHandle vm : linked) {
-    const bool tells_there = Contains(plan.links, vm);
-    if (plan.is_relay && (IsNear(vms, vm, self) || tells_there)) {
-      told.push_back(vm);
+    const bool is_linked_relay = Contains(plan.links, vm);
+    if (plan.is_relay && (InSameDataCentre(vms, vm, self) || is_linked_relay)) {
+      targets.push_back(vm);
     }
   }
-  return told;
+  return targets;
 }
 
 std::vector<VmHandle> RelayTargets(const PropagationPlan& plan,
                                    const std::vector<VmRow>& vms,
                                    VmHandle self,
-                                   VmHandle teller,
+                                   VmHandle sender,
                                    const std::vector<VmHandle>& linked) {
-  std::vector<VmHandle> told;
-  if (!plan.is_relay || !IsValid(teller) || IsNear(vms, teller, self)) {
-    return told;
+  std::vector<VmHandle> targets;
+  if (!plan.is_relay || !IsValid(sender) ||
+      InSameDataCentre(vms, sender, self)) {
+    return targets;
   }
   for (const VmHandle vm : linked) {
-    if (vm != teller && IsNear(vms, vm, self)) {
-      told.push_back(vm);
+    if (vm != sender && InSameDataCentre(vms, vm, self)) {
+      targets.push_back(vm);
     }
   }
-  return told;
+  return targets;
 }
 
 }  // namespace basilsill
--- a/packages/decision/src/start_plan.cc
+++ b/packages/decision/src/start_plan.cc
@@ -7,39 +7,42 @@
 namespace basilsill {
 namespace {
 
-// Below this number of VMs each lists for itself: it is ready sooner, and all
-// of them together make few calls. Above, a start of the whole fleet would make
-// some ten calls a VM.
+// Below this number of VMs each VM lists for itself: it becomes ready sooner,
+// and all VMs together make few calls. In a larger fleet a start of all VMs
+// would make some ten calls per VM.
 constexpr size_t kSmallFleet = 32;
 
-// VMs, from the first in the common order on, that list at once.
-constexpr size_t kFirstListers = 2;
+// Number of VMs, from the first in the common order on, that list at once.
+constexpr size_t kImmediateListers = 2;
 
-// A VM that is told all has it some tenths of a second after its start.
-constexpr Duration kHelpTime = std::chrono::milliseconds(400);
+// A VM that receives the state from a peer has it some tenths of a second after
+// its start.
+constexpr Duration kPeerStateDelay = std::chrono::milliseconds(400);
 
-// Beyond that, by the place in the order: callers are refused meanwhile.
-constexpr Duration kHelpSpread = std::chrono::milliseconds(200);
+// Maximum additional wait, which grows with the rank. It is short because the
+// VM refuses callers meanwhile.
+constexpr Duration kRankSpread = std::chrono::milliseconds(200);
 
-// From this size on, what all VMs list is more than the store gives in a
-// second; they list at a rate that does not grow with the fleet.
+// From this fleet size on, the listings of all VMs exceed what the store can
+// serve in a second, so VMs list at a rate that does not grow with the fleet.
 constexpr size_t kLargeFleet = 512;
-constexpr Duration kListerGap = std::chrono::milliseconds(40);
-constexpr Duration kMaxListerWait = std::chrono::seconds(6);
+constexpr Duration kListingStagger = std::chrono::milliseconds(40);
+constexpr Duration kMaxListingWait = std::chrono::seconds(6);
 
-// Place in the order that waits half of it.
-constexpr int64_t kHalfWay = 64;
+// Rank at which the additional wait is half of kRankSpread.
+constexpr int64_t kHalfSpreadRank = 64;
 
-// The VMs of a fleet of hundreds are spread over this, one a millisecond, which
-// is far below the time in which an installation is set up.
+// Spreads the VMs of a fleet of hundreds at about one a millisecond, which is
+// far below the time in which an installation is set up.
 constexpr Duration kFirstStartSpread = std::chrono::milliseconds(300);
 
-// A VM of half a core waits a fifth of that at most; one of this size, the
-// whole of it.
+// A VM of at most this capacity (a tenth of a core) waits up to the whole
+// spread; a larger one waits proportionally less, e.g. one of half a core up to
+// a fifth.
 constexpr uint32_t kSmallCapacity = 100;
 
-// Parts into which a hash divides the spread.
-constexpr int64_t kParts = 1024;
+// Number of steps into which the hash of the VM's name divides the spread.
+constexpr int64_t kHashSteps = 1024;
 
 }  // namespace
 
@@ -48,21 +51,21 @@
 }
 
 Duration StartListingDelay(size_t rank, bool waits, size_t known) {
-  if (rank < kFirstListers || !waits) {
+  if (rank < kImmediateListers || !waits) {
     return Duration(0);
   }
   const auto place = static_cast<int64_t>(rank);
   if (known >= kLargeFleet) {
-    return kHelpTime + std::min(kListerGap * place, kMaxListerWait);
+    return kPeerStateDelay + std::min(kListingStagger * place, kMaxListingWait);
   }
-  return kHelpTime + kHelpSpread * place / (place + kHalfWay);
+  return kPeerStateDelay + kRankSpread * place / (place + kHalfSpreadRank);
 }
 
 Duration FirstStartDelay(std::string_view vm, uint32_t capacity) {
-  const auto part =
-      static_cast<int64_t>(XXH3_64bits(vm.data(), vm.size()) % kParts);
+  const auto step =
+      static_cast<int64_t>(XXH3_64bits(vm.data(), vm.size()) % kHashSteps);
   const int64_t size = std::max(capacity, kSmallCapacity);
-  return kFirstStartSpread * kSmallCapacity / size * part / kParts;
+  return kFirstStartSpread * kSmallCapacity / size * step / kHashSteps;
 }
 
 }  // namespace basilsill
--- a/packages/decision/src/state_fetch.cc
+++ b/packages/decision/src/state_fetch.cc
@@ -5,13 +5,13 @@
 namespace basilsill {
 namespace {
 
-// A VM that has room tells within some milliseconds; a whole state takes a
-// tenth of a second on a narrow link. After this the next one is asked, also if
-// the one before said that it will tell.
-constexpr Duration kAnswerTime = std::chrono::milliseconds(200);
+// A VM with send budget answers within some milliseconds; sending the full
+// state takes a tenth of a second on a narrow link. After this time the next VM
+// is asked, even if the previous one has promised to send the state later.
+constexpr Duration kAnswerTimeout = std::chrono::milliseconds(200);
 
-// Between two rounds of all peers, so that a VM that nobody can tell does not
-// keep them all busy.
+// Pause between two rounds of all peers, so that a VM that no peer can serve
+// does not keep all peers busy.
 constexpr Duration kRoundPause = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -22,7 +22,8 @@
   if (!known) {
     list.push_back(vm);
   }
-  this->others_at = std::min(this->others_at, now + kAnswerTime);
+  this->include_others_at =
+      std::min(this->include_others_at, now + kAnswerTimeout);
 }
 
 void StateFetch::OnDeclined(TimePoint now, VmHandle vm, bool later) {
@@ -34,7 +35,7 @@
 }
 
 VmHandle StateFetch::Next(TimePoint now) {
-  if (now >= this->others_at) {
+  if (now >= this->include_others_at) {
     this->peers.insert(this->peers.end(), this->others.begin(),
                        this->others.end());
     this->others.clear();
@@ -47,7 +48,7 @@
     this->turn = 0;
   }
   this->asked = this->peers[this->turn++];
-  this->next_at = now + kAnswerTime;
+  this->next_at = now + kAnswerTimeout;
   return this->asked;
 }
 
--- a/packages/decision/src/state_send_budget.cc
+++ b/packages/decision/src/state_send_budget.cc
@@ -6,8 +6,9 @@
 namespace basilsill {
 namespace {
 
-// Of this VM's link in any second. The rest is for answers to callers, for work
-// of its peers and for its own calls, which must not wait behind it.
+// Share of the bandwidth of this VM's link. The rest is left for answers to
+// callers, work for peers and own calls, which must not queue behind state
+// transfers.
 constexpr double kLinkShare = 0.25;
 
 double RateOf(double link_bytes_per_second) {
--- a/packages/decision/src/topic_follower.cc
+++ b/packages/decision/src/topic_follower.cc
@@ -8,47 +8,50 @@
 
 constexpr uint32_t kMaxDoublings = 8;
 
-// What one read brings at most, and after a read that failed. A store that has
-// too much to do gets through many small answers where it gets through no large
+// Limits on the answer to a read: normally, and after a failed call. An
+// overloaded store still serves many small answers where it serves no large
 // one.
 constexpr size_t kMaxReadBytes = 1024 * 1024;
 constexpr size_t kMinReadBytes = 64 * 1024;
 
-// Peers that are asked in a row, and what one may take to answer.
-constexpr uint32_t kPeersAsked = 2;
-constexpr Duration kPeerTime = std::chrono::milliseconds(200);
+// Number of peers asked in a row, and the time that each has to answer.
+constexpr uint32_t kMaxPeersAsked = 2;
+constexpr Duration kPeerTimeout = std::chrono::milliseconds(200);
 
-// Kept to be told, at least: longer than a VM is frozen or cut off as a rule.
-constexpr Duration kRetained = std::chrono::seconds(10);
+// Minimum time for which records are retained for other VMs: longer than a VM
+// usually is frozen or cut off.
+constexpr Duration kRetention = std::chrono::seconds(10);
 
-// Between two VMs that read what their peers could not tell them: some dozens a
-// second, each a second's worth of a large topic, whatever the size of the
+// Interval between the reads of VMs whose peers declined: some dozens of reads
+// a second, each of a second's worth of a large topic, whatever the size of the
 // fleet.
-constexpr Duration kReaderGap = std::chrono::milliseconds(40);
+constexpr Duration kReaderStagger = std::chrono::milliseconds(40);
 constexpr Duration kMaxReaderWait = std::chrono::seconds(10);
 
-// Nobody is without news for longer than the longest silence and one call; what
-// was known here so long ago is known to all.
-constexpr Duration kCallTime = std::chrono::milliseconds(450);
+// Upper bound on the duration of a call. No VM is without an update for longer
+// than the longest silence plus one call, so records that this VM had before
+// that time are known to all.
+constexpr Duration kMaxCallTime = std::chrono::milliseconds(450);
 
-// Place in the order whose patience is half-way to the longest.
-constexpr int64_t kHalfWay = 5;
+// Rank whose delay is half-way between the shortest and the longest.
+constexpr int64_t kHalfSpreadRank = 5;
 
-// Between two reads that the store holds: records that come in quick succession
-// are then read several at a time.
+// Pause between two held reads, so that records that come in quick succession
+// are read several at a time.
 constexpr Duration kHoldPause = std::chrono::milliseconds(20);
 
-// An answer of the store takes some milliseconds; one that takes this long
-// comes from a store in trouble.
-constexpr Duration kSlowCall = std::chrono::milliseconds(100);
+// The store normally answers within some milliseconds; a call that takes this
+// long shows that it is degraded.
+constexpr Duration kSlowCallThreshold = std::chrono::milliseconds(100);
 
-// So long after its last sign, trouble may be over for as long as every VM must
-// be informed in time again (three seconds), and one call.
-constexpr Duration kTroubleLasts = std::chrono::milliseconds(1800);
+// How long the store counts as degraded after the last sign of it. Together
+// with one call this is below the three seconds within which every VM must be
+// up to date again.
+constexpr Duration kDegradedPeriod = std::chrono::milliseconds(1800);
 
-// After the last new record, others may follow for about as long as the VMs of
-// a fleet take to start.
-constexpr Duration kBusyLasts = std::chrono::milliseconds(1000);
+// How long a topic counts as busy after a new record: about as long as the VMs
+// of a fleet take to start.
+constexpr Duration kBusyPeriod = std::chrono::milliseconds(1000);
 
 }  // namespace
 
@@ -62,39 +65,39 @@
   call.after = this->after;
   call.from = this->from;
   call.max_bytes = this->read_bytes;
-  if (this->AsksPeers()) {
+  if (this->ShouldAskPeer()) {
     call.kind = TopicCallKind::kAskPeer;
   }
-  if (call.kind == TopicCallKind::kReadOn && this->Holds()) {
+  if (call.kind == TopicCallKind::kReadOn && this->CanHoldRead()) {
     call.hold = this->options.hold;
   }
   return call;
 }
 
-// Failure: all VMs of a large fleet hear nothing for a moment, and each reads
-// what it has missed. Together they ask for many times what the store can give,
-// so that no answer is in time; each asks again, by now for more, and the store
-// does nothing else until the fleet is stopped. It shows as calls that run into
-// their time-out on every VM, for good.
-bool TopicFollower::AsksPeers() const {
+// Failure: no VM of a large fleet receives an update for a moment, and each
+// reads what it has missed. Together the reads exceed what the store can serve,
+// so every call times out; each VM retries, by then for more records, and the
+// store stays overloaded until the fleet is stopped.
+bool TopicFollower::ShouldAskPeer() const {
   return this->options.is_bulk && !this->listing && this->has_peers &&
-         !this->peers_declined && this->peers_asked < kPeersAsked;
+         !this->peers_declined && this->peers_asked < kMaxPeersAsked;
 }
 
 void TopicFollower::OnAskedPeer(TimePoint now) {
   ++this->peers_asked;
-  this->next_at = now + kPeerTime;
+  this->next_at = now + kPeerTimeout;
 }
 
-// All of a data centre may be declined at once, so they read one after the
-// other. One whose peers say nothing at all is cut off, and reads soon.
+// All VMs of a data centre may be declined at once, so they read one after the
+// other. A VM whose peers do not answer at all is cut off, and reads after the
+// time-outs.
 void TopicFollower::OnPeerDeclined(TimePoint now) {
   if (this->peers_asked == 0 || this->peers_declined) {
     return;
   }
   this->peers_declined = true;
   const auto place = static_cast<int64_t>(this->rank);
-  this->next_at = now + std::min(kReaderGap * place, kMaxReaderWait);
+  this->next_at = now + std::min(kReaderStagger * place, kMaxReaderWait);
 }
 
 bool TopicFollower::is_fresh(TimePoint now) const {
@@ -102,24 +105,25 @@
          now - this->fresh_at <= this->options.max_silence;
 }
 
-// A call whose answer is lost is found out no later than without: it takes the
-// time that the VM would have waited before it.
-bool TopicFollower::Holds() const {
+// A held read does not delay the detection of a lost answer: the hold replaces
+// the pause that the VM would otherwise make before the read.
+bool TopicFollower::CanHoldRead() const {
   return this->options.hold > Duration(0) && this->rank == 0 &&
          this->available();
 }
 
-// Pages are not a snapshot: what is appended while they are read may be in
-// none of them. So reading goes on at once from the end as the first page had
-// it. A list of one page has missed nothing, and what comes after it is read or
-// heard of like anything else: a VM that starts makes no call for it.
+// The pages of a listing are not a snapshot: records appended while they are
+// read may be in none of them. So after several pages the VM reads at once from
+// the end offset of the first page. A listing of one page has missed nothing,
+// and later records arrive by a regular read or an update; this saves a
+// starting VM one call.
 bool TopicFollower::OnPage(TimePoint now,
                            uint64_t end,
                            bool more,
                            std::string last_key) {
   this->failures = 0;
   const bool is_snapshot = this->first_page && !more;
-  this->busy_until = now + kBusyLasts;
+  this->busy_until = now + kBusyPeriod;
   if (this->first_page) {
     this->from = end;
     this->settled_offset = end;
@@ -137,16 +141,17 @@
   }
   this->after.clear();
   this->listing = false;
-  this->whole = true;
+  this->listed_once = true;
   this->fresh_at = now;
-  if (is_snapshot && !this->Holds()) {
-    this->next_at = now + this->Patience(now);
+  if (is_snapshot && !this->CanHoldRead()) {
+    this->next_at = now + this->ReadDelay(now);
   }
   return true;
 }
 
-// A topic that grows by more than one read brings is read on at once: else the
-// VM that reads for all would fall back further and further.
+// If the topic grows by more than one read returns, the next read is due at
+// once; otherwise the VM that reads for the fleet would fall further and
+// further behind.
 void TopicFollower::OnRecords(TimePoint now, uint64_t next, uint64_t end) {
   this->failures = 0;
   this->read_bytes = std::min(2 * this->read_bytes, kMaxReadBytes);
@@ -159,48 +164,49 @@
   this->fresh_at = now;
   this->peers_asked = 0;
   this->peers_declined = false;
-  this->next_at = now + (this->Holds() ? kHoldPause : this->Patience(now));
+  this->next_at =
+      now + (this->CanHoldRead() ? kHoldPause : this->ReadDelay(now));
 }
 
 void TopicFollower::Advance(TimePoint now, uint64_t next) {
-  if (now - this->settling_since >= this->options.max_silence + kCallTime) {
+  if (now - this->settling_since >= this->options.max_silence + kMaxCallTime) {
     this->settled_offset = this->settling_offset;
     this->settling_offset = this->from;
     this->settling_since = now;
   }
-  if (now - this->retaining_since >= kRetained) {
+  if (now - this->retaining_since >= kRetention) {
     this->retained_offset = this->retaining_offset;
     this->retaining_offset = this->from;
     this->retaining_since = now;
   }
   if (next > this->from) {
-    this->busy_until = now + kBusyLasts;
+    this->busy_until = now + kBusyPeriod;
   }
   this->from = std::max(this->from, next);
 }
 
 uint64_t TopicFollower::BeginNews() {
   const uint64_t start =
-      std::max(this->settled_offset, this->told_twice_offset);
-  this->told_twice_offset = this->told_offset;
-  this->told_offset = this->from;
+      std::max(this->settled_offset, this->previous_sent_offset);
+  this->previous_sent_offset = this->sent_offset;
+  this->sent_offset = this->from;
   return start;
 }
 
-// Between the two, all in different places: the first ones far apart, since one
-// of them is to be heard before the next acts, the last ones close together,
-// since they hardly ever come to act.
-Duration TopicFollower::ByPlace(Duration first, Duration last) const {
+// Each rank gets a different delay. Those of the first ranks are far apart,
+// since an update of one must arrive before the next VM reads; those of the
+// last ranks are close together, since these VMs hardly ever read.
+Duration TopicFollower::ByRank(Duration first, Duration last) const {
   const auto place = static_cast<int64_t>(this->rank);
   const Duration room = std::max(Duration(0), last - first);
-  return first + room * place / (place + kHalfWay);
+  return first + room * place / (place + kHalfSpreadRank);
 }
 
-Duration TopicFollower::Patience(TimePoint now) const {
-  const Duration longest = now < this->trouble_until
+Duration TopicFollower::ReadDelay(TimePoint now) const {
+  const Duration longest = now < this->degraded_until
                                ? this->options.degraded_max_silence
                                : this->options.max_silence;
-  return this->ByPlace(this->Interval(now), longest);
+  return this->ByRank(this->Interval(now), longest);
 }
 
 Duration TopicFollower::Interval(TimePoint now) const {
@@ -213,10 +219,10 @@
   return is_busy ? given.busy_interval : given.interval;
 }
 
-// Old news, as a VM sends that was paused in between, says nothing of what is
-// the newest now, and does not count as a sign.
+// An old update, e.g. of a VM that was paused before it sent it, does not show
+// that there are no newer records, so it does not delay the next read.
 bool TopicFollower::OnNews(TimePoint now, uint64_t first, uint64_t next) {
-  if (!this->whole || this->listing || next < this->from) {
+  if (!this->listed_once || this->listing || next < this->from) {
     return false;
   }
   if (first > this->from) {
@@ -231,10 +237,10 @@
   if (this->options.is_bulk && this->has_peers) {
     this->failures = 0;
   }
-  // While the store does not answer this VM, hearing of it from others is as
-  // good, but does not end the retries: they tell whether it is back.
+  // While the store does not answer this VM, updates from others do not end its
+  // retries, which detect when the store is back.
   if (this->failures == 0) {
-    this->next_at = now + this->Patience(now);
+    this->next_at = now + this->ReadDelay(now);
   }
   return is_new;
 }
@@ -250,33 +256,34 @@
 void TopicFollower::OnFailed(TimePoint now) {
   this->next_at = now + this->RetryPause();
   ++this->failures;
-  this->trouble_until = now + kTroubleLasts;
+  this->degraded_until = now + kDegradedPeriod;
   this->read_bytes = kMinReadBytes;
   this->peers_asked = 0;
   this->peers_declined = false;
 }
 
-// A list goes on after the last page that came. Begun anew, a long one would
-// never end while the store has much to do.
+// After a failure a listing continues after the last page received. Restarted
+// from the beginning, a long one would never end while the store is overloaded.
 //
-// Failure: the store is down for all, and each of a hundred VMs asks it some
-// times a second. It shows as thousands of refused calls. The first VMs find
-// out soon enough for all that the store is back, and tell them; one that
-// nobody can tell still finds out before it must know.
+// Failure: the store is down, and each of a hundred VMs retries some times a
+// second, which makes thousands of refused calls. So VMs of higher rank retry
+// less often: the first VMs detect early enough for the fleet that the store is
+// back, and send updates to the others; a VM that receives none still detects
+// it within its bound.
 Duration TopicFollower::RetryPause() const {
   const auto doubled = int64_t{1} << std::min(this->failures, kMaxDoublings);
-  if (!this->whole) {
+  if (!this->listed_once) {
     return std::min(this->options.retry_min * doubled, this->options.retry_max);
   }
   const auto place = static_cast<int64_t>(this->rank);
   return std::min(this->options.retry_min * doubled * (1 + place),
-                  this->ByPlace(this->options.retry_max,
-                                this->options.degraded_max_silence));
+                  this->ByRank(this->options.retry_max,
+                               this->options.degraded_max_silence));
 }
 
 void TopicFollower::OnCallLatency(TimePoint now, Duration took) {
-  if (took >= kSlowCall) {
-    this->trouble_until = now + kTroubleLasts;
+  if (took >= kSlowCallThreshold) {
+    this->degraded_until = now + kDegradedPeriod;
   }
 }
 
--- a/packages/decision/src/topic_records.cc
+++ b/packages/decision/src/topic_records.cc
@@ -7,9 +7,9 @@
 namespace basilsill {
 namespace {
 
-// Records that are kept to be told; more than come within the time in which
-// all VMs hear of them, also when all upstreams change at once.
-constexpr size_t kMaxUntold = 4096;
+// Number of recent records kept: more than arrive within the time in which an
+// update reaches all VMs, also when all upstreams change at once.
+constexpr size_t kMaxRecent = 4096;
 
 }  // namespace
 
@@ -40,11 +40,12 @@
   }
 }
 
-// Failure: the store drops its history, and with it the record that took a key
-// away. This VM lists the topic and learns that it is gone, but keeps the key's
-// last record and tells it to every VM that starts. It shows as new VMs that
-// serve by what was taken away. A listing that has ended already, as one does
-// when another VM told the whole topic meanwhile, takes nothing away again.
+// Failure: the store drops its history, including the record that removed a
+// key. This VM lists the topic and no longer serves by the key, but keeps its
+// last record and sends it to every starting VM, which then serves by a removed
+// key. So a key that is missing from a listing is erased here too. A second
+// EndListing, which happens if another VM sent the whole topic meanwhile,
+// erases nothing.
 void TopicRecords::EndListing() {
   if (!std::exchange(this->listing, false)) {
     return;
@@ -55,7 +56,7 @@
 }
 
 void TopicRecords::AddRecent(const KeyedRecord& record) {
-  if (this->recent.size() == kMaxUntold) {
+  if (this->recent.size() == kMaxRecent) {
     this->complete_from =
         std::max(this->complete_from, this->recent.front().offset + 1);
     this->recent.pop_front();
@@ -70,10 +71,9 @@
   });
 }
 
-// Failure: a key changes ten times between two news, each time by 15 KB, and
-// all ten go to every VM, though the last is all that counts. It shows as
-// octets between data centres that rise tenfold while configurations come in
-// quick succession.
+// Failure: a key changes ten times between two updates, 15 KB each, and all ten
+// records go to every VM although only the last one counts. The traffic between
+// data centres rises tenfold while configurations change in quick succession.
 std::vector<KeyedRecord> TopicRecords::RecentFrom(uint64_t start) const {
   std::map<std::string_view, uint64_t> last;
   for (const KeyedRecord& record : this->recent) {
--- a/packages/decision/src/upstream_registry.cc
+++ b/packages/decision/src/upstream_registry.cc
@@ -9,11 +9,11 @@
 namespace basilsill {
 namespace {
 
-// Starts that are remembered; more than an installation has upstreams, and
-// twice over.
+// Number of ids whose latest start is remembered: twice the number of upstreams
+// that an installation may have.
 constexpr size_t kMaxKnownStarts = 2 * limits::kMaxUpstreams;
 
-bool TellsStart(const RegisteredUpstream& entry) {
+bool HasStartTime(const RegisteredUpstream& entry) {
   return entry.started > std::chrono::milliseconds(0);
 }
 
@@ -32,55 +32,56 @@
     return EntryResult::kOutdated;
   }
   const auto known = this->entries.find(entry.id);
-  if (known != this->entries.end() && !TellsStart(entry)) {
+  if (known != this->entries.end() && !HasStartTime(entry)) {
     entry.started = known->second.entry.started;
   }
   if (known != this->entries.end() && offset < known->second.offset) {
     return EntryResult::kOutdated;
   }
-  this->NoteStart(entry);
+  this->RecordStart(entry);
   const bool starts_again = known != this->entries.end() &&
                             entry.started != known->second.entry.started;
-  // Nothing of the older start holds for the younger one: neither that it
-  // leaves nor that its entry lapsed nor how long it is cold.
+  // A later start inherits nothing from the earlier one: neither leaving, nor a
+  // deferred removal, nor the cold period.
   if (starts_again) {
-    this->TakeOut(known);
+    this->RemoveRow(known);
   }
   const auto [place, is_new] = this->entries.try_emplace(entry.id);
   Row& row = place->second;
   const TimePoint warm_at = now + entry.cold_for;
   const bool cold = entry.cold_for > std::chrono::milliseconds(0);
-  // Renewals say the same again, but for how long it stays cold.
+  // Renewals differ only in the remaining cold period, which must not count as
+  // a change.
   entry.cold_for = std::chrono::milliseconds(0);
   const bool changed = is_new || cold != row.cold || !(entry == row.entry);
-  const bool had_lapsed = row.lapsed;
+  const bool had_lapsed = row.removal_pending;
   const bool begins_to_leave = entry.leaving && (is_new || !row.entry.leaving);
   const bool moved = !is_new && !(entry.endpoint == row.entry.endpoint);
   if (!is_new && changed) {
-    this->Touch(row);
+    this->MarkSetChanged(row);
   }
   if (moved) {
-    this->LeaveEndpoint(entry.id, row.entry.endpoint);
+    this->RemoveFromEndpoint(entry.id, row.entry.endpoint);
   }
   row.entry = std::move(entry);
   row.offset = offset;
   row.cold = cold;
   row.warm_at = warm_at;
-  row.lapsed = false;
+  row.removal_pending = false;
   if (changed) {
-    this->Touch(row);
+    this->MarkSetChanged(row);
   }
-  this->Place(row.entry.id, row.entry.endpoint);
+  this->AddToEndpoint(row.entry.id, row.entry.endpoint);
   if (is_new) {
-    this->AddNews(starts_again ? UpstreamTransitionKind::kStartedAgain
-                               : UpstreamTransitionKind::kListed,
-                  row);
+    this->AddTransition(starts_again ? UpstreamTransitionKind::kStartedAgain
+                                     : UpstreamTransitionKind::kListed,
+                        row);
   }
   if (had_lapsed) {
-    this->AddNews(UpstreamTransitionKind::kBack, row);
+    this->AddTransition(UpstreamTransitionKind::kBack, row);
   }
   if (begins_to_leave) {
-    this->AddNews(UpstreamTransitionKind::kLeaving, row);
+    this->AddTransition(UpstreamTransitionKind::kLeaving, row);
   }
   return changed || had_lapsed ? EntryResult::kNew : EntryResult::kRenewal;
 }
@@ -91,51 +92,53 @@
   }
 }
 
-// Failure: the last words of a start that died arrive after those of the next
-// one, from a store that carries a write out late or by way of another VM.
-// Taken, they would put its address and its leaving in the place of the
-// younger one's. It shows as an upstream that gets no work, or work at an
-// address where nobody is.
+// Failure: the last entry of a start that died arrives after that of the next
+// start, because the store carries out a write late or another VM forwards it.
+// If it were applied, the upstream would get the address and the leaving state
+// of the dead start, and so no work, or work at an address where nothing
+// listens.
 bool UpstreamRegistry::IsOlderStart(const RegisteredUpstream& entry) const {
-  const auto youngest = this->youngest_starts.find(entry.id);
-  return TellsStart(entry) && youngest != this->youngest_starts.end() &&
-         entry.started < youngest->second;
+  const auto latest = this->latest_starts.find(entry.id);
+  return HasStartTime(entry) && latest != this->latest_starts.end() &&
+         entry.started < latest->second;
 }
 
-// Kept also when the entry has gone, or the words of an older start would list
-// it anew. Bounded: one that is dropped was the longest without a start.
-void UpstreamRegistry::NoteStart(const RegisteredUpstream& entry) {
-  if (!TellsStart(entry)) {
+// Starts are remembered also after the entry is removed; otherwise a late entry
+// of an earlier start would list the upstream again. The number is bounded: the
+// id that was recorded first is evicted.
+void UpstreamRegistry::RecordStart(const RegisteredUpstream& entry) {
+  if (!HasStartTime(entry)) {
     return;
   }
   const auto [place, is_new] =
-      this->youngest_starts.insert_or_assign(entry.id, entry.started);
+      this->latest_starts.insert_or_assign(entry.id, entry.started);
   if (!is_new) {
     return;
   }
   this->starts_in_order.push_back(entry.id);
   if (this->starts_in_order.size() > kMaxKnownStarts) {
-    this->youngest_starts.erase(this->starts_in_order.front());
+    this->latest_starts.erase(this->starts_in_order.front());
     this->starts_in_order.pop_front();
   }
 }
 
-void UpstreamRegistry::TakeOut(Rows::iterator row) {
-  this->Touch(row->second);
-  this->LeaveEndpoint(row->first, row->second.entry.endpoint);
+void UpstreamRegistry::RemoveRow(Rows::iterator row) {
+  this->MarkSetChanged(row->second);
+  this->RemoveFromEndpoint(row->first, row->second.entry.endpoint);
   this->entries.erase(row);
 }
 
-void UpstreamRegistry::AddNews(UpstreamTransitionKind transition_kind,
-                               const Row& row) {
-  if (this->was_listed) {
-    this->news.push_back({transition_kind, row.entry.id, row.entry.service,
-                          row.entry.endpoint, row.offset});
+void UpstreamRegistry::AddTransition(UpstreamTransitionKind transition_kind,
+                                     const Row& row) {
+  if (this->first_listing_done) {
+    this->transitions.push_back({transition_kind, row.entry.id,
+                                 row.entry.service, row.entry.endpoint,
+                                 row.offset});
   }
 }
 
 std::vector<UpstreamTransition> UpstreamRegistry::TakeNews() {
-  return std::exchange(this->news, {});
+  return std::exchange(this->transitions, {});
 }
 
 void UpstreamRegistry::OnRemoved(TimePoint now,
@@ -146,12 +149,13 @@
     return;
   }
   found->second.offset = offset;
-  // One that said that it leaves has not merely lapsed.
-  if (this->Doubts(now) && !found->second.entry.leaving) {
-    if (!found->second.lapsed) {
-      this->AddNews(UpstreamTransitionKind::kDoubted, found->second);
+  // An upstream that announced its leaving has not merely expired, so its
+  // removal is not deferred.
+  if (this->DefersRemovals(now) && !found->second.entry.leaving) {
+    if (!found->second.removal_pending) {
+      this->AddTransition(UpstreamTransitionKind::kDoubted, found->second);
     }
-    found->second.lapsed = true;
+    found->second.removal_pending = true;
     return;
   }
   this->Erase(id);
@@ -162,8 +166,8 @@
   this->listed.clear();
 }
 
-// One that has ended already, as when another VM told the whole topic while
-// this VM's own list was on its way, takes nothing away again.
+// A second EndListing has no effect. It happens if another VM sent the whole
+// topic, which ended the listing, while this VM's own listing was in flight.
 void UpstreamRegistry::EndListing(TimePoint now) {
   if (!std::exchange(this->listing, false)) {
     return;
@@ -177,7 +181,7 @@
   for (const std::string& id : missing) {
     this->OnRemoved(now, this->entries.find(id)->second.offset, id);
   }
-  this->was_listed = true;
+  this->first_listing_done = true;
 }
 
 void UpstreamRegistry::OnPlatformLost() {
@@ -187,12 +191,12 @@
 void UpstreamRegistry::OnPlatformBack(TimePoint now) {
   if (this->platform_lost) {
     this->platform_lost = false;
-    this->doubt_until = now + this->options.restore_time;
+    this->defer_removals_until = now + this->options.restore_time;
   }
 }
 
-bool UpstreamRegistry::Doubts(TimePoint now) const {
-  return this->platform_lost || now < this->doubt_until;
+bool UpstreamRegistry::DefersRemovals(TimePoint now) const {
+  return this->platform_lost || now < this->defer_removals_until;
 }
 
 void UpstreamRegistry::Tick(TimePoint now) {
@@ -200,9 +204,9 @@
   for (auto& [id, row] : this->entries) {
     if (row.cold && row.warm_at <= now) {
       row.cold = false;
-      this->Touch(row);
+      this->MarkSetChanged(row);
     }
-    if (row.lapsed && !this->Doubts(now)) {
+    if (row.removal_pending && !this->DefersRemovals(now)) {
       gone.push_back(id);
     }
   }
@@ -213,33 +217,34 @@
 
 void UpstreamRegistry::Erase(std::string_view id) {
   const auto found = this->entries.find(id);
-  this->AddNews(UpstreamTransitionKind::kGone, found->second);
-  this->TakeOut(found);
+  this->AddTransition(UpstreamTransitionKind::kGone, found->second);
+  this->RemoveRow(found);
 }
 
-// The entry `id` is at `endpoint`, newly or still.
-void UpstreamRegistry::Place(const std::string& id, const Endpoint& endpoint) {
-  std::set<std::string>& ids = this->at_endpoint[ToString(endpoint)];
+// Records that the entry `id` is at `endpoint`; it may be recorded already.
+void UpstreamRegistry::AddToEndpoint(const std::string& id,
+                                     const Endpoint& endpoint) {
+  std::set<std::string>& ids = this->ids_by_endpoint[ToString(endpoint)];
   ids.insert(id);
   this->MarkShadowed(ids);
 }
 
-void UpstreamRegistry::LeaveEndpoint(const std::string& id,
-                                     const Endpoint& endpoint) {
-  const auto found = this->at_endpoint.find(ToString(endpoint));
+void UpstreamRegistry::RemoveFromEndpoint(const std::string& id,
+                                          const Endpoint& endpoint) {
+  const auto found = this->ids_by_endpoint.find(ToString(endpoint));
   found->second.erase(id);
   if (found->second.empty()) {
-    this->at_endpoint.erase(found);
+    this->ids_by_endpoint.erase(found);
     return;
   }
   this->MarkShadowed(found->second);
 }
 
-// The platform gives the address of an instance that has ended to another one,
-// whose entry can come before the old one's removal. A request sent there for
-// the old one would only be turned away. Renewals count too: of two that claim
-// an address the one that goes on claiming it is there, whatever came in which
-// order, so that all VMs come to the same.
+// The platform may reuse the address of a terminated instance before the old
+// entry is removed. A request for the old upstream would be rejected there.
+// Renewals count too: of two entries with one address the one that is still
+// renewed is the live one, in whatever order they arrive, so that all VMs reach
+// the same result.
 void UpstreamRegistry::MarkShadowed(const std::set<std::string>& ids) {
   uint64_t newest = 0;
   for (const std::string& id : ids) {
@@ -250,18 +255,18 @@
     const bool shadowed = row.offset < newest;
     if (shadowed != row.shadowed) {
       row.shadowed = shadowed;
-      this->Touch(row);
+      this->MarkSetChanged(row);
     }
   }
 }
 
-std::set<UpstreamSetKey> UpstreamRegistry::TakeTouched() {
-  return std::exchange(this->touched, {});
+std::set<UpstreamSetKey> UpstreamRegistry::TakeChangedSets() {
+  return std::exchange(this->changed_sets, {});
 }
 
-void UpstreamRegistry::Touch(const Row& row) {
+void UpstreamRegistry::MarkSetChanged(const Row& row) {
   ++this->changes;
-  this->touched.insert({row.entry.service, row.entry.data_centre});
+  this->changed_sets.insert({row.entry.service, row.entry.data_centre});
 }
 
 }  // namespace basilsill
