--- a/packages/decision/include/basilsill/decision/declared_configuration.h
+++ b/packages/decision/include/basilsill/decision/declared_configuration.h
@@ -33,8 +33,7 @@
   std::string host;         ///< Lower case.
   std::string path_prefix;  ///< Begins and ends with a slash.
   RouteKind kind = RouteKind::kUnsafe;
-  std::vector<ServiceShare>
-      services;  ///< One service, or several for a traffic split.
+  std::vector<ServiceShare> services;  ///< Several for a traffic split.
   std::chrono::milliseconds timeout{0};
   std::chrono::milliseconds target_latency{0};
   uint8_t max_attempts = 1;
@@ -67,8 +66,7 @@
 
 /// All inputs that declare an installation.
 struct DeclaredSources {
-  const DeclaredConfiguration&
-      configuration;  ///< Must have passed CheckDeclared.
+  const DeclaredConfiguration& configuration;  ///< Passed CheckDeclared.
   UpstreamRegistry& upstreams;
   const DataCentreDrains& drains;
 };
--- a/packages/decision/include/basilsill/decision/upstream_registry.h
+++ b/packages/decision/include/basilsill/decision/upstream_registry.h
@@ -59,8 +59,10 @@
   kListed,        ///< A new upstream.
   kStartedAgain,  ///< A later start of a known upstream.
   kLeaving,       ///< The upstream announced that it is leaving.
-  kDoubted,  ///< Removed while the platform was unreachable; not in effect yet.
-  kBack,     ///< Listed again after kDoubted.
+  /// Removed while the platform was unreachable or had just come back; the
+  /// removal is deferred.
+  kDoubted,
+  kBack,  ///< Listed again after kDoubted.
   kGone,
   kCount
 };
--- a/packages/decision/test/data_centre_drains_test.cc
+++ b/packages/decision/test/data_centre_drains_test.cc
@@ -1,4 +1,4 @@
-// Tests of which data centres the operator drains.
+// Tests of the drain state of data centres.
 
 #include "basilsill/decision/data_centre_drains.h"
 
@@ -21,7 +21,7 @@
   }
 };
 
-TEST(DataCentreDrains, Record_OfTwoDataCentres_BothDrained) {
+TEST(DataCentreDrains, Record_OfTwoDataCentres_DrainsBoth) {
   CHECK(this->drains.OnRecord(4, "lyulin", true));
   CHECK(this->drains.OnRecord(7, "druzhba", true));
   CHECK(this->IsDrained("lyulin"));
@@ -31,27 +31,29 @@
   CHECK(this->IsDrained("druzhba"));
 }
 
-// A data centre is taken back and drained again within a second, and its
-// records arrive by two ways, in another order. The last one written counts.
-TEST(DataCentreDrains, Record_TakenBackAndDrainedAgain_LastWordCounts) {
+// Failure: a drain is ended and started again within a second, and the records
+// arrive over two paths in another order. The record with the highest offset
+// must count.
+TEST(DataCentreDrains, Record_DrainEndedAndRestarted_HighestOffsetCounts) {
   this->drains.OnRecord(4, "lyulin", true);
   this->drains.OnRecord(6, "lyulin", true);
   CHECK_FALSE(this->drains.OnRecord(5, "lyulin", false));
   CHECK(this->IsDrained("lyulin"));
 }
 
-// A VM tells the record that had drained a data centre to one that has heard of
-// the taking back already. Taken, it would keep work away for good.
-TEST(DataCentreDrains, Record_OlderThanTheTakingBack_ChangesNothing) {
+// Failure: after the drain has ended, another VM sends the older record that
+// had started it. If it were applied, the data centre would stay without work.
+TEST(DataCentreDrains, Record_OlderThanEndOfDrain_ChangesNothing) {
   this->drains.OnRecord(4, "lyulin", true);
   this->drains.OnRecord(5, "lyulin", false);
   CHECK_FALSE(this->drains.OnRecord(4, "lyulin", true));
   CHECK_FALSE(this->IsDrained("lyulin"));
 }
 
-// The store drops its history while nobody reads, and with it the record that
-// took a data centre back. Only a whole list shows that it is gone.
-TEST(DataCentreDrains, Listing_WithoutTheRecord_TakenBack) {
+// Failure: the store drops its history, including the record that ended a
+// drain, before this VM reads it. Only a complete listing shows that the drain
+// has ended.
+TEST(DataCentreDrains, Listing_WithoutRecord_EndsDrain) {
   this->drains.OnRecord(4, "lyulin", true);
   this->drains.OnRecord(5, "druzhba", true);
   this->drains.BeginListing();
@@ -63,8 +65,9 @@
   CHECK(this->drains.OnRecord(8, "lyulin", true));
 }
 
-// A call for a page of the list fails, and the list is read from its start.
-TEST(DataCentreDrains, Listing_BegunAnew_OnlyTheWholeOneCounts) {
+// Failure: a call for a page fails, and the listing restarts from its
+// beginning. Only the completed listing may change the drains.
+TEST(DataCentreDrains, Listing_Restarted_OnlyCompleteListingCounts) {
   this->drains.OnRecord(4, "lyulin", true);
   this->drains.BeginListing();
   CHECK(this->IsDrained("lyulin"));
@@ -74,10 +77,11 @@
   CHECK(this->IsDrained("lyulin"));
 }
 
-// A VM that starts lists the topic, and is told it whole by another VM before
-// its own list comes. That list has a record more, and ends a listing that has
-// ended already: taken back then, work would go to a drained data centre.
-TEST(DataCentreDrains, Listing_EndedTwice_LaterRecordStays) {
+// Failure: another VM sends the whole topic to a starting VM while its own
+// listing is in flight. The answer of that listing contains a later record and
+// ends the listing a second time; if that ended a drain, work would go to a
+// drained data centre.
+TEST(DataCentreDrains, Listing_EndedTwice_KeepsLaterRecord) {
   this->drains.BeginListing();
   this->drains.BeginListing();
   this->drains.OnRecord(4, "lyulin", true);
@@ -89,7 +93,7 @@
   CHECK(this->IsDrained("druzhba"));
 }
 
-TEST(DataCentreDrains, Version_SaysWhatIsKnown_Unchanged) {
+TEST(DataCentreDrains, Version_RecordRepeatsKnownState_Unchanged) {
   this->drains.OnRecord(4, "lyulin", true);
   const uint64_t version = this->drains.version();
   this->drains.OnRecord(4, "lyulin", true);
@@ -98,8 +102,8 @@
   CHECK_EQUAL(version, this->drains.version());
 }
 
-// Names come from another writer's keys, which nobody bounds.
-TEST(DataCentreDrains, Record_MoreNamesThanFit_DrainedOnesAreKept) {
+// Names come from keys of another writer, whose number is unbounded.
+TEST(DataCentreDrains, Record_MoreNamesThanCapacity_KeepsDrainedOnes) {
   this->drains.OnRecord(1, "lyulin", true);
   for (uint64_t i = 0; i < 10 * basilsill::limits::kMaxDataCentres; ++i) {
     this->drains.OnRecord(2 + i, "dc-" + std::to_string(i), i % 2 == 0);
@@ -108,12 +112,12 @@
   CHECK(this->drains.drained().size() <= basilsill::limits::kMaxDataCentres);
 }
 
-// Whatever order records come in, and however often: once all of them have
-// come, what stands last in the store is what is believed.
-TEST(DataCentreDrains, RandomHistory_AllRecordsSeen_EndsAsTheStoreHasIt) {
+// Records arrive in any order and any number of times. Once the last one has
+// arrived, the state must be that of the last record in the store.
+TEST(DataCentreDrains, RandomHistory_AllRecordsSeen_MatchesStore) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     pcg32 random(seed);
-    DataCentreDrains told;
+    DataCentreDrains receiver;
     bool last = false;
     const uint64_t end = 1 + random(12);
     std::vector<bool> written;
@@ -123,10 +127,10 @@
     }
     for (int i = 0; i < 100; ++i) {
       const uint64_t offset = random(static_cast<uint32_t>(end));
-      told.OnRecord(offset, "lyulin", written[offset]);
+      receiver.OnRecord(offset, "lyulin", written[offset]);
     }
-    told.OnRecord(end - 1, "lyulin", last);
-    CHECK_EQUAL_TEXT(last, told.drained().contains("lyulin"),
+    receiver.OnRecord(end - 1, "lyulin", last);
+    CHECK_EQUAL_TEXT(last, receiver.drained().contains("lyulin"),
                      std::to_string(seed).c_str());
   }
 }
--- a/packages/decision/test/declared_configuration_test.cc
+++ b/packages/decision/test/declared_configuration_test.cc
@@ -1,4 +1,4 @@
-// Tests of the state that is made of a configuration declared whole.
+// Tests of the state that is built from a declared configuration.
 
 #include "basilsill/decision/declared_configuration.h"
 
@@ -95,7 +95,7 @@
   }
 };
 
-TEST(DeclaredConfiguration, Build_Routes_CarryWhatTheyDeclare) {
+TEST(DeclaredConfiguration, Build_Routes_HaveDeclaredProperties) {
   const RoutingViewPtr view = this->Build();
   const RuleRow* levels = this->Match(view, "/levels/7");
   CHECK(levels != nullptr);
@@ -117,9 +117,9 @@
   CHECK(this->Match(view, "/level") == nullptr);
 }
 
-// An upstream restarts at its old address. What was learnt of the first one,
-// its pauses and its load, must not stick to the second.
-TEST(DeclaredConfiguration, Build_SameAddressOtherId_IsAnotherUpstream) {
+// Failure: an upstream is replaced by another one at the same address.
+// Pauses and load recorded for the first must not apply to the second.
+TEST(DeclaredConfiguration, Build_SameAddressOtherId_GetsNewHandle) {
   this->AddUpstream("a", 80);
   const auto before = this->Build()->services[0]->upstreams.at(0);
   this->registry.OnRemoved(TimePoint(2s), 81, "a");
@@ -136,7 +136,7 @@
   CHECK(IncarnationOf(*view->services[0], after).id == "b");
 }
 
-TEST(DeclaredConfiguration, Build_SomethingElseChanged_KeepsHandles) {
+TEST(DeclaredConfiguration, Build_OtherUpstreamAdded_KeepsHandles) {
   this->AddUpstream("a", 80);
   const auto before = this->Build()->services[0]->upstreams.at(0).handle;
   this->AddUpstream("b", 81);
@@ -146,7 +146,8 @@
   CHECK(row.upstreams[0].handle == before);
 }
 
-TEST(DeclaredConfiguration, Check_RouteToNoService_SaysSo) {
+TEST(DeclaredConfiguration,
+     Check_RouteToUnknownService_ReportsDanglingReference) {
   this->configuration.routes[0].services = {{"nothing", 1}};
   const auto failures = CheckDeclared(this->configuration);
   CHECK_EQUAL(1, failures.size());
@@ -155,10 +156,9 @@
 
 namespace {
 
-/// All sets as text, without their versions.
-// The operator drains a data centre, and then takes it back: upstreams there
-// show it, and others that came meanwhile as well.
-TEST(DeclaredConfiguration, Drains_OfADataCentre_ShownByItsUpstreams) {
+// The operator drains a data centre and then ends the drain. The upstreams
+// there must reflect it, including one that was listed in between.
+TEST(DeclaredConfiguration, Drains_OfDataCentre_ApplyToItsUpstreams) {
   DeclaredState declared;
   this->AddUpstream("i-1", 1);
   declared.Update(this->Sources());
@@ -183,8 +183,9 @@
   CHECK_FALSE(view->services[0]->upstreams[0].drained);
 }
 
-// A new version of the configuration comes while a data centre is drained.
-TEST(DeclaredConfiguration, Drains_BesideANewConfiguration_StayInForce) {
+// Failure: a new version of the configuration arrives while a data centre is
+// drained, and the rebuilt state loses the drain.
+TEST(DeclaredConfiguration, Drains_NewConfiguration_StayInForce) {
   DeclaredState declared;
   this->AddUpstream("i-1", 1);
   this->drains.OnRecord(3, "lyulin", true);
@@ -196,6 +197,7 @@
   CHECK(view->services[0]->upstreams[0].drained);
 }
 
+/// @returns all upstream sets as text, without their versions.
 std::string SetsOf(const DeclaredState& declared) {
   std::string text;
   for (const auto& [name, entry] :
@@ -218,9 +220,9 @@
 
 }  // namespace
 
-// Entries come, change, move and go for long. What is brought up to date step
-// by step must be what is made at once.
-TEST(DeclaredConfiguration, Update_StepByStep_IsAsMadeAtOnce) {
+// Entries are added, changed, moved and removed at random. The state updated
+// step by step must equal one built from scratch.
+TEST(DeclaredConfiguration, Update_StepByStep_EqualsFullBuild) {
   DeclaredState declared;
   pcg32 random(1);
   for (uint64_t step = 1; step < 2000; ++step) {
@@ -239,17 +241,17 @@
     this->configuration.version += random() % 50 == 0 ? 1 : 0;
     if (random() % 3 == 0) {
       declared.Update(this->Sources());
-      UpstreamRegistry same = this->registry;
-      DeclaredState at_once;
-      at_once.Update({this->configuration, same, this->drains});
-      STRCMP_EQUAL(SetsOf(at_once).c_str(), SetsOf(declared).c_str());
+      UpstreamRegistry registry_copy = this->registry;
+      DeclaredState full_build;
+      full_build.Update({this->configuration, registry_copy, this->drains});
+      STRCMP_EQUAL(SetsOf(full_build).c_str(), SetsOf(declared).c_str());
     }
   }
 }
 
-// One of 40 sets changes; the versions of all others stay, so that a view
-// shares what it had of them.
-TEST(DeclaredConfiguration, Update_OneUpstreamChanged_OtherSetsStay) {
+// One of two sets changes. The version of the other must stay, so that views
+// share the unchanged set.
+TEST(DeclaredConfiguration, Update_OneUpstreamChanged_OtherSetsKeepVersion) {
   DeclaredState declared;
   this->AddUpstream("a", 1);
   RegisteredUpstream other;
@@ -270,9 +272,10 @@
   CHECK(changed != version("banklevel in lyulin"));
 }
 
-// A VM is told all upstreams by another one while its own list is on its way,
-// which has one more and ends the listing a second time.
-TEST(DeclaredConfiguration, Listing_EndedTwice_LaterUpstreamStays) {
+// Failure: another VM sends all upstreams while this VM's own listing is in
+// flight. The answer of that listing contains a later upstream and ends the
+// listing a second time, which must not remove it.
+TEST(DeclaredConfiguration, Listing_EndedTwice_KeepsLaterUpstream) {
   this->registry.BeginListing();
   this->AddUpstream("i-1", 1);
   this->registry.EndListing(TimePoint(1s));
@@ -281,9 +284,9 @@
   CHECK_EQUAL(2, this->registry.rows().size());
 }
 
-// Each VM tells all its peers of each upstream that changes.
-TEST(DeclaredConfiguration,
-     AppliesMore_AnUpstreamChanges_OnlyForConfigurations) {
+// Failure: VMs announce each change of an upstream to all their peers. They
+// must announce only new configurations.
+TEST(DeclaredConfiguration, AppliesMore_UpstreamChanged_IsFalse) {
   DeclaredState declared;
   const auto build = [&] {
     declared.Update(this->Sources());
@@ -300,7 +303,7 @@
   CHECK(AppliesMore(second.get(), *build()));
 }
 
-TEST(DeclaredConfiguration, Build_Teams_CarryKeysQuotasAndClasses) {
+TEST(DeclaredConfiguration, Build_Teams_HaveKeysQuotasAndClasses) {
   basilsill::DeclaredTeam team;
   team.name = "drivers";
   team.api_keys = {basilsill::DigestApiKey("k-1")};
@@ -319,7 +322,7 @@
   CHECK(view->rules[0].requires_api_key != view->rules[1].requires_api_key);
 }
 
-TEST(DeclaredConfiguration, Check_TeamOrKeyTwice_IsAFailure) {
+TEST(DeclaredConfiguration, Check_DuplicateTeamOrKey_Fails) {
   const auto key = basilsill::DigestApiKey("k-1");
   this->configuration.teams = {{"a", {key}, {}, 0, 0}, {"b", {key}, {}, 0, 0}};
   CHECK_EQUAL(1, CheckDeclared(this->configuration).size());
--- a/packages/decision/test/membership_test.cc
+++ b/packages/decision/test/membership_test.cc
@@ -1,5 +1,6 @@
-// Membership: the lagging VM list against own evidence, incarnations,
-// suspicion and damping, and random schedules of restarts and losses.
+// Tests of Membership: a lagging VM list combined with own observations,
+// incarnations, suspicion and damping, and random schedules of restarts and
+// message loss.
 
 #include "basilsill/decision/membership.h"
 
@@ -83,7 +84,7 @@
     this->members->SetNeeds(this->now, {{vm, PeerUse::kShard}});
   }
 
-  /// Lets time pass in ticks; `vm` answers heartbeats if `answers`.
+  /// Advances time in ticks; `vm` answers heartbeats if `answers`.
   void Pass(Duration span, VmHandle vm, bool answers) {
     const TimePoint end = this->now + span;
     while (this->now < end) {
@@ -112,9 +113,10 @@
   CHECK_EQUAL(3, this->members->LiveCount());
 }
 
-// The platform's list comes back empty for a moment. VMs that work and are
-// heard must not vanish from the routing view; those never heard do.
-TEST(Membership, OnVmList_VmMissingButHeard_StaysUntilSilent) {
+// Failure: the platform returns an empty list for a moment. VMs from which
+// messages arrive must stay in the routing view; those without messages are
+// removed.
+TEST(Membership, OnVmList_ActiveVmMissing_StaysUntilSilent) {
   const VmHandle a = this->Connect("a", 7);
   this->Need(a);
   this->members->OnVmList(this->now, 6, {});
@@ -126,10 +128,10 @@
   CHECK(RowNamed(*this->members, "a") == nullptr);
 }
 
-// A node is restarted under the same address. A message that the old process
-// had sent, and its hello over a link that was slow to open, arrive after the
-// new process is known: both must do nothing.
-TEST(Membership, OnHello_NodeRestarted_OldIncarnationDoesNothing) {
+// Failure: a node restarts under the same address. A message of the old
+// process, and its hello over a link that was slow to open, arrive after the
+// hello of the new process; both must have no effect.
+TEST(Membership, OnHello_NodeRestarted_OldIncarnationHasNoEffect) {
   const VmHandle a = this->Connect("a", 7);
   CHECK(this->Connect("a", 8) == a);
   CHECK_FALSE(this->members->OnMessageReceived(this->now, a, 7));
@@ -144,9 +146,10 @@
         HelloVerdict::kSuperseded);
 }
 
-// A VM comes back with its clock set back, so that its incarnation is lower
-// than that of the process before, which died without a word.
-TEST(Membership, OnHello_LowerIncarnationAfterSilence_IsAccepted) {
+// Failure: a VM restarts with its clock set back, so that its incarnation is
+// lower than that of the previous process, which crashed. It must be able to
+// join.
+TEST(Membership, OnHello_LowerIncarnationAfterLinkLoss_IsAccepted) {
   const VmHandle a = this->Connect("a", 7);
   CHECK(this->members->OnHello(this->now, HelloOf("a", 3)).verdict ==
         HelloVerdict::kSuperseded);
@@ -154,9 +157,10 @@
   CHECK(this->Connect("a", 3) == a);
 }
 
-// The list says live while the VM itself said that it leaves, or the other
-// way round: it gets no new work. Its next incarnation starts afresh.
-TEST(Membership, State_LiveAndLeavingAtOnce_IsLeaving) {
+// The list shows the VM as live while the VM announced its leaving, or the
+// reverse: it must get no new work. Its next incarnation does not inherit the
+// state.
+TEST(Membership, State_ListAndVmDisagree_IsLeaving) {
   const VmHandle a = this->Connect("a", 7);
   this->members->OnLeaving(this->now, a, 7);
   CHECK(this->StateOf("a") == VmState::kLeaving);
@@ -166,9 +170,9 @@
   CHECK(this->StateOf("a") == VmState::kLeaving);
 }
 
-// A peer's host vanishes without closing its connections. Requests would go
-// on being sent there; after some silence it is skipped, and the link opened
-// anew until it answers.
+// Failure: a peer's host vanishes without closing its connections, and requests
+// would still be sent there. After some silence the peer must be suspected, and
+// the link reopened until the peer answers.
 TEST(Membership, Tick_NeededPeerSilent_SuspectedThenTrustedOnHello) {
   const VmHandle a = this->Connect("a", 7);
   this->Need(a);
@@ -176,7 +180,7 @@
   CHECK(this->StateOf("a") == VmState::kLive);
   this->Pass(milliseconds(3900), a, false);
   CHECK(this->StateOf("a") == VmState::kSuspected);
-  this->members->SetNeeds(this->now, {});  // It owns nothing any more.
+  this->members->SetNeeds(this->now, {});  // It no longer owns any shard.
   size_t drops = 0;
   size_t opens = 0;
   for (int i = 0; i < 100; ++i) {
@@ -190,7 +194,7 @@
   CHECK(this->StateOf("a") == VmState::kLive);
 }
 
-TEST(Membership, Tick_PeerNotNeeded_CostsNoHeartbeatAndNoLink) {
+TEST(Membership, Tick_PeerNotNeeded_NoHeartbeatAndNoLink) {
   const VmHandle a = this->Connect("a", 7);
   for (int i = 0; i < 50; ++i) {
     this->Pass(seconds(1), a, false);
@@ -199,9 +203,9 @@
   CHECK(this->StateOf("a") == VmState::kLive);
 }
 
-// A link breaks every two seconds and works in between. Its shards would move
-// to and fro with it; instead it stays suspected for longer and longer, until
-// it has been quiet.
+// Failure: a link breaks every two seconds and works in between, so that shards
+// move back and forth. The peer must stay suspected for an increasing time,
+// until the link is stable.
 TEST(Membership, OnLinkLost_FlappingLink_IsDamped) {
   const VmHandle a = this->Connect("a", 7);
   this->Need(a);
@@ -234,7 +238,7 @@
   CHECK(this->members->actions()[1].vm == b);
 }
 
-TEST(Membership, OnOpenFailed_AgainAndAgain_BacksOff) {
+TEST(Membership, OnOpenFailed_Repeatedly_BacksOff) {
   const VmHandle a = RowNamed(*this->members, "a")->handle;
   this->Need(a);
   size_t opens = 0;
@@ -259,7 +263,7 @@
   CHECK_FALSE(this->members->IsListStale());
 }
 
-TEST(Membership, Self_ListedLeavingOrLeaving_IsTold) {
+TEST(Membership, Self_ListedAsLeavingOrLeaving_IsReported) {
   this->members->OnVmList(this->now, 6, {ListedOf("self", true)});
   CHECK(this->members->SelfListedLeaving());
   CHECK(this->StateOf("self") == VmState::kLive);
@@ -272,7 +276,7 @@
 constexpr size_t kFleet = 5;
 constexpr uint64_t kSchedules = 200;
 
-/// A fleet whose VMs restart, whose links break and whose list lags.
+/// A simulated fleet whose VMs restart, whose links break and whose list lags.
 class Fleet {
  public:
   explicit Fleet(uint64_t seed) : random(seed) {
@@ -287,14 +291,15 @@
     }
   }
 
-  void RunCalm(Duration span) {
+  void RunWithoutFaults(Duration span) {
     for (const TimePoint end = this->now + span; this->now < end;) {
       this->Step(false);
     }
   }
 
-  /// @returns true if every VM sees every other as it is.
-  bool IsAgreed() const {
+  /// @returns true if every VM has the right state and incarnation of every
+  /// other.
+  bool HasConverged() const {
     for (const Vm& vm : this->vms) {
       for (size_t i = 0; i < kFleet; ++i) {
         const VmRow* row = RowNamed(*vm.members, NameOf(i));
@@ -307,7 +312,7 @@
     return true;
   }
 
-  bool RevivedSuperseded() const { return this->revived; }
+  bool HasRevivedIncarnation() const { return this->revived; }
 
  private:
   struct Vm {
@@ -323,7 +328,7 @@
 
   void StartVm(size_t index) {
     Vm vm;
-    // A clock set back now and then: numbers are distinct, not in order.
+    // Some clocks are set back: incarnations are distinct but not ascending.
     vm.incarnation =
         this->random(4) == 0 ? 500'000 - this->starts : 500'000 + this->starts;
     ++this->starts;
@@ -365,10 +370,10 @@
       if (action.kind == MembershipActionKind::kOpenLink) {
         this->Open(index, other, lost);
       } else if (action.kind == MembershipActionKind::kHeartbeat) {
-        this->Beat(index, other, action, lost);
+        this->AnswerHeartbeat(index, other, action, lost);
       }
     }
-    this->Watch(index);
+    this->CheckIncarnations(index);
   }
 
   size_t IndexOf(const std::string& name) const {
@@ -396,7 +401,10 @@
         this->now, HelloOf(NameOf(from), this->vms[from].incarnation));
   }
 
-  void Beat(size_t from, size_t to, const MembershipAction& action, bool lost) {
+  void AnswerHeartbeat(size_t from,
+                       size_t to,
+                       const MembershipAction& action,
+                       bool lost) {
     Membership& asker = *this->vms[from].members;
     if (action.incarnation != this->vms[to].incarnation) {
       asker.OnLinkLost(this->now, action.vm, action.incarnation);
@@ -405,7 +413,7 @@
     }
   }
 
-  void Watch(size_t index) {
+  void CheckIncarnations(size_t index) {
     Vm& vm = this->vms[index];
     for (const VmRow& row : vm.members->rows()) {
       uint64_t& current = vm.current[row.name];
@@ -427,17 +435,17 @@
 
 }  // namespace
 
-// VMs restart again and again, some with their clock set back; links fail to
-// open, heartbeats are lost, and the list forgets VMs or calls them leaving.
-// No VM may take an old incarnation for the current one, and when the faults
-// end all must see all again.
-TEST(Membership, RandomFaults_ManySchedules_ViewsAgreeAfterwards) {
+// Failure: VMs restart repeatedly, some with their clock set back; links fail
+// to open, heartbeats are lost, and the list omits VMs or shows them as
+// leaving. No VM may take a superseded incarnation for the current one, and
+// after the faults end all views must agree.
+TEST(Membership, RandomFaults_ManySchedules_ViewsConverge) {
   for (uint64_t seed = 1; seed <= kSchedules; ++seed) {
     Fleet fleet(seed);
     fleet.RunFaults(seconds(120));
-    CHECK_FALSE(fleet.RevivedSuperseded());
-    fleet.RunCalm(seconds(150));
-    const std::string story = "seed " + std::to_string(seed);
-    CHECK_TEXT(fleet.IsAgreed(), story.c_str());
+    CHECK_FALSE(fleet.HasRevivedIncarnation());
+    fleet.RunWithoutFaults(seconds(150));
+    const std::string context = "seed " + std::to_string(seed);
+    CHECK_TEXT(fleet.HasConverged(), context.c_str());
   }
 }
--- a/packages/decision/test/propagation_plan_test.cc
+++ b/packages/decision/test/propagation_plan_test.cc
@@ -1,4 +1,5 @@
-// Tests of how what one VM read at the platform spreads over a fleet.
+// Tests of how data that one VM reads from the platform propagates through a
+// fleet.
 
 #include "basilsill/decision/propagation_plan.h"
 
@@ -22,11 +23,11 @@
 
 constexpr uint32_t kDataCentres = 5;
 
-struct Sent {
-  size_t most_by_one = 0;
-  size_t across = 0;
-  size_t all = 0;
-  std::set<VmHandle> heard;
+struct SpreadResult {
+  size_t max_by_one_vm = 0;
+  size_t between_data_centres = 0;
+  size_t total = 0;
+  std::set<VmHandle> receivers;
 };
 
 struct Message {
@@ -46,13 +47,13 @@
     this->Plan();
   }
 
-  bool IsNear(VmHandle a, VmHandle b) const {
+  bool InSameDataCentre(VmHandle a, VmHandle b) const {
     return this->rows.at(a.index).data_centre ==
            this->rows.at(b.index).data_centre;
   }
 
-  /// Each VM's part, and with whom it has links: by its own needs and by those
-  /// of others. To be called once the rows are as they are to be.
+  /// Computes the plan of each VM and its links, which are those that it or the
+  /// other VM needs. Call it after each change of `rows`.
   void Plan() {
     this->plans.clear();
     this->linked.assign(this->rows.size(), {});
@@ -65,7 +66,7 @@
     }
   }
 
-  /// @returns the VM that reads first.
+  /// @returns the VM of rank 0.
   VmHandle FirstReader() const {
     const auto first = std::find_if(
         this->plans.begin(), this->plans.end(),
@@ -78,83 +79,86 @@
     return {links.begin(), links.end()};
   }
 
-  /// `reader` has read something; all that follows from it.
-  Sent Spread(VmHandle reader) const {
-    Sent sent;
-    std::deque<Message> on_the_way;
-    const auto send = [&](VmHandle from, const std::vector<VmHandle>& told) {
-      sent.most_by_one = std::max(sent.most_by_one, told.size());
-      for (const VmHandle to : told) {
-        sent.all += 1;
-        sent.across += this->IsNear(from, to) ? 0 : 1;
-        on_the_way.push_back({from, to});
+  /// Simulates the propagation of something that `reader` has read.
+  SpreadResult Spread(VmHandle reader) const {
+    SpreadResult result;
+    std::deque<Message> in_flight;
+    const auto send = [&](VmHandle from, const std::vector<VmHandle>& targets) {
+      result.max_by_one_vm = std::max(result.max_by_one_vm, targets.size());
+      for (const VmHandle to : targets) {
+        result.total += 1;
+        result.between_data_centres += this->InSameDataCentre(from, to) ? 0 : 1;
+        in_flight.push_back({from, to});
       }
     };
     send(reader, PublishTargets(this->plans.at(reader.index), this->rows,
                                 reader, this->LinkedWith(reader)));
-    while (!on_the_way.empty()) {
-      const Message message = on_the_way.front();
-      on_the_way.pop_front();
+    while (!in_flight.empty()) {
+      const Message message = in_flight.front();
+      in_flight.pop_front();
       if (this->frozen.contains(message.to)) {
         continue;
       }
-      sent.heard.insert(message.to);
+      result.receivers.insert(message.to);
       send(message.to, RelayTargets(this->plans.at(message.to.index),
                                     this->rows, message.to, message.from,
                                     this->LinkedWith(message.to)));
     }
-    return sent;
+    return result;
   }
 };
 
-// Six VMs told everybody. A change of 44 KB took one of them half a second on
-// its link, and those at the end of it took it for silent.
-TEST(PropagationPlan, OneReads_AllHearAndNoVmSendsToMoreThanItsDataCentre) {
-  const Sent sent = this->Spread(this->FirstReader());
-  CHECK_EQUAL(299, sent.heard.size());
-  CHECK(sent.most_by_one <= 300 / kDataCentres + 2 * kDataCentres);
+// Failure: six VMs sent each change to all others. A change of 44 KB occupied
+// the link of a sender for half a second, and the last receivers took the
+// sender for silent.
+TEST(PropagationPlan, Spread_LargeFleet_ReachesAllWithBoundedSendsPerVm) {
+  const SpreadResult result = this->Spread(this->FirstReader());
+  CHECK_EQUAL(299, result.receivers.size());
+  CHECK(result.max_by_one_vm <= 300 / kDataCentres + 2 * kDataCentres);
 }
 
-TEST(PropagationPlan, OneReads_CrossesToEachDataCentreTwice) {
-  const Sent sent = this->Spread(this->FirstReader());
-  CHECK_EQUAL(2 * (kDataCentres - 1), sent.across);
+TEST(PropagationPlan, Spread_LargeFleet_EntersEachDataCentreTwice) {
+  const SpreadResult result = this->Spread(this->FirstReader());
+  CHECK_EQUAL(2 * (kDataCentres - 1), result.between_data_centres);
 }
 
-// Twice the VMs: as many octets between data centres for a change.
-TEST(PropagationPlan, TwiceTheFleet_CrossesNoMoreOften) {
+// The traffic between data centres must not depend on the number of VMs.
+TEST(PropagationPlan, Spread_TwiceTheFleet_SameTrafficBetweenDataCentres) {
   this->rows = MakeVmRows(600, kDataCentres);
   this->Plan();
-  CHECK_EQUAL(2 * (kDataCentres - 1), this->Spread(this->FirstReader()).across);
+  CHECK_EQUAL(2 * (kDataCentres - 1),
+              this->Spread(this->FirstReader()).between_data_centres);
 }
 
-// One of the two that hand on in a data centre stands still, and its links stay
+// Failure: one of the two relays of a data centre freezes, and its links stay
 // open for seconds.
-TEST(PropagationPlan, OneOfTwoFrozen_AllOthersHear) {
+TEST(PropagationPlan, Spread_OneRelayFrozen_ReachesAllOthers) {
   const VmHandle reader = this->FirstReader();
-  for (const VmHandle teller : this->plans.at(reader.index).links) {
-    if (!this->IsNear(teller, reader)) {
-      this->frozen.insert(teller);
+  for (const VmHandle relay : this->plans.at(reader.index).links) {
+    if (!this->InSameDataCentre(relay, reader)) {
+      this->frozen.insert(relay);
       break;
     }
   }
   CHECK_EQUAL(1, this->frozen.size());
-  CHECK_EQUAL(298, this->Spread(reader).heard.size());
+  CHECK_EQUAL(298, this->Spread(reader).receivers.size());
 }
 
-// Links are clogged, so VMs far back in the order read for themselves. If each
-// told all its peers, the links would only get worse.
-TEST(PropagationPlan, ReaderFarBack_TellsNobody) {
+// Failure: links are saturated, so VMs of high rank read for themselves. If
+// each sent what it read to all peers, the load on the links would rise
+// further.
+TEST(PropagationPlan, Spread_ReaderIsNoRelay_SendsNothing) {
   for (const VmRow& row : this->rows) {
     const PropagationPlan& plan = this->plans.at(row.handle.index);
-    const bool among_first = plan.rank < 2 * kDataCentres;
-    CHECK_EQUAL(among_first, plan.is_relay);
-    if (!among_first) {
-      CHECK_EQUAL(0, this->Spread(row.handle).all);
+    const bool is_relay_rank = plan.rank < 2 * kDataCentres;
+    CHECK_EQUAL(is_relay_rank, plan.is_relay);
+    if (!is_relay_rank) {
+      CHECK_EQUAL(0, this->Spread(row.handle).total);
     }
   }
 }
 
-TEST(PropagationPlan, ThatTells_SuspectedOrLeaving_NextOneTells) {
+TEST(PropagationPlan, Plan_RelaySuspected_NextVmBecomesRelay) {
   const VmHandle reader = this->FirstReader();
   this->rows.at(reader.index).state = VmState::kSuspected;
   this->Plan();
@@ -162,9 +166,9 @@
   CHECK_FALSE(this->plans.at(reader.index).is_relay);
 }
 
-// The VMs of a small fleet in three data centres: two of each tell.
-TEST(PropagationPlan, SmallFleet_AllHear) {
+// A small fleet in three data centres, with two relays each.
+TEST(PropagationPlan, Spread_SmallFleet_ReachesAll) {
   this->rows = MakeVmRows(14, 3);
   this->Plan();
-  CHECK_EQUAL(13, this->Spread(this->FirstReader()).heard.size());
+  CHECK_EQUAL(13, this->Spread(this->FirstReader()).receivers.size());
 }
--- a/packages/decision/test/start_fleet_test.cc
+++ b/packages/decision/test/start_fleet_test.cc
@@ -1,5 +1,5 @@
-// Starts of whole fleets without a network: lists of VMs that arrive in any
-// order and in parts, helpers that die, a platform that turns some away.
+// Simulated starts of whole fleets: partial VM lists in any order, helpers that
+// die, and a platform that refuses some VMs.
 
 #include <algorithm>
 #include <map>
@@ -39,23 +39,23 @@
 constexpr uint32_t kFleet = 300;
 constexpr uint32_t kDataCentres = 5;
 
-// Links that a VM keeps for own needs, and one with each VM of its data centre:
-// a small VM that all of a fleet of any size link with is what must not be.
+// Links that a VM keeps for its own needs, plus one with each VM of its data
+// centre. The number of links of a small VM must not grow with the fleet.
 const size_t kMaxLinks =
     basilsill::MembershipOptions().max_peers + kFleet / kDataCentres;
 
-/// Links that each VM opens and takes, when VM after VM starts in `order` and
-/// each knows a part of those before it.
+/// @returns the number of links that each VM opens and accepts when VMs start
+/// one after the other in `order` and each knows a part of the VMs before it.
 std::vector<size_t> CountLinks(const std::vector<uint32_t>& order,
                                pcg32& random,
-                               uint32_t known_of_hundred) {
+                               uint32_t known_percent) {
   const std::vector<VmRow> all = MakeVmRows(kFleet, kDataCentres);
   std::vector<VmRow> known(kFleet);
   std::vector<size_t> links(kFleet, 0);
   for (const uint32_t index : order) {
     std::vector<VmRow> list(kFleet);
     for (const VmRow& row : known) {
-      if (IsValid(row.handle) && random(100) < known_of_hundred) {
+      if (IsValid(row.handle) && random(100) < known_percent) {
         list[row.handle.index] = row;
       }
     }
@@ -80,17 +80,17 @@
 
 TEST_GROUP(StartLinks){};
 
-// A small VM starts before the larger ones, stands first on the lists of those
-// that come next, and all of them link with it and ask it.
-TEST(StartLinks, ListsInAnyOrderAndInParts_SmallVmsKeepFewLinks) {
+// Failure: a small VM starts before the larger ones and is first on the VM
+// lists of the next ones, so that all of them open a link to it and request the
+// state from it.
+TEST(StartLinks, StartHelpers_PartialListsInAnyOrder_SmallVmsHaveFewLinks) {
   for (uint64_t seed = 1; seed <= 50; ++seed) {
     pcg32 random(seed);
     std::vector<uint32_t> order(kFleet);
     std::iota(order.begin(), order.end(), 0);
     std::shuffle(order.begin(), order.end(), random);
-    const uint32_t known_of_hundred = 30 + random(71);
-    const std::vector<size_t> links =
-        CountLinks(order, random, known_of_hundred);
+    const uint32_t known_percent = 30 + random(71);
+    const std::vector<size_t> links = CountLinks(order, random, known_percent);
     const std::vector<VmRow> rows = MakeVmRows(kFleet, kDataCentres);
     size_t most = 0;
     for (uint32_t i = 0; i < kFleet; ++i) {
@@ -107,7 +107,7 @@
 constexpr Duration kStep = 1ms;
 constexpr Duration kAppendTime = 4ms;
 
-/// A platform that takes one append after the other, and VMs that announce
+/// A platform that handles one append at a time, and VMs that announce
 /// themselves to it, each knowing some of the others.
 class AnnouncingFleet {
  public:
@@ -128,36 +128,36 @@
     }
   }
 
-  /// Process `i` starts, or again, with another word than before.
+  /// Starts or restarts process `i`, with another entry than before.
   void Start(size_t i) {
     Node& node = this->nodes[i];
     node = Node{};
-    node.word = "word-" + std::to_string(++this->words);
+    node.entry = "entry-" + std::to_string(++this->entry_count);
     node.starts_at = this->now + std::chrono::milliseconds(this->random(300));
     node.refused = this->refuses && this->random(3) == 0;
   }
 
   void Kill(size_t i) { this->nodes[i].alive = false; }
 
-  /// What was read back from the platform's list.
+  /// Lets every VM read the platform's list.
   void ReadLists() {
     for (size_t i = 0; i < this->nodes.size(); ++i) {
       const auto listed = this->store.find(NameOf(i));
       if (this->nodes[i].alive && listed != this->store.end()) {
         this->nodes[i].announcement.OnListed(
-            this->now, listed->second == this->nodes[i].word);
+            this->now, listed->second == this->nodes[i].entry);
       }
     }
   }
 
-  size_t CountRight() const {
-    size_t right = 0;
+  size_t CountListedCorrectly() const {
+    size_t correct = 0;
     for (size_t i = 0; i < this->nodes.size(); ++i) {
       const auto listed = this->store.find(NameOf(i));
-      right +=
-          listed != this->store.end() && listed->second == this->nodes[i].word;
+      correct +=
+          listed != this->store.end() && listed->second == this->nodes[i].entry;
     }
-    return right;
+    return correct;
   }
 
   pcg32 random;
@@ -171,7 +171,7 @@
     bool alive = true;
     bool begun = false;
     bool refused = false;
-    std::string word;
+    std::string entry;
     TimePoint starts_at{};
     Announcement announcement;
     GroupAppend group;
@@ -180,7 +180,7 @@
   struct Call {
     size_t by = 0;
     TimePoint ends{};
-    std::string by_word;
+    std::string by_entry;
     bool answered = true;
     std::vector<KeyedRecord> records;
   };
@@ -193,7 +193,7 @@
     return this->nodes[i].alive && this->nodes[i].begun;
   }
 
-  // Those that are listed are known, but not all of them.
+  // A VM knows some of the listed VMs.
   void Begin(size_t i) {
     Node& node = this->nodes[i];
     node.begun = true;
@@ -217,7 +217,7 @@
       this->Begin(i);
     }
     const AnnouncementStep step = node.announcement.Next(this->now);
-    const KeyedRecord own{NameOf(i), node.word, 0, false};
+    const KeyedRecord own{NameOf(i), node.entry, 0, false};
     if (step.kind == AnnouncementStepKind::kAskHelper) {
       Node& helper = this->nodes[step.helper.index];
       if (this->IsUp(step.helper.index)) {
@@ -235,18 +235,18 @@
     Node& node = this->nodes[i];
     ++this->calls;
     this->free_at = std::max(this->free_at, this->now) + kAppendTime;
-    Call call{i, this->free_at, node.word, true, node.group.Begin()};
+    Call call{i, this->free_at, node.entry, true, node.group.Begin()};
     call.answered = !this->loses_answers || this->random(4) != 0;
     if (node.refused) {
       call.records.clear();
       call.ends = this->now + kAppendTime;
     }
-    this->on_the_way.push_back(std::move(call));
+    this->in_flight.push_back(std::move(call));
   }
 
   void EndCalls() {
     std::vector<Call> ended;
-    std::erase_if(this->on_the_way, [&](const Call& call) {
+    std::erase_if(this->in_flight, [&](const Call& call) {
       if (call.ends <= this->now) {
         ended.push_back(call);
         return true;
@@ -263,8 +263,8 @@
 
   void Answer(const Call& call) {
     Node& node = this->nodes[call.by];
-    // A call of a process that is gone is answered to nobody.
-    if (!node.alive || node.word != call.by_word) {
+    // The answer to a call of a dead process is dropped.
+    if (!node.alive || node.entry != call.by_entry) {
       return;
     }
     const bool written = !call.records.empty() && call.answered;
@@ -280,28 +280,28 @@
 
   std::vector<Node> nodes;
   std::map<std::string, std::string> store;
-  std::vector<Call> on_the_way;
+  std::vector<Call> in_flight;
   TimePoint free_at{};
-  size_t words = 0;
+  size_t entry_count = 0;
 };
 
 }  // namespace
 
 TEST_GROUP(StartAnnouncements){};
 
-// A fleet of 300 is set up. Alone, each would make a call, and the last would
-// be known after more than a second.
-TEST(StartAnnouncements, LargeFleetStarts_AllListedByFewCalls) {
+// Failure: a fleet of 300 VMs is set up. If each made a call of its own, the
+// last would be listed after more than a second.
+TEST(StartAnnouncements, Start_LargeFleet_ListsAllWithFewCalls) {
   AnnouncingFleet fleet(1, kFleet);
   fleet.Run(1s);
-  CHECK_EQUAL(kFleet, fleet.CountRight());
+  CHECK_EQUAL(kFleet, fleet.CountListedCorrectly());
   CHECK(fleet.calls <= kFleet / 2);
 }
 
-// Processes are killed while they announce others and start again with other
-// words, the platform turns a third of the VMs away and loses answers. Late
-// words of processes that are gone come after those of the next ones.
-TEST(StartAnnouncements, RandomHistories_EachLiveVmStandsAsItSays) {
+// Failure: processes are killed while they announce others, and restart with
+// another entry; the platform refuses a third of the VMs and loses answers.
+// Late entries of dead processes arrive after those of their successors.
+TEST(StartAnnouncements, RandomFaults_ManySchedules_ListMatchesLiveVms) {
   constexpr size_t vms = 30;
   for (uint64_t seed = 1; seed <= 100; ++seed) {
     AnnouncingFleet fleet(seed, vms);
@@ -309,24 +309,24 @@
     fleet.loses_answers = seed % 3 == 0;
     for (int round = 0; round < 20; ++round) {
       fleet.Run(50ms);
-      const size_t struck = fleet.random(vms);
-      fleet.Kill(struck);
-      fleet.Start(struck);
+      const size_t killed = fleet.random(vms);
+      fleet.Kill(killed);
+      fleet.Start(killed);
     }
     fleet.refuses = false;
     fleet.loses_answers = false;
     for (size_t i = 0; i < vms; ++i) {
       fleet.Run(10ms);
     }
-    // Those that were turned away find one who is not, or start anew.
+    // Refused VMs find a helper that is not refused, or try again.
     for (int round = 0; round < 10; ++round) {
       fleet.Run(1s);
       fleet.ReadLists();
     }
     fleet.Run(2s);
-    CHECK(fleet.CountRight() + vms / 3 >= vms);
+    CHECK(fleet.CountListedCorrectly() + vms / 3 >= vms);
     if (seed % 2 != 0) {
-      CHECK_EQUAL(vms, fleet.CountRight());
+      CHECK_EQUAL(vms, fleet.CountListedCorrectly());
     }
   }
 }
--- a/packages/decision/test/start_test.cc
+++ b/packages/decision/test/start_test.cc
@@ -1,5 +1,5 @@
-// Tests of how VMs start beside others: who is asked, who tells, who writes
-// what VMs say of themselves.
+// Tests of how VMs start with the help of others: which peer sends the state,
+// how much a VM sends, and who writes announcements.
 
 #include <algorithm>
 #include <map>
@@ -38,18 +38,18 @@
 constexpr double kNarrowLink = 2'500'000;
 constexpr size_t kStateBytes = 100'000;
 
-KeyedRecord Word(const std::string& vm, const std::string& says) {
-  return {vm, says, 0, false};
+KeyedRecord MakeRecord(const std::string& vm, const std::string& text) {
+  return {vm, text, 0, false};
 }
 
 }  // namespace
 
 TEST_GROUP(StartPlan){};
 
-// All VMs of a large fleet start at once, and each would list all topics, page
-// by page: a thousand calls. Those behind the first ones wait to be told, but
-// not for long, as the first ones may not come up.
-TEST(StartPlan, StartPatience_LargeFleet_OnlyTheFirstListAtOnce) {
+// Failure: all VMs of a large fleet start at once and list all topics page by
+// page, a thousand calls. VMs after the first ones must wait for the state from
+// a peer, but not for long, as the first ones may fail to start.
+TEST(StartPlan, StartListingDelay_LargeFleet_OnlyFirstVmsListAtOnce) {
   const bool large = basilsill::ShouldWaitForState(109);
   const bool small = basilsill::ShouldWaitForState(14);
   CHECK(basilsill::StartListingDelay(0, large, 312) == 0ms);
@@ -60,11 +60,9 @@
   CHECK(basilsill::StartListingDelay(5, small, 312) == 0ms);
 }
 
-// Nobody is there to tell. All of 300 would list everything in the same
-// millisecond.
-// A thousand VMs start at once, and each lists thousands of upstreams: the
-// store can't give so much in time, and none is ever ready.
-TEST(StartPlan, StartPatience_TwiceALargeFleet_ListersASecondAreTheSame) {
+// Failure: a thousand VMs start at once, and each lists thousands of upstreams.
+// The store can't serve that in time, and no VM ever becomes ready.
+TEST(StartPlan, StartListingDelay_TwiceTheLargeFleet_SameListingRate) {
   const auto listers = [](size_t known) {
     size_t count = 0;
     for (size_t rank = 0; rank < known; ++rank) {
@@ -76,16 +74,16 @@
   CHECK(listers(1000) <= 50);
 }
 
-TEST(StartPlan, StartPatience_FarBack_ListsLater) {
+TEST(StartPlan, StartListingDelay_HigherRank_ListsLater) {
   CHECK(basilsill::StartListingDelay(3, true, 312) <
         basilsill::StartListingDelay(30, true, 312));
   CHECK(basilsill::StartListingDelay(30, true, 312) <
         basilsill::StartListingDelay(300, true, 312));
 }
 
-// An installation of 300 VMs is set up: all start at the same moment, look who
-// is there, see nobody, and each announces itself alone.
-TEST(StartPlan, FirstStart_LargeFleet_LargerOnesFirstOthersSpread) {
+// Failure: an installation of 300 VMs is set up. All start at the same moment,
+// read an empty VM list, and each announces itself by a call of its own.
+TEST(StartPlan, FirstStartDelay_LargeFleet_LargeVmsFirstOthersSpread) {
   std::set<Duration> delays;
   for (int i = 0; i < 300; ++i) {
     const std::string name = "vm-" + std::to_string(i);
@@ -100,20 +98,20 @@
   TimePoint now{100s};
 };
 
-// A small VM is asked by all the others of a fleet that starts. If it told them
-// all, its own calls would wait behind 30 MB.
-TEST(StateSendBudget, NarrowLink_ManyAsk_KeepsToAPartOfItsLink) {
+// Failure: all other VMs of a starting fleet request the state from a small VM.
+// If it served all, its own calls would queue behind 30 MB.
+TEST(StateSendBudget, Take_NarrowLinkManyRequests_StaysWithinShare) {
   StateSendBudget budget(kNarrowLink);
-  size_t told = 0;
+  size_t sent_bytes = 0;
   for (int i = 0; i < 300; ++i) {
-    told += budget.Take(this->now, kStateBytes) ? kStateBytes : 0;
+    sent_bytes += budget.Take(this->now, kStateBytes) ? kStateBytes : 0;
     this->now += 3ms;
   }
-  CHECK(told > 0);
-  CHECK(told <= kNarrowLink / 2);
+  CHECK(sent_bytes > 0);
+  CHECK(sent_bytes <= kNarrowLink / 2);
 }
 
-TEST(StateSendBudget, NarrowLink_ASecondLater_TellsAgain) {
+TEST(StateSendBudget, Take_OneSecondLater_Refilled) {
   StateSendBudget budget(kNarrowLink);
   while (budget.Take(this->now, kStateBytes)) {
   }
@@ -122,7 +120,7 @@
   CHECK(budget.Take(this->now, kStateBytes));
 }
 
-TEST(StateSendBudget, LinkNotKnown_TellsAll) {
+TEST(StateSendBudget, Take_LinkUnknown_Unlimited) {
   StateSendBudget budget(0);
   for (int i = 0; i < 300; ++i) {
     CHECK(budget.Take(this->now, kStateBytes));
@@ -134,19 +132,19 @@
   StateFetch fetch;
 };
 
-TEST(StateFetch, TwoLinked_OneIsAskedAtATime) {
+TEST(StateFetch, Next_TwoLinked_AsksOneAtATime) {
   this->fetch.OnLinked(this->now, kFirst, true);
   this->fetch.OnLinked(this->now, kSecond, true);
   CHECK(this->fetch.Next(this->now) == kFirst);
   CHECK_FALSE(IsValid(this->fetch.Next(this->now + 1ms)));
 }
 
-TEST(StateFetch, NobodyLinked_NobodyAsked) {
+TEST(StateFetch, Next_NoLinks_AsksNone) {
   CHECK_FALSE(IsValid(this->fetch.Next(this->now)));
 }
 
-// The one that is asked has a narrow link and no room left on it.
-TEST(StateFetch, Declined_NextIsAskedAtOnce) {
+// The peer has a narrow link and no send budget left.
+TEST(StateFetch, Next_PeerDeclined_AsksAnotherAtOnce) {
   this->fetch.OnLinked(this->now, kFirst, true);
   this->fetch.OnLinked(this->now, kSecond, true);
   this->fetch.Next(this->now);
@@ -154,9 +152,9 @@
   CHECK(this->fetch.Next(this->now) == kSecond);
 }
 
-// All start at once: the one that is asked waits for the platform itself. If
-// each asked everybody, each would be told by everybody.
-TEST(StateFetch, KnowsNothingYet_WaitedForAWhile) {
+// Failure: all VMs start at once, and the peer waits for the platform itself.
+// If each VM asked every other, each would receive the state from every other.
+TEST(StateFetch, Next_PeerHasNoStateYet_WaitsForTimeout) {
   this->fetch.OnLinked(this->now, kFirst, true);
   this->fetch.OnLinked(this->now, kSecond, true);
   this->fetch.Next(this->now);
@@ -165,17 +163,17 @@
   CHECK(this->fetch.Next(this->now + 200ms) == kSecond);
 }
 
-// The one that is asked was killed a moment ago, and its link stays open.
-TEST(StateFetch, Silent_NextIsAskedSoon) {
+// The peer was killed a moment ago, and its link stays open.
+TEST(StateFetch, Next_PeerSilent_AsksAnotherAfterTimeout) {
   this->fetch.OnLinked(this->now, kFirst, true);
   this->fetch.OnLinked(this->now, kSecond, true);
   this->fetch.Next(this->now);
   CHECK(this->fetch.Next(this->now + 200ms) == kSecond);
 }
 
-// All start at once, and those that come after this one in the order link with
-// it first. If it asked one of them, that one would ask back.
-TEST(StateFetch, OtherThanAHelper_AskedOnlyIfHelpersDoNotTell) {
+// Failure: all VMs start at once, and VMs later in the order link with this one
+// first. If it asked one of them, the two would wait for each other.
+TEST(StateFetch, Next_PeerIsNoHelper_AskedOnlyAfterHelpersTimeOut) {
   this->fetch.OnLinked(this->now, kThird, false);
   CHECK_FALSE(IsValid(this->fetch.Next(this->now)));
   this->fetch.OnLinked(this->now, kFirst, true);
@@ -183,7 +181,7 @@
   CHECK(this->fetch.Next(this->now + 200ms) == kThird);
 }
 
-TEST(StateFetch, AllDeclined_AskedAgainAfterAPause) {
+TEST(StateFetch, Next_AllDeclined_AsksAgainAfterPause) {
   this->fetch.OnLinked(this->now, kFirst, true);
   this->fetch.Next(this->now);
   this->fetch.OnDeclined(this->now, kFirst, false);
@@ -196,31 +194,31 @@
   GroupAppend group;
 };
 
-TEST(GroupAppend, Several_GoInOneCall) {
-  this->group.Add(this->now, {kFirst, 1, Word("a", "x")});
-  this->group.Add(this->now + 5ms, {kSecond, 1, Word("b", "y")});
+TEST(GroupAppend, Begin_SeveralRequests_SharesOneCall) {
+  this->group.Add(this->now, {kFirst, 1, MakeRecord("a", "x")});
+  this->group.Add(this->now + 5ms, {kSecond, 1, MakeRecord("b", "y")});
   CHECK(this->group.due() <= this->now + 20ms);
   CHECK_EQUAL(2, this->group.Begin().size());
   CHECK_EQUAL(2, this->group.End().size());
   CHECK(this->group.due() == kNever);
 }
 
-// The call takes long. What comes meanwhile must not start another one, or a
-// fleet that starts would make one call a VM after all.
-TEST(GroupAppend, CallOnItsWay_OthersWaitForTheNext) {
-  this->group.Add(this->now, {kFirst, 1, Word("a", "x")});
+// Failure: a call takes long. If records that arrive meanwhile started another
+// call, a starting fleet would make one call per VM.
+TEST(GroupAppend, Add_CallInFlight_WaitsForNextCall) {
+  this->group.Add(this->now, {kFirst, 1, MakeRecord("a", "x")});
   this->group.Begin();
-  this->group.Add(this->now, {kSecond, 1, Word("b", "y")});
+  this->group.Add(this->now, {kSecond, 1, MakeRecord("b", "y")});
   CHECK(this->group.due() == kNever);
   CHECK_EQUAL(1, this->group.End().size());
   CHECK(this->group.due() < kNever);
   CHECK_EQUAL(1, this->group.Begin().size());
 }
 
-// A VM asks twice, as it had no answer in time, and says something else.
-TEST(GroupAppend, SameKeyTwice_LastWordIsWrittenBothAreAnswered) {
-  this->group.Add(this->now, {kFirst, 1, Word("a", "old")});
-  this->group.Add(this->now, {kFirst, 2, Word("a", "new")});
+// A VM got no answer in time and sends a second request, with another value.
+TEST(GroupAppend, Add_SameKeyTwice_WritesLastAndAnswersBoth) {
+  this->group.Add(this->now, {kFirst, 1, MakeRecord("a", "old")});
+  this->group.Add(this->now, {kFirst, 2, MakeRecord("a", "new")});
   const std::vector<KeyedRecord> records = this->group.Begin();
   CHECK_EQUAL(1, records.size());
   STRCMP_EQUAL("new", records.front().value.c_str());
@@ -232,7 +230,7 @@
   Announcement announcement;
 };
 
-TEST(Announcement, KnowsNobody_WritesAtOnce) {
+TEST(Announcement, Next_NoOthersListed_WritesAtOnce) {
   this->announcement.Begin(this->now, false, 7);
   CHECK(this->announcement.Next(this->now).kind ==
         AnnouncementStepKind::kWriteDirectly);
@@ -240,7 +238,7 @@
   CHECK(this->announcement.done());
 }
 
-TEST(Announcement, OthersListed_FirstLinkedIsAsked) {
+TEST(Announcement, Next_OthersListed_AsksFirstLinked) {
   this->announcement.Begin(this->now, true, 7);
   CHECK(this->announcement.Next(this->now).kind == AnnouncementStepKind::kNone);
   this->announcement.OnLinked(kFirst);
@@ -252,9 +250,9 @@
   CHECK(this->announcement.due() == kNever);
 }
 
-// The helper dies between its call and its answer. Whether the word is written
-// is not known, so the VM writes it itself, which does no harm.
-TEST(Announcement, HelperSilent_WritesAloneInTime) {
+// Failure: the helper dies between its call and its answer. Whether the entry
+// is written is unknown, so the VM writes it itself, which is idempotent.
+TEST(Announcement, Next_HelperSilent_WritesDirectlyInTime) {
   this->announcement.OnLinked(kFirst);
   this->announcement.Begin(this->now, true, 7);
   this->announcement.Next(this->now);
@@ -263,7 +261,7 @@
         AnnouncementStepKind::kWriteDirectly);
 }
 
-TEST(Announcement, HelperCanNot_AnotherIsAsked) {
+TEST(Announcement, Next_HelperFailed_AsksAnother) {
   this->announcement.OnLinked(kFirst);
   this->announcement.OnLinked(kSecond);
   this->announcement.Begin(this->now, true, 7);
@@ -272,9 +270,9 @@
   CHECK(this->announcement.Next(this->now).helper == kSecond);
 }
 
-// An answer to a request of before, that was given up, must not end the wait
-// for the one that counts.
-TEST(Announcement, AnswerOfAnotherRequest_Ignored) {
+// Failure: an answer to an earlier request, which was given up, ends the wait
+// for the current one.
+TEST(Announcement, OnHelperAnswer_OtherRequestOrVm_Ignored) {
   this->announcement.OnLinked(kFirst);
   this->announcement.Begin(this->now, true, 7);
   const AnnouncementStep step = this->announcement.Next(this->now);
@@ -283,8 +281,8 @@
   CHECK_FALSE(this->announcement.done());
 }
 
-// The platform refuses this VM and serves its peers.
-TEST(Announcement, OwnWriteRefused_PeersAskedAgain) {
+// The platform refuses this VM but serves its peers.
+TEST(Announcement, Next_DirectWriteRefused_AsksPeersAgain) {
   this->announcement.OnLinked(kFirst);
   this->announcement.Begin(this->now, false, 7);
   this->announcement.Next(this->now);
@@ -293,9 +291,9 @@
         AnnouncementStepKind::kAskHelper);
 }
 
-// A helper writes the word of an earlier start late, over that of this one. The
-// others would look for this VM where it is not.
-TEST(Announcement, AnotherWordListed_SaidAgain) {
+// Failure: a helper writes the entry of an earlier start late, over that of the
+// current one. Other VMs would connect to the wrong address.
+TEST(Announcement, OnListed_OutdatedEntry_WritesAgain) {
   this->announcement.Begin(this->now, false, 7);
   this->announcement.Next(this->now);
   this->announcement.OnDirectWriteDone(this->now, true);
--- a/packages/decision/test/topic_follower_test.cc
+++ b/packages/decision/test/topic_follower_test.cc
@@ -1,4 +1,5 @@
-// Tests of following a topic: listing, reading on, and one VM reading for all.
+// Tests of following a topic: listing, reading on, and one VM that reads for
+// the fleet.
 
 #include "basilsill/decision/topic_follower.h"
 
@@ -16,7 +17,7 @@
 
 namespace {
 
-TopicFollowerOptions Shared() {
+TopicFollowerOptions DefaultOptions() {
   TopicFollowerOptions options;
   options.interval = 600ms;
   options.max_silence = 1050ms;
@@ -27,7 +28,7 @@
 }  // namespace
 
 TEST_GROUP(TopicFollower) {
-  TopicFollower follower{Shared()};
+  TopicFollower follower{DefaultOptions()};
   TimePoint now{1s};
 
   void setup() override {
@@ -35,37 +36,38 @@
   }
 };
 
-TEST(TopicFollower, Page_More_GoesOnAfterItsLastKey) {
-  TopicFollower fresh(Shared());
+TEST(TopicFollower, OnPage_MoreFollow_ContinuesAfterLastKey) {
+  TopicFollower fresh(DefaultOptions());
   CHECK_FALSE(fresh.OnPage(this->now, 10, true, "m"));
   CHECK(fresh.NextCall().kind == TopicCallKind::kListNewest);
   STRCMP_EQUAL("m", fresh.NextCall().after.c_str());
   CHECK_FALSE(fresh.is_fully_listed());
 }
 
-// A record is appended between the first page of a list and the last. Reading
-// on from the end as the last page has it would miss it.
-TEST(TopicFollower, Page_RecordsCameMeanwhile_ReadsOnFromTheFirstEnd) {
-  TopicFollower fresh(Shared());
+// Failure: a record is appended between the first page of a listing and the
+// last. A read from the end offset of the last page would miss it.
+TEST(TopicFollower, OnPage_RecordsAppendedMeanwhile_ReadsFromFirstEnd) {
+  TopicFollower fresh(DefaultOptions());
   fresh.OnPage(this->now, 10, true, "m");
   CHECK(fresh.OnPage(this->now, 12, false, "z"));
   CHECK(fresh.NextCall().kind == TopicCallKind::kReadOn);
   CHECK_EQUAL(10, fresh.NextCall().from);
 }
 
-// A VM starts: each call that it makes for nothing is paid for, and all VMs of
-// a fleet may start at once.
-TEST(TopicFollower, Page_WholeListInOne_NotReadOnAtOnce) {
-  TopicFollower fresh(Shared());
+// Failure: a starting VM makes a needless call. All VMs of a fleet may start at
+// once, so the store has to serve one from each.
+TEST(TopicFollower, OnPage_ListingOfOnePage_DoesNotReadAtOnce) {
+  TopicFollower fresh(DefaultOptions());
   CHECK(fresh.OnPage(this->now, 10, false, "m"));
   CHECK(fresh.due() >= this->now + 600ms);
   CHECK(fresh.due() <= this->now + 1050ms);
 }
 
-// What the operator writes is to be in force soon, also if nobody reads at that
-// moment. The store holds the read of the one VM that reads for all.
-TEST(TopicFollower, Read_OfTheFirstVm_HeldWithoutABreak) {
-  TopicFollowerOptions options = Shared();
+// A record that the operator writes must take effect soon, also if no VM reads
+// at that moment. So the store holds the read of the one VM that reads for the
+// fleet.
+TEST(TopicFollower, Read_FirstVm_HeldContinuously) {
+  TopicFollowerOptions options = DefaultOptions();
   options.hold = 600ms;
   TopicFollower first(options);
   first.OnPage(this->now, 10, false, "k");
@@ -75,8 +77,8 @@
   CHECK(first.due() <= this->now + 50ms);
 }
 
-TEST(TopicFollower, Read_OfAVmFurtherBack_NotHeld) {
-  TopicFollowerOptions options = Shared();
+TEST(TopicFollower, Read_HigherRank_NotHeld) {
+  TopicFollowerOptions options = DefaultOptions();
   options.hold = 600ms;
   TopicFollower second(options);
   second.SetRank(1);
@@ -85,10 +87,10 @@
   CHECK(second.due() >= this->now + 600ms);
 }
 
-// A held read got no answer. Until one is answered again, reads are short, so
-// that the next loss shows sooner.
-TEST(TopicFollower, Read_AfterAFailure_NotHeld) {
-  TopicFollowerOptions options = Shared();
+// A held read got no answer. Until a read is answered again, reads are not
+// held, so that the next loss is detected sooner.
+TEST(TopicFollower, Read_AfterFailure_NotHeld) {
+  TopicFollowerOptions options = DefaultOptions();
   options.hold = 600ms;
   TopicFollower first(options);
   first.OnPage(this->now, 10, false, "k");
@@ -98,20 +100,20 @@
   CHECK(first.NextCall().hold == 600ms);
 }
 
-TEST(TopicFollower, Page_WholeListInTwo_ReadOnAtOnce) {
-  TopicFollower fresh(Shared());
+TEST(TopicFollower, OnPage_ListingOfTwoPages_ReadsAtOnce) {
+  TopicFollower fresh(DefaultOptions());
   fresh.OnPage(this->now, 10, true, "m");
   CHECK(fresh.OnPage(this->now, 12, false, "z"));
   CHECK(fresh.due() <= this->now);
 }
 
-TEST(TopicFollower, Trimmed_Read_ListsAnew) {
+TEST(TopicFollower, OnTrimmed_Read_ListsAgain) {
   this->follower.OnTrimmed(this->now);
   CHECK(this->follower.NextCall().kind == TopicCallKind::kListNewest);
   CHECK(this->follower.due() <= this->now);
 }
 
-TEST(TopicFollower, News_Continuing_TakenAndReadPutOff) {
+TEST(TopicFollower, OnNews_Contiguous_AppliedAndReadDelayed) {
   this->follower.OnRecords(this->now, 10, 10);
   this->now += 500ms;
   CHECK(this->follower.OnNews(this->now, 10, 12));
@@ -119,15 +121,16 @@
   CHECK(this->follower.due() >= this->now + 600ms);
 }
 
-TEST(TopicFollower, News_NothingNew_PutsReadOffToo) {
+TEST(TopicFollower, OnNews_NothingNew_DelaysRead) {
   this->now += 500ms;
   CHECK_FALSE(this->follower.OnNews(this->now, 10, 10));
   CHECK(this->follower.due() >= this->now + 600ms);
 }
 
-// Two VMs read by turns, and a third hears only the one of them. What the other
-// told must not look like a gap to it, or it would read for itself each time.
-TEST(TopicFollower, Settled_OthersReadMeanwhile_StaysBackForAWhile) {
+// Failure: two VMs read alternately, and a third receives updates of only one
+// of them. If the updates left out what the other had sent, the third would see
+// a gap and read for itself each time.
+TEST(TopicFollower, Settled_OthersReadMeanwhile_AdvancesLater) {
   this->follower.OnRecords(this->now, 12, 12);
   this->now += 600ms;
   this->follower.OnNews(this->now, 10, 15);
@@ -139,17 +142,17 @@
   CHECK_EQUAL(15, this->follower.settled());
 }
 
-// A message between VMs was lost, or its records did not fit into one.
-TEST(TopicFollower, News_WithAGap_ReadsAtOnce) {
+// An update was lost, or its records did not fit into one message.
+TEST(TopicFollower, OnNews_WithGap_ReadsAtOnce) {
   this->follower.OnRecords(this->now, 10, 10);
   CHECK_FALSE(this->follower.OnNews(this->now, 11, 12));
   CHECK(this->follower.due() <= this->now);
   CHECK_EQUAL(10, this->follower.offset());
 }
 
-// A VM that reads for all is paused between its read and its message. What it
-// then says is old, and no sign that nothing newer is there.
-TEST(TopicFollower, News_OlderThanKnown_NoSign) {
+// Failure: the VM that reads for the fleet is paused between its read and its
+// update. The update is then old and does not show that there is nothing newer.
+TEST(TopicFollower, OnNews_OlderThanKnown_DoesNotDelayRead) {
   this->follower.OnRecords(this->now, 12, 12);
   const TimePoint due = this->follower.due();
   this->now += 300ms;
@@ -157,7 +160,7 @@
   CHECK(this->follower.due() == due);
 }
 
-TEST(TopicFollower, Failed_Again_RetriesAtMost400MillisecondsApart) {
+TEST(TopicFollower, OnFailed_Repeatedly_RetriesAtMost400MillisecondsApart) {
   for (int i = 0; i < 10; ++i) {
     this->follower.OnFailed(this->now);
   }
@@ -167,12 +170,13 @@
 
 namespace {
 
-/// VMs that follow one topic, and hear of each other's reads at once.
+/// Simulated VMs that follow one topic and receive each other's updates at
+/// once.
 class Readers {
  public:
   explicit Readers(size_t count) {
     for (size_t i = 0; i < count; ++i) {
-      this->vms.emplace_back(Shared());
+      this->vms.emplace_back(DefaultOptions());
       this->vms.back().OnPage(this->now, 0, false, "");
       this->vms.back().SetRank(i);
       this->dead.push_back(false);
@@ -192,8 +196,8 @@
     }
   }
 
-  /// A call is answered so late; after it, or at once, it is refused if the
-  /// store is down.
+  /// Duration of a call, after which it is answered, or refused if the store is
+  /// down.
   Duration call_time{0};
   bool is_down = false;
   size_t reads = 0;
@@ -216,11 +220,11 @@
       this->vms[vm].OnFailed(this->now);
     } else {
       this->vms[vm].OnCallLatency(this->now, this->call_time);
-      this->Tell(vm);
+      this->SendUpdate(vm);
     }
   }
 
-  void Tell(size_t reader) {
+  void SendUpdate(size_t reader) {
     for (size_t i = 0; i < this->vms.size(); ++i) {
       if (this->dead[i]) {
         continue;
@@ -244,15 +248,15 @@
 
 }  // namespace
 
-// One hundred VMs cost the store what one costs: 1.67 reads a second.
-TEST(TopicFollower, Readers_AllWell_OneReadsForAll) {
+// A hundred VMs must load the store like one VM: 1.67 reads per second.
+TEST(TopicFollower, Readers_NoFaults_OneReadsForAll) {
   Readers readers(100);
   readers.Run(10s);
   CHECK(readers.reads <= 117);
 }
 
-// The VM that reads for all dies without a word, then the next one too.
-TEST(TopicFollower, Readers_FirstTwoDie_NobodyIsInTheDarkForLong) {
+// Failure: the VM that reads for the fleet crashes, and so does the next one.
+TEST(TopicFollower, Readers_FirstTwoDie_SilenceIsBounded) {
   Readers readers(14);
   readers.Run(2s);
   readers.dead[0] = true;
@@ -261,11 +265,11 @@
   CHECK(readers.longest_silence <= 1100ms);
 }
 
-// The store refuses every call for eight seconds. Each of a hundred VMs tried
-// again every 0.4 s, three topics each: 800 calls a second, all of them refused
-// and paid for, and more than the store can take as it comes back. The first
-// ones in the order are enough to find out when it does.
-TEST(TopicFollower, Readers_StoreDown_MostTryRarely) {
+// Failure: the store refuses every call for eight seconds, and each of a
+// hundred VMs retries every 0.4 s for three topics: 800 refused calls per
+// second, more than the store can serve when it comes back. The first VMs in
+// the order suffice to detect that it is back.
+TEST(TopicFollower, Readers_StoreDown_MostRetryRarely) {
   Readers readers(100);
   readers.Run(2s);
   readers.is_down = true;
@@ -280,9 +284,10 @@
   CHECK(readers.reads <= 60);
 }
 
-// The store takes sixty times as long as usual. Who reads for all is late by
-// that, and all the others lose patience one after the other.
-TEST(TopicFollower, Readers_StoreSlow_FewStepIn) {
+// Failure: the store takes sixty times as long as usual. The updates of the VM
+// that reads for the fleet are late by that time, and all other VMs start to
+// read, one after the other.
+TEST(TopicFollower, Readers_StoreSlow_FewTakeOver) {
   Readers readers(100);
   readers.Run(2s);
   readers.call_time = 240ms;
@@ -294,9 +299,9 @@
   CHECK(readers.longest_silence <= 1500ms);
 }
 
-// Trouble is over, and a while later the VM that reads for all dies. By then
-// all must hear of changes in time again.
-TEST(TopicFollower, Readers_FirstDiesAfterTrouble_NobodyIsInTheDarkForLong) {
+// Failure: the store has recovered, and a while later the VM that reads for the
+// fleet dies. By then all VMs must receive changes within the usual time again.
+TEST(TopicFollower, Readers_FirstDiesAfterOutage_SilenceIsBounded) {
   Readers readers(14);
   readers.is_down = true;
   readers.Run(5s);
@@ -308,24 +313,25 @@
   CHECK(readers.longest_silence <= 1100ms);
 }
 
-// An upstream's change reaches a hundred VMs over as many links. It was told
-// again with each news until all were known to have it, four or five times.
-TEST(TopicFollower, News_OfOneReader_TellEachRecordTwice) {
-  uint64_t told = 0;
+// Failure: each update repeats records until all VMs are known to have them, so
+// each record goes to a hundred VMs four or five times.
+TEST(TopicFollower, BeginNews_OneReader_SendsEachRecordTwice) {
+  uint64_t records_sent = 0;
   for (uint64_t next = 20; next <= 1000; next += 10) {
     this->now += 600ms;
     this->follower.OnRecords(this->now, next, next);
-    told += next - this->follower.BeginNews();
+    records_sent += next - this->follower.BeginNews();
   }
-  CHECK(told <= 2 * 990);
+  CHECK(records_sent <= 2 * 990);
 }
 
-// A VM is told by one reader, then that one dies and another tells, which had
-// not told anything for long.
-TEST(TopicFollower, News_OfTheNextReader_LeaveNoGap) {
-  TopicFollower listener(Shared());
-  TopicFollower next_reader(Shared());
-  listener.OnPage(this->now, 10, false, "k");
+// Failure: a VM receives updates from one reader; that reader dies, and another
+// VM, which has not sent an update for long, takes over. Its first update must
+// leave no gap.
+TEST(TopicFollower, BeginNews_NextReader_LeavesNoGap) {
+  TopicFollower receiver(DefaultOptions());
+  TopicFollower next_reader(DefaultOptions());
+  receiver.OnPage(this->now, 10, false, "k");
   next_reader.OnPage(this->now, 10, false, "k");
   uint64_t offset = 10;
   for (int i = 0; i < 20; ++i) {
@@ -334,33 +340,33 @@
     this->follower.OnRecords(this->now, offset, offset);
     const uint64_t start = this->follower.BeginNews();
     CHECK(next_reader.OnNews(this->now, start, offset));
-    CHECK(listener.OnNews(this->now, start, offset));
+    CHECK(receiver.OnNews(this->now, start, offset));
   }
   this->now += 900ms;
   next_reader.OnRecords(this->now, offset + 10, offset + 10);
-  CHECK(listener.OnNews(this->now, next_reader.BeginNews(), offset + 10));
+  CHECK(receiver.OnNews(this->now, next_reader.BeginNews(), offset + 10));
 }
 
-// One of the news is lost on its way. The next one still has what it told.
-TEST(TopicFollower, News_OneIsLost_TheNextHasIt) {
-  TopicFollower listener(Shared());
-  listener.OnPage(this->now, 10, false, "k");
+// Every second update is lost. The next one still contains its records.
+TEST(TopicFollower, BeginNews_OneUpdateLost_NextContainsIt) {
+  TopicFollower receiver(DefaultOptions());
+  receiver.OnPage(this->now, 10, false, "k");
   for (uint64_t next = 20; next <= 400; next += 10) {
     this->now += 600ms;
     this->follower.OnRecords(this->now, next, next);
     const uint64_t start = this->follower.BeginNews();
     if (next % 20 == 0) {
-      CHECK(listener.OnNews(this->now, start, next));
+      CHECK(receiver.OnNews(this->now, start, next));
     }
   }
 }
 
 TEST_GROUP(BulkTopic) {
-  TopicFollower follower{Bulk()};
+  TopicFollower follower{BulkOptions()};
   TimePoint now{1s};
 
-  static TopicFollowerOptions Bulk() {
-    TopicFollowerOptions options = Shared();
+  static TopicFollowerOptions BulkOptions() {
+    TopicFollowerOptions options = DefaultOptions();
     options.is_bulk = true;
     return options;
   }
@@ -372,9 +378,9 @@
   }
 };
 
-// A thousand VMs hear nothing for a moment, and each reads what it has missed:
-// more than the store can give in time, again and again.
-TEST(BulkTopic, NoNews_PeersAreAskedBeforeTheStore) {
+// Failure: a thousand VMs receive no update for a moment, and each reads what
+// it has missed, which is repeatedly more than the store can serve in time.
+TEST(BulkTopic, NextCall_NoUpdates_AsksPeersBeforeStore) {
   this->now = this->follower.due();
   CHECK(this->follower.NextCall().kind == TopicCallKind::kAskPeer);
   this->follower.OnAskedPeer(this->now);
@@ -383,22 +389,23 @@
   CHECK(this->follower.due() > this->now + 500ms);
 }
 
-// Cut off from its peers, a VM reads soon enough for every bound.
-TEST(BulkTopic, PeersSayNothing_ReadsSoon) {
+// A VM that is cut off from its peers reads soon enough for every bound on
+// staleness.
+TEST(BulkTopic, NextCall_PeersSilent_ReadsSoon) {
   this->now = this->follower.due();
   while (this->follower.NextCall().kind == TopicCallKind::kAskPeer) {
     this->follower.OnAskedPeer(this->now);
     this->now = this->follower.due();
   }
   CHECK(this->follower.NextCall().kind == TopicCallKind::kReadOn);
-  CHECK(this->now <= TimePoint(1s) + Shared().max_silence + 400ms);
+  CHECK(this->now <= TimePoint(1s) + DefaultOptions().max_silence + 400ms);
 }
 
-// Their peers can't tell them: they read one after the other, at a rate that
-// the size of the fleet does not change.
-TEST(BulkTopic, PeersDecline_TwiceTheFleet_ReadsASecondAreTheSame) {
+// VMs whose peers decline read one after the other, at a rate that does not
+// depend on the size of the fleet.
+TEST(BulkTopic, OnPeerDeclined_TwiceTheFleet_SameReadRate) {
   const auto due_of = [this](size_t rank) {
-    TopicFollower vm(Bulk());
+    TopicFollower vm(BulkOptions());
     vm.OnPage(this->now, 10, false, "k");
     vm.SetRank(rank);
     vm.SetPeers(true);
@@ -410,7 +417,7 @@
   CHECK(due_of(100) - due_of(0) >= 100 * 40ms);
 }
 
-TEST(BulkTopic, FailedRead_TheNextBringsLessAndThenMore) {
+TEST(BulkTopic, OnFailed_Read_ReducesThenDoublesLimit) {
   const size_t most = this->follower.NextCall().max_bytes;
   this->follower.OnFailed(this->now);
   const size_t least = this->follower.NextCall().max_bytes;
@@ -419,19 +426,19 @@
   CHECK_EQUAL(2 * least, this->follower.NextCall().max_bytes);
 }
 
-// The topic grows by more than a read brings. The VM that reads for all would
-// fall back further and further.
-TEST(BulkTopic, Read_NotToTheEnd_ReadOnAtOnce) {
+// Failure: the topic grows by more than one read returns, and the VM that reads
+// for the fleet falls further and further behind.
+TEST(BulkTopic, OnRecords_EndNotReached_ReadsAtOnce) {
   this->follower.OnRecords(this->now, 20, 50);
   CHECK(this->follower.due() == this->now);
   this->follower.OnRecords(this->now, 50, 50);
   CHECK(this->follower.due() > this->now);
 }
 
-// A list of many pages begins anew at each call that fails, and never ends
-// while the store has much to do.
-TEST(BulkTopic, List_ACallFails_GoesOnAfterTheLastPage) {
-  TopicFollower fresh(Bulk());
+// Failure: a listing of many pages restarts after each failed call, and never
+// ends while the store is overloaded.
+TEST(BulkTopic, Listing_CallFails_ContinuesAfterLastPage) {
+  TopicFollower fresh(BulkOptions());
   fresh.OnPage(this->now, 10, true, "m");
   fresh.OnFailed(this->now);
   STRCMP_EQUAL("m", fresh.NextCall().after.c_str());
@@ -439,7 +446,7 @@
   CHECK_EQUAL(10, fresh.offset());
 }
 
-TEST(BulkTopic, IsFresh_NoWordForLong_IsNot) {
+TEST(BulkTopic, IsFresh_NoUpdateForLong_IsFalse) {
   CHECK(this->follower.is_fresh(this->now + 500ms));
   CHECK_FALSE(this->follower.is_fresh(this->now + 2s));
 }
--- a/packages/decision/test/topic_records_test.cc
+++ b/packages/decision/test/topic_records_test.cc
@@ -1,4 +1,4 @@
-// Tests of what a VM keeps of a topic for other VMs.
+// Tests of the records of a topic that a VM keeps for other VMs.
 
 #include "basilsill/decision/topic_records.h"
 
@@ -25,34 +25,36 @@
   CHECK(this->records.From(0).empty());
 }
 
-// Configurations come in quick succession, each the whole of it. Only the last
-// one counts, and each one told goes to every VM.
-TEST(TopicRecords, Untold_KeyChangedOften_OnlyItsLastIsTold) {
+// Failure: configurations arrive in quick succession, each a complete one, and
+// all of them are sent to every VM although only the last counts.
+TEST(TopicRecords, RecentFrom_KeyChangedOften_HasOnlyItsLast) {
   for (uint64_t offset = 0; offset < 10; ++offset) {
     this->records.AddRecent(Record("config", offset));
   }
   this->records.AddRecent(Record("other", 10));
-  const auto untold = this->records.RecentFrom(0);
-  CHECK_EQUAL(2, untold.size());
-  CHECK_EQUAL(9, untold[0].offset);
+  const auto recent = this->records.RecentFrom(0);
+  CHECK_EQUAL(2, recent.size());
+  CHECK_EQUAL(9, recent[0].offset);
 }
 
-// The store drops its history, and with it the record that took a key away.
-// Told to a VM that starts, the key's last record would be served by there.
-TEST(TopicRecords, Listing_WithoutAKey_NotToldToThoseThatStart) {
+// Failure: the store drops its history, including the record that removed a
+// key. A starting VM that received the last record of the key would serve by
+// it.
+TEST(TopicRecords, Listing_WithoutKey_ErasesIt) {
   this->records.Keep(Record("a", 5));
   this->records.Keep(Record("b", 6));
   this->records.BeginListing();
   this->records.OnListed("b");
   this->records.EndListing();
-  const auto told = this->records.From(0);
-  CHECK_EQUAL(1, told.size());
-  STRCMP_EQUAL("b", told[0].key.c_str());
+  const auto kept = this->records.From(0);
+  CHECK_EQUAL(1, kept.size());
+  STRCMP_EQUAL("b", kept[0].key.c_str());
 }
 
-// A VM is told the topic whole while its own list is on its way, which has a
-// record more and ends the listing a second time.
-TEST(TopicRecords, Listing_EndedTwice_LaterRecordIsTold) {
+// Failure: another VM sends the whole topic while this VM's own listing is in
+// flight. The answer of that listing contains a later record and ends the
+// listing a second time, which must not remove records.
+TEST(TopicRecords, Listing_EndedTwice_KeepsLaterRecord) {
   this->records.BeginListing();
   this->records.OnListed("a");
   this->records.Keep(Record("a", 5));
@@ -63,18 +65,18 @@
   CHECK_EQUAL(2, this->records.From(0).size());
 }
 
-// A removal is the last word of its key like any other.
-TEST(TopicRecords, Untold_ChangedThenRemoved_RemovalIsTold) {
+// A removal counts as the last record of its key.
+TEST(TopicRecords, RecentFrom_ChangedThenRemoved_HasRemoval) {
   this->records.AddRecent(Record("a", 1));
   this->records.AddRecent(Record("a", 2, true));
-  const auto untold = this->records.RecentFrom(0);
-  CHECK_EQUAL(1, untold.size());
-  CHECK(untold[0].removed);
+  const auto recent = this->records.RecentFrom(0);
+  CHECK_EQUAL(1, recent.size());
+  CHECK(recent[0].removed);
 }
 
-// News can overtake one another; an older one must not take the place of the
-// newer.
-TEST(TopicRecords, Untold_OlderComesLate_NewerStays) {
+// Failure: updates arrive out of order, and an older record replaces a newer
+// one of the same key.
+TEST(TopicRecords, AddRecent_OlderArrivesLate_NewerIsKept) {
   this->records.AddRecent(Record("a", 7));
   this->records.AddRecent(Record("a", 3));
   CHECK_EQUAL(1, this->records.RecentFrom(4).size());
--- a/packages/decision/test/upstream_registry_test.cc
+++ b/packages/decision/test/upstream_registry_test.cc
@@ -1,5 +1,5 @@
-// Tests of the registry of upstreams: what lapses, what leaves, and addresses
-// that are used again.
+// Tests of the upstream registry: expired entries, leaving upstreams, restarts
+// and reused addresses.
 
 #include "basilsill/decision/upstream_registry.h"
 
@@ -39,24 +39,25 @@
     return entry;
   }
 
-  /// @returns for each id the place of its last word, which is of its youngest
+  /// @returns for each id the index of its last entry, which is of its latest
   /// start.
-  static std::map<std::string, size_t> LastWords(
-      const std::vector<RegisteredUpstream>& words) {
+  static std::map<std::string, size_t> LastEntries(
+      const std::vector<RegisteredUpstream>& entries) {
     std::map<std::string, size_t> last;
-    for (size_t i = 0; i < words.size(); ++i) {
-      last[words[i].id] = i;
+    for (size_t i = 0; i < entries.size(); ++i) {
+      last[entries[i].id] = i;
     }
     return last;
   }
 
-  /// Hears `words` in another order, some twice, some never but the last ones.
-  static UpstreamRegistry Heard(const std::vector<RegisteredUpstream>& words,
-                                const std::map<std::string, size_t>& last,
-                                pcg32& random) {
+  /// @returns a registry that received `entries` in random order, some twice
+  /// and some not at all; the last entry of each id always arrives.
+  static UpstreamRegistry Deliver(
+      const std::vector<RegisteredUpstream>& entries,
+      const std::map<std::string, size_t>& last, pcg32& random) {
     std::vector<size_t> order;
-    for (size_t i = 0; i < words.size(); ++i) {
-      const bool is_last = last.at(words[i].id) == i;
+    for (size_t i = 0; i < entries.size(); ++i) {
+      const bool is_last = last.at(entries[i].id) == i;
       order.insert(order.end(), is_last ? 1 + random(2) : random(3), i);
     }
     for (size_t i = order.size(); i > 1; --i) {
@@ -64,7 +65,7 @@
     }
     UpstreamRegistry registry;
     for (const size_t place : order) {
-      registry.OnEntry(TimePoint(1s), place, words[place]);
+      registry.OnEntry(TimePoint(1s), place, entries[place]);
     }
     return registry;
   }
@@ -87,23 +88,24 @@
   }
 };
 
-TEST(UpstreamRegistry, Removed_PlatformWell_GoneAtOnce) {
+TEST(UpstreamRegistry, Removed_PlatformReachable_GoneAtOnce) {
   this->Write(Entry("a"));
   this->Remove("a");
   CHECK_FALSE(this->Has("a"));
 }
 
-TEST(UpstreamRegistry, Renewed_NothingElseChanged_IsNoChange) {
+TEST(UpstreamRegistry, Renewed_NothingElseChanged_KeepsVersion) {
   this->Write(Entry("a"));
   const uint64_t before = this->registry.version();
   this->Write(Entry("a"));
   CHECK_EQUAL(before, this->registry.version());
 }
 
-// The platform's store is down for longer than entries live without being
-// renewed. When it is back, all upstreams are removed from the registry, and
-// list themselves again within two seconds. In between nothing would be served.
-TEST(UpstreamRegistry, Removed_PlatformJustBack_StaysForAWhile) {
+// Failure: the platform's store is down for longer than entries live without
+// renewal. When it is back, all upstreams are removed from the registry and
+// list themselves again within two seconds. Without deferred removals no
+// request could be served in between.
+TEST(UpstreamRegistry, Removed_PlatformJustBack_IsDeferred) {
   this->Write(Entry("a"));
   this->registry.OnPlatformLost();
   this->Advance(5s);
@@ -116,7 +118,7 @@
   CHECK(this->Has("a"));
 }
 
-// As above, but the upstream has died meanwhile and does not come back.
+// As above, but the upstream has died meanwhile and does not list itself again.
 TEST(UpstreamRegistry, Removed_PlatformBackAndNotListedAgain_Gone) {
   this->Write(Entry("a"));
   this->registry.OnPlatformLost();
@@ -127,7 +129,7 @@
   CHECK_FALSE(this->Has("a"));
 }
 
-// An upstream that said it was leaving before it was removed has not lapsed.
+// The removal of an upstream that announced its leaving is not deferred.
 TEST(UpstreamRegistry, Removed_PlatformBackButWasLeaving_GoneAtOnce) {
   RegisteredUpstream leaving = Entry("a");
   leaving.leaving = true;
@@ -138,9 +140,9 @@
   CHECK_FALSE(this->Has("a"));
 }
 
-// The store drops its history, and with it the record that an upstream was
-// removed. All is listed anew: what is not in the list is gone.
-TEST(UpstreamRegistry, Listing_EntryNotInIt_Gone) {
+// Failure: the store drops its history, including the removal of an upstream.
+// After a new listing, an upstream that is not in it must be gone.
+TEST(UpstreamRegistry, Listing_WithoutEntry_Gone) {
   this->Write(Entry("a"));
   this->Write(Entry("b", 81));
   this->registry.BeginListing();
@@ -150,7 +152,7 @@
   CHECK(this->Has("b"));
 }
 
-// A page of a list can be older than a record that came meanwhile.
+// A page of a listing can be older than a record that arrived meanwhile.
 TEST(UpstreamRegistry, Entry_OlderThanKnown_Ignored) {
   RegisteredUpstream leaving = Entry("a");
   leaving.leaving = true;
@@ -159,9 +161,10 @@
   CHECK(this->registry.rows().find("a")->second.entry.leaving);
 }
 
-// An instance ends without a word, and its address goes to one of another
-// service, whose entry comes first. Requests for the old one would go there.
-TEST(UpstreamRegistry, Entry_SameAddressAsAnOlderOne_ShadowsIt) {
+// Failure: an instance crashes, and its address is given to an instance of
+// another service, whose entry arrives before the removal of the old one.
+// Requests for the old instance would go to the new one.
+TEST(UpstreamRegistry, Entry_SameAddressAsOlderOne_ShadowsIt) {
   this->Write(Entry("old"));
   this->Write(Entry("new"));
   CHECK(this->registry.rows().find("old")->second.shadowed);
@@ -170,7 +173,7 @@
   CHECK_FALSE(this->registry.rows().find("old")->second.shadowed);
 }
 
-TEST(UpstreamRegistry, Cold_TimeOver_WarmWithoutAWord) {
+TEST(UpstreamRegistry, Cold_TimeOver_WarmWithoutNewEntry) {
   RegisteredUpstream entry = Entry("a");
   entry.cold_for = 3s;
   this->Write(entry);
@@ -179,9 +182,9 @@
   CHECK_FALSE(this->registry.rows().find("a")->second.cold);
 }
 
-// On-call asks why an upstream got no work: the log has to say when it was
-// thought to leave, doubted, or gone.
-TEST(UpstreamRegistry, Changes_AfterTheFirstList_ToldOnce) {
+// Each change is reported once, so that the log shows when an upstream was
+// leaving, doubted or gone.
+TEST(UpstreamRegistry, Changes_AfterFirstListing_ReportedOnce) {
   this->registry.BeginListing();
   this->Write(Entry("a"));
   this->registry.EndListing(this->now);
@@ -193,12 +196,12 @@
   this->Write(leaving);
   this->registry.OnPlatformLost();
   this->Remove("b");
-  const auto news = this->registry.TakeNews();
-  CHECK_EQUAL(3, news.size());
-  CHECK(news[0].transition_kind == UpstreamTransitionKind::kListed);
-  CHECK(news[1].transition_kind == UpstreamTransitionKind::kLeaving);
-  STRCMP_EQUAL("a", news[1].id.c_str());
-  CHECK(news[2].transition_kind == UpstreamTransitionKind::kDoubted);
+  const auto transitions = this->registry.TakeNews();
+  CHECK_EQUAL(3, transitions.size());
+  CHECK(transitions[0].transition_kind == UpstreamTransitionKind::kListed);
+  CHECK(transitions[1].transition_kind == UpstreamTransitionKind::kLeaving);
+  STRCMP_EQUAL("a", transitions[1].id.c_str());
+  CHECK(transitions[2].transition_kind == UpstreamTransitionKind::kDoubted);
   this->Write(Entry("b", 81));
   this->Remove("a");
   const auto later = this->registry.TakeNews();
@@ -207,9 +210,9 @@
   CHECK(later[1].transition_kind == UpstreamTransitionKind::kGone);
 }
 
-// An address was given to another upstream while this VM could not read; it
-// finds both entries in one list, in the order of their keys.
-TEST(UpstreamRegistry, Listed_TwoAtOneAddress_TheNewerHasIt) {
+// An address was given to another upstream while this VM could not read; the VM
+// finds both entries in one listing, ordered by key.
+TEST(UpstreamRegistry, Listing_TwoAtOneAddress_ShadowsOlder) {
   this->registry.BeginListing();
   this->registry.OnEntry(this->now, 7, Entry("a"));
   this->registry.OnEntry(this->now, 3, Entry("b"));
@@ -218,9 +221,9 @@
   CHECK(this->registry.rows().at("b").shadowed);
 }
 
-// An upstream says that it leaves, crashes, and starts again under its id. The
-// next start would get no work if it inherited the leaving of the one before.
-TEST(UpstreamRegistry, Entry_OfAYoungerStart_HasNothingOfTheOlder) {
+// Failure: an upstream announces its leaving, crashes, and restarts under its
+// id. If the next start inherited the leaving state, it would get no work.
+TEST(UpstreamRegistry, Entry_OfLaterStart_InheritsNothing) {
   this->Write(Started("a", 100ms));
   RegisteredUpstream leaving = Started("a", 100ms);
   leaving.leaving = true;
@@ -232,13 +235,13 @@
   const UpstreamRegistry::Row& row = this->registry.rows().at("a");
   CHECK_FALSE(row.entry.leaving);
   CHECK_FALSE(row.cold);
-  CHECK_FALSE(row.lapsed);
+  CHECK_FALSE(row.removal_pending);
   CHECK(row.entry.started == 200ms);
 }
 
-// The store carries out a write of the start that died seconds late, after the
-// next start has listed itself at another address.
-TEST(UpstreamRegistry, Entry_OfAnOlderStart_NeverComesBack) {
+// Failure: the store carries out a write of the dead start seconds late, after
+// the next start has listed itself at another address.
+TEST(UpstreamRegistry, Entry_OfEarlierStart_Ignored) {
   this->Write(Started("a", 200ms, 81));
   this->Write(Started("a", 100ms, 80));
   CHECK_EQUAL(81, this->registry.rows().at("a").entry.endpoint.port);
@@ -249,7 +252,7 @@
   CHECK(this->Has("a"));
 }
 
-TEST(UpstreamRegistry, Entry_WithoutAStart_IsOfTheKnownOne) {
+TEST(UpstreamRegistry, Entry_WithoutStartTime_KeepsKnownStart) {
   this->Write(Started("a", 200ms));
   const uint64_t before = this->registry.version();
   this->Write(Entry("a"));
@@ -257,9 +260,9 @@
   CHECK_EQUAL(before, this->registry.version());
 }
 
-// The upstream at the address that a start has left must not stay shadowed by
-// it.
-TEST(UpstreamRegistry, Entry_OfAYoungerStartElsewhere_FreesTheAddress) {
+// Failure: an upstream restarts at another address, and the upstream that now
+// has its old address stays shadowed.
+TEST(UpstreamRegistry, Entry_OfLaterStartElsewhere_FreesAddress) {
   this->Write(Entry("other"));
   this->Write(Started("a", 100ms));
   CHECK(this->registry.rows().at("other").shadowed);
@@ -267,21 +270,22 @@
   CHECK_FALSE(this->registry.rows().at("other").shadowed);
 }
 
-TEST(UpstreamRegistry, StartedAgain_AfterTheFirstList_ToldOnce) {
+TEST(UpstreamRegistry, StartedAgain_AfterFirstListing_ReportedOnce) {
   this->registry.BeginListing();
   this->Write(Started("a", 100ms));
   this->registry.EndListing(this->now);
   this->Write(Started("a", 200ms));
   this->Write(Started("a", 200ms));
-  const auto news = this->registry.TakeNews();
-  CHECK_EQUAL(1, news.size());
-  CHECK(news[0].transition_kind == UpstreamTransitionKind::kStartedAgain);
+  const auto transitions = this->registry.TakeNews();
+  CHECK_EQUAL(1, transitions.size());
+  CHECK(transitions[0].transition_kind ==
+        UpstreamTransitionKind::kStartedAgain);
 }
 
-// Another writer puts something unreadable in the place of a good entry. The
-// upstream lives, and would be without work until its next heartbeat if the
-// list counted it as gone.
-TEST(UpstreamRegistry, Listing_EntryUnreadable_IsNotGone) {
+// Failure: another writer replaces a valid entry by an unreadable one. If the
+// listing counted the upstream as gone, it would get no work until its next
+// heartbeat.
+TEST(UpstreamRegistry, Listing_EntryUnreadable_KeepsUpstream) {
   this->Write(Entry("a"));
   this->registry.BeginListing();
   this->registry.OnUnreadable("a");
@@ -291,29 +295,29 @@
   CHECK_FALSE(this->Has("never known"));
 }
 
-// Two VMs hear of the same upstreams, that start again at random, in other
-// orders and some things twice or not at all. Once both have heard the last
-// word of each, they believe the same.
-TEST(UpstreamRegistry, Histories_StartsInAnyOrder_EndWithTheSameBelief) {
+// Two VMs receive entries of the same upstreams, which restart at random, in
+// different orders, some twice or not at all. Once both have received the last
+// entry of each upstream, their registries must agree.
+TEST(UpstreamRegistry, RandomHistories_StartsInAnyOrder_RegistriesAgree) {
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     pcg32 random(seed);
-    std::vector<RegisteredUpstream> words;
+    std::vector<RegisteredUpstream> entries;
     std::map<std::string, std::chrono::milliseconds> starts;
     for (int i = 0; i < 40; ++i) {
       const std::string id = "i-" + std::to_string(random(4));
       std::chrono::milliseconds& start = starts[id];
       start += std::chrono::milliseconds(random(3) == 0 || start == 0ms);
-      words.push_back(Started(id, start, 80 + random(6)));
-      words.back().leaving = random(4) == 0;
+      entries.push_back(Started(id, start, 80 + random(6)));
+      entries.back().leaving = random(4) == 0;
     }
-    const auto last = LastWords(words);
-    UpstreamRegistry first = Heard(words, last, random);
-    UpstreamRegistry second = Heard(words, last, random);
+    const auto last = LastEntries(entries);
+    UpstreamRegistry first = Deliver(entries, last, random);
+    UpstreamRegistry second = Deliver(entries, last, random);
     CHECK_EQUAL(last.size(), first.rows().size());
     for (const auto& [id, place] : last) {
-      const RegisteredUpstream& word = words[place];
-      CHECK(first.rows().at(id).entry == word);
-      CHECK(second.rows().at(id).entry == word);
+      const RegisteredUpstream& last_entry = entries[place];
+      CHECK(first.rows().at(id).entry == last_entry);
+      CHECK(second.rows().at(id).entry == last_entry);
       CHECK_EQUAL(first.rows().at(id).shadowed, second.rows().at(id).shadowed);
     }
   }
--- a/packages/decision/test/vm_rows.h
+++ b/packages/decision/test/vm_rows.h
@@ -7,15 +7,15 @@
 
 #include "basilsill/decision/view.h"
 
-/// Rows of a large fleet: some large VMs with wide links, many small ones.
+/// VM rows of a test fleet: a few large VMs, many small ones.
 
 namespace basilsill::test {
 
 inline constexpr uint32_t kLargeCapacity = 500;
 inline constexpr uint32_t kSmallCapacity = 100;
 
-/// @returns `count` live VMs in turn in `data_centres`, of which every
-/// twentieth is large.
+/// @returns rows of `count` live VMs, distributed round-robin over
+/// `data_centres` data centres. Every twentieth VM is large.
 inline std::vector<VmRow> MakeVmRows(uint32_t count, uint32_t data_centres) {
   constexpr uint32_t large_every = 20;
   std::vector<VmRow> rows;
