--- a/packages/ctl/src/resource_file.cc
+++ b/packages/ctl/src/resource_file.cc
@@ -33,7 +33,7 @@
     declared.path.name = this->ReadName();
     declared.version = this->ReadVersion();
     declared.spec = this->ReadSpec(declared.path.name);
-    this->RejectOthers();
+    this->RejectUnknownFields();
     return declared;
   }
 
@@ -109,7 +109,7 @@
     return json::serialize(spec);
   }
 
-  void RejectOthers() {
+  void RejectUnknownFields() {
     for (const auto& field : this->object) {
       const std::string name(field.key());
       if (std::find(kFields.begin(), kFields.end(), name) == kFields.end()) {
--- a/packages/decision/include/basilsill/decision/change_table.h
+++ b/packages/decision/include/basilsill/decision/change_table.h
@@ -67,7 +67,7 @@
 };
 
 /// What the answer to an append says.
-enum class AppendEnd : uint8_t {
+enum class AppendResult : uint8_t {
   kAnswered,  ///< It took effect.
   kNoEffect,  ///< It was refused, and never takes effect.
   kUnknown,   ///< No answer: it took effect, or will, or won't.
@@ -77,7 +77,7 @@
 enum class ChangeActionKind : uint8_t {
   kAppend,   ///< Append `record`, then call OnAppend.
   kReadNow,  ///< Read without waiting for new records; see read_ticket().
-  kTell,     ///< Tell the operator `outcome`.
+  kReply,    ///< Tell the operator `outcome`.
   kCount
 };
 
@@ -100,7 +100,7 @@
                        const ChangeRequest& request,
                        const ConfigurationFollower& follower);
 
-  void OnAppend(TimePoint now, ChangeHandle change, AppendEnd end);
+  void OnAppend(TimePoint now, ChangeHandle change, AppendResult end);
 
   /// The follower took in an answer of the log, or a snapshot.
   void OnFollow(const FollowResult& result,
--- a/packages/decision/include/basilsill/decision/checkpoint.h
+++ b/packages/decision/include/basilsill/decision/checkpoint.h
@@ -87,7 +87,7 @@
 };
 
 /// What decides whether a checkpoint is due.
-struct CheckpointSituation {
+struct CheckpointConditions {
   uint64_t next_offset = 0;  ///< Of this VM's state, which has no gap.
   uint64_t first = 0;        ///< Oldest offset that the log retains.
   /// Offset of the newest complete checkpoint seen in the log.
@@ -105,14 +105,14 @@
 
   /// @returns true if a checkpoint is to be written now. Call it only while
   /// the log answers.
-  bool Tick(TimePoint now, const CheckpointSituation& situation);
+  bool Tick(TimePoint now, const CheckpointConditions& situation);
 
   /// The log does not answer. Turns begin again when it does, or all VMs
   /// would write at that moment.
   void OnLogUnavailable() { this->due_since.reset(); }
 
  private:
-  bool IsDue(TimePoint now, const CheckpointSituation& situation) const;
+  bool IsDue(TimePoint now, const CheckpointConditions& situation) const;
 
   std::optional<uint64_t> covered;
   TimePoint covered_at;  // When `covered` was first seen.
--- a/packages/decision/include/basilsill/decision/declared_configuration.h
+++ b/packages/decision/include/basilsill/decision/declared_configuration.h
@@ -33,7 +33,7 @@
   std::string host;         ///< Lower case.
   std::string path_prefix;  ///< Begins and ends with a slash.
   RouteKind kind = RouteKind::kUnsafe;
-  std::vector<ServiceShare> services;  ///< Several for a traffic split.
+  std::vector<WeightedServiceName> services;  ///< Several for a traffic split.
   std::chrono::milliseconds timeout{0};
   std::chrono::milliseconds target_latency{0};
   uint8_t max_attempts = 1;
@@ -53,7 +53,7 @@
 struct DeclaredService {
   std::string name;
   std::string health_path;
-  ColdTerms cold{};
+  ColdStartLimits cold{};
 };
 
 struct DeclaredConfiguration {
--- a/packages/decision/include/basilsill/decision/follower.h
+++ b/packages/decision/include/basilsill/decision/follower.h
@@ -43,7 +43,7 @@
   std::vector<RecordOutcome> outcomes;
   /// The state was replaced by that of a checkpoint or snapshot: outcomes of
   /// records in between will never be known here.
-  bool has_jumped = false;
+  bool state_replaced = false;
   /// A checkpoint in the log says another state at an offset than this VM
   /// had there: one of the two builds is at fault.
   bool has_diverged = false;
--- a/packages/decision/include/basilsill/decision/propagation_plan.h
+++ b/packages/decision/include/basilsill/decision/propagation_plan.h
@@ -27,14 +27,14 @@
 /// updates.
 inline constexpr size_t kRelaysPerDataCentre = 2;
 
-/// @returns the relay VMs of `data_centre`, in the order of WorkOrder.
+/// @returns the relay VMs of `data_centre`, in the order of RankLiveVms.
 std::vector<VmHandle> RelaysOf(const std::vector<VmRow>& vms,
                                DataCentreHandle data_centre);
 
 struct PropagationPlan {
   /// Position of this VM in the common order in which VMs read for the fleet;
   /// the number of live VMs if this VM is not in it. Relays come first, then
-  /// the other VMs, each group in the order of WorkOrder.
+  /// the other VMs, each group in the order of RankLiveVms.
   size_t rank = 0;
   /// This VM is a relay: it sends what it reads to others, and forwards what it
   /// receives from other data centres.
--- a/packages/decision/include/basilsill/decision/resource.h
+++ b/packages/decision/include/basilsill/decision/resource.h
@@ -54,7 +54,7 @@
   std::string team;
   /// Where an upstream says whether it is well; empty: it is not asked.
   std::string health_path{};
-  ColdTerms cold{};
+  ColdStartLimits cold{};
 
   friend bool operator==(const ServiceSpec&, const ServiceSpec&) = default;
 };
@@ -86,16 +86,16 @@
 };
 
 /// A service's part in the requests of one rule.
-struct ServiceShare {
+struct WeightedServiceName {
   std::string service;
   uint32_t weight = 1;
 };
 
 /// What a rule says beyond RuleSpec where the installation's platform declares
 /// rules. Has no JSON form.
-struct RuleTerms {
+struct PlatformRuleOptions {
   /// Services that share the requests by weight; empty: the rule's has all.
-  std::vector<ServiceShare> split;
+  std::vector<WeightedServiceName> split;
   /// No caller is kept waiting for longer; 0: only its deadline counts.
   std::chrono::milliseconds timeout{0};
   /// Answers within this time are good ones; 0: not known.
@@ -113,7 +113,8 @@
   bool hedge = false;
   bool requires_api_key = false;
   std::chrono::milliseconds deadline = limits::kDefaultDeadline;
-  std::shared_ptr<const RuleTerms> terms{};  ///< Null: none are declared.
+  std::shared_ptr<const PlatformRuleOptions>
+      platform_options{};  ///< Null: none are declared.
 };
 
 /// Overrides of the policy's ratios, for the team of the resource's name or,
--- a/packages/decision/include/basilsill/decision/state_fetch.h
+++ b/packages/decision/include/basilsill/decision/state_fetch.h
@@ -9,7 +9,7 @@
 
 /// Selects the peers from which a starting VM requests the full state, one
 /// linked VM at a time because the answer is long. The VM asks its helpers
-/// (StartHelpers) first, as their links come up, and any other linked VM only
+/// (StartupPeers) first, as their links come up, and any other linked VM only
 /// if the helpers have not answered in time: if VMs that start together asked
 /// each other, each could wait for the other. A peer without send budget
 /// declines at once, and the next one is asked. Pure.
@@ -26,7 +26,7 @@
 class StateFetch {
  public:
   /// The link with `vm` is up.
-  /// @param is_helper Whether `vm` is one of this VM's StartHelpers.
+  /// @param is_helper Whether `vm` is one of this VM's StartupPeers.
   void OnLinked(TimePoint now, VmHandle vm, bool is_helper);
 
   /// `vm` declined the request.
--- a/packages/decision/include/basilsill/decision/state_send_budget.h
+++ b/packages/decision/include/basilsill/decision/state_send_budget.h
@@ -9,8 +9,8 @@
 /// full state to starting VMs that request it. Pure.
 ///
 /// Failure: a VM with a narrow link becomes the first in the order of
-/// WorkOrder, because larger VMs restart or because it started before them. It
-/// sends the full state, megabytes, to every linked VM, which saturates its
+/// RankLiveVms, because larger VMs restart or because it started before them.
+/// It sends the full state, megabytes, to every linked VM, which saturates its
 /// link: its own calls get no answer and other VMs suspect it although it
 /// works. With requests of one VM after the other and a limit by bandwidth it
 /// serves few VMs, and the others are declined at once and ask elsewhere.
--- a/packages/decision/include/basilsill/decision/view.h
+++ b/packages/decision/include/basilsill/decision/view.h
@@ -94,14 +94,15 @@
 
 /// How a service's upstreams are spared while they are cold: just started, or
 /// back after a time without work.
-struct ColdTerms {
+struct ColdStartLimits {
   /// How long one is taken for cold that says nothing of it; 0: not at all.
   std::chrono::milliseconds time{0};
   /// Requests that one may get in any second while it is cold, from all VMs
   /// together; 0: any number.
   uint32_t requests_per_second = 0;
 
-  friend bool operator==(const ColdTerms&, const ColdTerms&) = default;
+  friend bool operator==(const ColdStartLimits&,
+                         const ColdStartLimits&) = default;
 };
 
 struct UpstreamRow {
@@ -135,7 +136,7 @@
   std::string name;
   TeamHandle team;
   std::string health_path;  ///< Empty: upstreams are not asked.
-  ColdTerms cold;
+  ColdStartLimits cold;
   std::vector<UpstreamRow> upstreams;
   /// Of `upstreams`, in their order; empty where they have no ids.
   std::vector<UpstreamIncarnation> incarnations;
@@ -156,7 +157,7 @@
 };
 
 /// A service's part in the requests of one rule.
-struct ServicePart {
+struct WeightedService {
   ServiceHandle service;
   uint32_t weight = 1;
 };
@@ -165,7 +166,7 @@
   RuleHandle handle;
   std::string name;
   ServiceHandle service;
-  std::vector<ServicePart> split;  ///< Empty: `service` has all.
+  std::vector<WeightedService> split;  ///< Empty: `service` has all.
   RuleMatch match;
   TrafficClass traffic_class = TrafficClass::kOrdinary;
   bool once = false;        ///< Must not repeat: needs a claim to run.
@@ -201,7 +202,7 @@
 /// @returns true if `a` stands before `b` where a VM has to work for others: a
 /// larger one first, and among VMs of about one size by `score`, a hash. Every
 /// VM comes to the same order.
-bool WorksBefore(const VmRow& a,
+bool RanksBefore(const VmRow& a,
                  uint64_t score_a,
                  const VmRow& b,
                  uint64_t score_b);
@@ -238,7 +239,7 @@
 /// @remarks Failure: each VM tells all its peers whenever an upstream has
 /// changed, though what it tells is the same as before. In a large fleet
 /// something changes all the time, and these messages are most of its traffic.
-bool AppliesMore(const RoutingView* before, const RoutingView& after);
+bool AppliedOffsetChanged(const RoutingView* before, const RoutingView& after);
 
 /// The parts of a request's head that rules look at.
 struct RequestHead {
@@ -279,7 +280,7 @@
 
 /// @returns the VMs that are live, in the order in which they do work that
 /// one VM does for all.
-std::vector<VmHandle> WorkOrder(const std::vector<VmRow>& vms);
+std::vector<VmHandle> RankLiveVms(const std::vector<VmRow>& vms);
 
 /// @returns the VMs that `self` asks for help while it starts, two: a small VM
 /// asks large ones, near ones before others, by hash, so that they share those
@@ -289,7 +290,7 @@
 /// @remarks A list of VMs may be partial while a whole fleet starts. One that
 /// is small, and first only since larger ones are not listed yet, is asked no
 /// more once two larger ones are.
-std::vector<VmHandle> StartHelpers(const std::vector<VmRow>& vms,
+std::vector<VmHandle> StartupPeers(const std::vector<VmRow>& vms,
                                    VmHandle self);
 
 /// @returns the live VM after `self` in a ring of all VMs by name, the same on
--- a/packages/decision/include/basilsill/decision/view_pace.h
+++ b/packages/decision/include/basilsill/decision/view_build_throttle.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_DECISION_VIEW_PACE_H_
-#define BASILSILL_DECISION_VIEW_PACE_H_
+#ifndef BASILSILL_DECISION_VIEW_BUILD_THROTTLE_H_
+#define BASILSILL_DECISION_VIEW_BUILD_THROTTLE_H_
 
 #include "basilsill/base/time.h"
 
@@ -10,7 +10,7 @@
 /// view at each tick would take all of a small VM's processor. So views take a
 /// bounded part of its time, whatever one costs, as long as none waits too
 /// long.
-class ViewPace {
+class ViewBuildThrottle {
  public:
   /// The longest that a change waits for its view.
   static constexpr Duration kMaxWait = std::chrono::milliseconds(500);
@@ -26,4 +26,4 @@
 
 }  // namespace basilsill
 
-#endif  // BASILSILL_DECISION_VIEW_PACE_H_
+#endif  // BASILSILL_DECISION_VIEW_BUILD_THROTTLE_H_
--- a/packages/decision/include/basilsill/decision/view_builder.h
+++ b/packages/decision/include/basilsill/decision/view_builder.h
@@ -34,7 +34,7 @@
                                const MembershipRows& membership) = 0;
 
   /// @returns how many instances the last view leaves out.
-  virtual size_t left_out() const = 0;
+  virtual size_t excluded_instances() const = 0;
 };
 
 }  // namespace basilsill
--- a/packages/decision/src/change_table.cc
+++ b/packages/decision/src/change_table.cc
@@ -103,12 +103,14 @@
   return handle;
 }
 
-void ChangeTable::OnAppend(TimePoint now, ChangeHandle change, AppendEnd end) {
+void ChangeTable::OnAppend(TimePoint now,
+                           ChangeHandle change,
+                           AppendResult end) {
   Pending* entry = this->pending.Find(change);
   if (entry == nullptr || entry->phase != Phase::kAppending) {
     return;
   }
-  if (end != AppendEnd::kNoEffect) {
+  if (end != AppendResult::kNoEffect) {
     entry->may_stand_in_log = true;
     this->ReadOn(*entry, Phase::kReading);
     return;
@@ -121,7 +123,7 @@
 
 void ChangeTable::OnFollow(const FollowResult& result,
                            const ConfigurationFollower& follower) {
-  if (result.has_jumped) {
+  if (result.state_replaced) {
     this->OnJump(follower.state());
   }
   for (const RecordOutcome& outcome : result.outcomes) {
@@ -261,7 +263,7 @@
                         {{FailureKind::kUnresolved, "",
                           "the log has not shown yet whether it was taken"}}};
   this->queue.push_back(
-      {ChangeActionKind::kTell, handle, {}, std::move(outcome)});
+      {ChangeActionKind::kReply, handle, {}, std::move(outcome)});
 }
 
 void ChangeTable::Append(ChangeHandle handle, Pending& entry, uint64_t seen) {
@@ -296,7 +298,7 @@
                              std::vector<Failure> failures) {
   ChangeOutcome outcome{
       status, request.change.id, request.cookie, {}, std::move(failures)};
-  this->queue.push_back({ChangeActionKind::kTell, {}, {}, std::move(outcome)});
+  this->queue.push_back({ChangeActionKind::kReply, {}, {}, std::move(outcome)});
 }
 
 // An operator who got no answer sends the change again, perhaps to another
@@ -313,7 +315,7 @@
   outcome.version = outcome.status == ChangeStatus::kAccepted
                         ? decided->offset
                         : CurrentVersion(state, change.resource);
-  this->queue.push_back({ChangeActionKind::kTell, {}, {}, std::move(outcome)});
+  this->queue.push_back({ChangeActionKind::kReply, {}, {}, std::move(outcome)});
   return true;
 }
 
@@ -348,7 +350,7 @@
   this->by_id.erase(entry.change.id);
   this->pending.Destroy(handle);
   this->queue.push_back(
-      {ChangeActionKind::kTell, handle, {}, std::move(outcome)});
+      {ChangeActionKind::kReply, handle, {}, std::move(outcome)});
 }
 
 }  // namespace basilsill
--- a/packages/decision/src/checkpoint_planner.cc
+++ b/packages/decision/src/checkpoint_planner.cc
@@ -7,7 +7,7 @@
 namespace basilsill {
 
 bool CheckpointPlanner::Tick(TimePoint now,
-                             const CheckpointSituation& situation) {
+                             const CheckpointConditions& situation) {
   if (situation.covered != this->covered) {
     this->covered = situation.covered;
     this->covered_at = now;
@@ -34,7 +34,7 @@
 }
 
 bool CheckpointPlanner::IsDue(TimePoint now,
-                              const CheckpointSituation& situation) const {
+                              const CheckpointConditions& situation) const {
   const uint64_t next = situation.next_offset;
   if (next == 0) {
     return false;
--- a/packages/decision/src/cold_quota.cc
+++ b/packages/decision/src/cold_quota.cc
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-uint32_t ColdShareOf(const ColdTerms& terms) {
+uint32_t ColdShareOf(const ColdStartLimits& terms) {
   if (terms.requests_per_second == 0) {
     return 0;
   }
--- a/packages/decision/src/cold_quota.h
+++ b/packages/decision/src/cold_quota.h
@@ -27,7 +27,7 @@
 
 /// @returns the part of a service's bound for cold upstreams that one VM may
 /// use, in requests per second: at least 1, or 0 if the service has no bound.
-uint32_t ColdShareOf(const ColdTerms& terms);
+uint32_t ColdShareOf(const ColdStartLimits& terms);
 
 class ColdQuota {
  public:
--- a/packages/decision/src/configuration_record.cc
+++ b/packages/decision/src/configuration_record.cc
@@ -61,7 +61,7 @@
   if (is_delete && body != nullptr) {
     reader.Reject("body", FailureKind::kUnknownField, "of a deletion");
   }
-  reader.RejectOthers();
+  reader.RejectUnknownFields();
   if (!failures.empty()) {
     return {OtherRecord{RecordVerdict::kMalformed}, std::move(failures)};
   }
@@ -77,7 +77,7 @@
   Withdrawal withdrawal;
   ReadChangeId(reader, withdrawal.id);
   reader.Read("seen", kRequired, 0, UINT64_MAX, withdrawal.seen);
-  reader.RejectOthers();
+  reader.RejectUnknownFields();
   if (!failures.empty()) {
     return {OtherRecord{RecordVerdict::kMalformed}, std::move(failures)};
   }
--- a/packages/decision/src/configuration_status.cc
+++ b/packages/decision/src/configuration_status.cc
@@ -55,7 +55,7 @@
 
 void ChangeFeed::OnFollow(const FollowResult& result,
                           const ConfigurationState& state) {
-  if (result.has_jumped) {
+  if (result.state_replaced) {
     // Changes were skipped. A watcher who went on would never hear of them.
     this->events.clear();
     this->begin = result.outcomes.empty() ? state.next_offset()
--- a/packages/decision/src/declared_configuration.cc
+++ b/packages/decision/src/declared_configuration.cc
@@ -72,14 +72,14 @@
   rule.idempotent = route.kind != RouteKind::kUnsafe;
   rule.hedge = route.kind == RouteKind::kSafe;
   rule.deadline = route.timeout;
-  auto terms = std::make_shared<RuleTerms>();
+  auto platform_options = std::make_shared<PlatformRuleOptions>();
   if (route.services.size() > 1) {
-    terms->split = route.services;
+    platform_options->split = route.services;
   }
-  terms->timeout = route.timeout;
-  terms->target_latency = route.target_latency;
-  terms->max_attempts = route.max_attempts;
-  rule.terms = std::move(terms);
+  platform_options->timeout = route.timeout;
+  platform_options->target_latency = route.target_latency;
+  platform_options->max_attempts = route.max_attempts;
+  rule.platform_options = std::move(platform_options);
   return rule;
 }
 
@@ -192,7 +192,7 @@
       failures.push_back(
           {FailureKind::kMissingField, route.name, "route has no service"});
     }
-    for (const ServiceShare& share : route.services) {
+    for (const WeightedServiceName& share : route.services) {
       if (!services.contains(share.service)) {
         failures.push_back({FailureKind::kDanglingReference, route.name,
                             "no such service: " + share.service});
--- a/packages/decision/src/follower.cc
+++ b/packages/decision/src/follower.cc
@@ -214,7 +214,7 @@
   this->last_record_hash.reset();
   this->digests.clear();
   this->RememberDigest();
-  result.has_jumped = true;
+  result.state_replaced = true;
 }
 
 void ConfigurationFollower::RememberDigest() {
--- a/packages/decision/src/json_object_reader.cc
+++ b/packages/decision/src/json_object_reader.cc
@@ -152,7 +152,7 @@
   return {array->data(), array->size()};
 }
 
-void JsonObjectReader::RejectOthers() {
+void JsonObjectReader::RejectUnknownFields() {
   if (this->object == nullptr) {
     return;
   }
--- a/packages/decision/src/json_object_reader.h
+++ b/packages/decision/src/json_object_reader.h
@@ -63,7 +63,7 @@
                                                 Presence presence,
                                                 size_t max_size);
 
-  void RejectOthers();
+  void RejectUnknownFields();
 
   /// Reports a fault of field `name`.
   void Reject(std::string_view name, FailureKind kind, std::string detail);
--- a/packages/decision/src/propagation_plan.cc
+++ b/packages/decision/src/propagation_plan.cc
@@ -12,13 +12,13 @@
          vms[a.index].data_centre == vms[b.index].data_centre;
 }
 
-// @returns the live relay VMs in the order of WorkOrder. Appends the other live
-// VMs to `others` in the same order.
+// @returns the live relay VMs in the order of RankLiveVms. Appends the other
+// live VMs to `others` in the same order.
 std::vector<VmHandle> Relays(const std::vector<VmRow>& vms,
                              std::vector<VmHandle>& others) {
   std::map<DataCentreHandle, size_t> found;
   std::vector<VmHandle> relays;
-  for (const VmHandle vm : WorkOrder(vms)) {
+  for (const VmHandle vm : RankLiveVms(vms)) {
     size_t& count = found[vms.at(vm.index).data_centre];
     std::vector<VmHandle>& part =
         count < kRelaysPerDataCentre ? relays : others;
--- a/packages/decision/src/resource_reader.cc
+++ b/packages/decision/src/resource_reader.cc
@@ -117,7 +117,7 @@
               team.requests_per_second);
   fields.Read("burst", kOptional, 0.0, limits::kMaxTeamRate, team.burst);
   fields.Read("weight", kOptional, 1, limits::kMaxTeamWeight, team.weight);
-  fields.RejectOthers();
+  fields.RejectUnknownFields();
 }
 
 InstanceSpec ReadInstance(const json::value& value,
@@ -131,7 +131,7 @@
   fields.Read("slots", kOptional, 1, limits::kMaxSlotsPerUpstream,
               instance.slots);
   fields.Read("leaving", kOptional, instance.leaving);
-  fields.RejectOthers();
+  fields.RejectUnknownFields();
   const std::optional<std::string> canonical = CanonicalAddress(address);
   if (canonical) {
     instance.endpoint.address = *canonical;
@@ -218,7 +218,7 @@
     HeaderMatch match;
     header.Read("name", kRequired, match.name);
     header.Read("value", kRequired, match.value);
-    header.RejectOthers();
+    header.RejectUnknownFields();
     CheckMatchText(header, "name", match.name, IsLowerCase(match.name),
                    "must be a header name in lower case");
     CheckMatchText(header, "value", match.value, true, "is too long");
@@ -241,7 +241,7 @@
                  match.path_prefix.starts_with('/'), "must start with /");
   ReadMethods(fields, match.methods, failures);
   ReadHeaders(fields, match.headers, failures);
-  fields.RejectOthers();
+  fields.RejectUnknownFields();
 }
 
 void ReadRule(JsonObjectReader& reader,
@@ -358,7 +358,7 @@
     reader.Reject("name", FailureKind::kOutOfRange, "is reserved");
   }
   resource.spec = ReadSpec(id.kind, reader, failures);
-  reader.RejectOthers();
+  reader.RejectUnknownFields();
   return resource;
 }
 
--- a/packages/decision/src/service_rows.h
+++ b/packages/decision/src/service_rows.h
@@ -30,7 +30,7 @@
 
   /// @returns the number of instances that the last view leaves out, because it
   /// has no row for their data centre.
-  size_t left_out() const { return this->omitted; }
+  size_t excluded_instances() const { return this->omitted; }
 
   /// @returns the handle of service `name`, invalid if it has none.
   ServiceHandle Find(std::string_view name) const {
--- a/packages/decision/src/shard_table.cc
+++ b/packages/decision/src/shard_table.cc
@@ -62,7 +62,7 @@
 // @returns its quota, or nullptr if its service has no limit on cold upstreams.
 ColdQuota* RefreshQuota(ShardState& shard,
                         size_t index,
-                        const ColdTerms& cold) {
+                        const ColdStartLimits& cold) {
   const uint32_t share = ColdShareOf(cold);
   if (share == 0) {
     shard.cold_quotas.clear();
@@ -221,7 +221,7 @@
 void ShardTable::RefreshUpstream(TimePoint now,
                                  ShardState& shard,
                                  const UpstreamRow& row,
-                                 const ColdTerms& cold,
+                                 const ColdStartLimits& cold,
                                  bool fresh) {
   auto& known = shard.upstreams;
   auto place = std::find_if(
--- a/packages/decision/src/shard_table.h
+++ b/packages/decision/src/shard_table.h
@@ -59,7 +59,7 @@
   void RefreshUpstream(TimePoint now,
                        ShardState& shard,
                        const UpstreamRow& row,
-                       const ColdTerms& cold,
+                       const ColdStartLimits& cold,
                        bool fresh);
   uint32_t TakeRow();
 
--- a/packages/decision/src/split_chooser.cc
+++ b/packages/decision/src/split_chooser.cc
@@ -15,11 +15,13 @@
   const auto [found, is_new] =
       this->positions.try_emplace(rule.handle.index, this->random());
   const uint32_t position = found->second += kGoldenStep;
-  const uint64_t total_weight = std::accumulate(
-      rule.split.begin(), rule.split.end(), uint64_t{0},
-      [](uint64_t sum, const ServicePart& part) { return sum + part.weight; });
+  const uint64_t total_weight =
+      std::accumulate(rule.split.begin(), rule.split.end(), uint64_t{0},
+                      [](uint64_t sum, const WeightedService& part) {
+                        return sum + part.weight;
+                      });
   uint64_t offset = (position * total_weight) >> 32;
-  for (const ServicePart& part : rule.split) {
+  for (const WeightedService& part : rule.split) {
     if (offset < part.weight) {
       return part.service;
     }
--- a/packages/decision/src/view.cc
+++ b/packages/decision/src/view.cc
@@ -100,7 +100,7 @@
   const size_t kept = std::min(ShardRow::kOwners, ranked.size());
   const auto goes_before = [](const RankedVm& a, const RankedVm& b) {
     return a.group != b.group ? a.group < b.group
-                              : WorksBefore(*a.vm, a.score, *b.vm, b.score);
+                              : RanksBefore(*a.vm, a.score, *b.vm, b.score);
   };
   std::partial_sort(ranked.begin(), ranked.begin() + kept, ranked.end(),
                     goes_before);
@@ -120,7 +120,7 @@
 
 // Sizes within a factor of two count as one, so that work is spread over all
 // of them.
-bool WorksBefore(const VmRow& a,
+bool RanksBefore(const VmRow& a,
                  uint64_t score_a,
                  const VmRow& b,
                  uint64_t score_b) {
@@ -129,7 +129,7 @@
   return size_a != size_b ? size_a > size_b : score_a > score_b;
 }
 
-std::vector<VmHandle> WorkOrder(const std::vector<VmRow>& vms) {
+std::vector<VmHandle> RankLiveVms(const std::vector<VmRow>& vms) {
   std::vector<RankedVm> ranked;
   ranked.reserve(vms.size());
   for (const VmRow& vm : vms) {
@@ -139,7 +139,7 @@
   }
   std::sort(ranked.begin(), ranked.end(),
             [](const RankedVm& a, const RankedVm& b) {
-              return WorksBefore(*a.vm, a.score, *b.vm, b.score);
+              return RanksBefore(*a.vm, a.score, *b.vm, b.score);
             });
   std::vector<VmHandle> order;
   order.reserve(ranked.size());
@@ -149,9 +149,9 @@
   return order;
 }
 
-std::vector<VmHandle> StartHelpers(const std::vector<VmRow>& vms,
+std::vector<VmHandle> StartupPeers(const std::vector<VmRow>& vms,
                                    VmHandle self) {
-  std::vector<VmHandle> order = WorkOrder(vms);
+  std::vector<VmHandle> order = RankLiveVms(vms);
   const auto own_place = std::find(order.begin(), order.end(), self);
   const auto before = static_cast<size_t>(own_place - order.begin());
   const VmRow& own = vms.at(self.index);
@@ -218,7 +218,7 @@
   return nullptr;
 }
 
-bool AppliesMore(const RoutingView* before, const RoutingView& after) {
+bool AppliedOffsetChanged(const RoutingView* before, const RoutingView& after) {
   return before == nullptr || before->applied_offset != after.applied_offset;
 }
 
--- a/packages/decision/src/view_pace.cc
+++ b/packages/decision/src/view_build_throttle.cc
@@ -1,4 +1,4 @@
-#include "basilsill/decision/view_pace.h"
+#include "basilsill/decision/view_build_throttle.h"
 
 #include <algorithm>
 
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void ViewPace::OnBuilt(TimePoint begun, TimePoint ended) {
+void ViewBuildThrottle::OnBuilt(TimePoint begun, TimePoint ended) {
   this->next_at = ended + std::min((ended - begun) * kPauseParts, kMaxWait);
 }
 
--- a/packages/decision/src/view_builder.cc
+++ b/packages/decision/src/view_builder.cc
@@ -49,7 +49,9 @@
   RoutingViewPtr Build(const ConfigurationState& configuration,
                        const MembershipRows& membership) override;
 
-  size_t left_out() const override { return this->services.left_out(); }
+  size_t excluded_instances() const override {
+    return this->services.excluded_instances();
+  }
 
  private:
   bool UpdateStandings(const std::vector<VmRow>& vms);
@@ -59,7 +61,8 @@
   std::shared_ptr<const ApiKeyTable> MakeApiKeys(const ResourceTable& table);
   void BuildRules(const ConfigurationState& configuration, RoutingView& view);
   void MakeRules(const ResourceTable& table);
-  void TakeTerms(const RuleTerms& terms, RuleRow& row) const;
+  void TakeTerms(const PlatformRuleOptions& platform_options,
+                 RuleRow& row) const;
 
   NameTable<TeamTag> team_names{limits::kMaxTeams};
   NameTable<RuleTag> rule_names{limits::kMaxRules};
@@ -183,8 +186,8 @@
     row.hedge = spec.hedge;
     row.requires_api_key = spec.requires_api_key;
     row.deadline = spec.deadline;
-    if (spec.terms) {
-      this->TakeTerms(*spec.terms, row);
+    if (spec.platform_options) {
+      this->TakeTerms(*spec.platform_options, row);
     }
     this->rule_order.push_back(row.handle);
     RowAt(this->rules, row.handle) = std::move(row);
@@ -195,13 +198,14 @@
             });
 }
 
-void ViewBuilderImpl::TakeTerms(const RuleTerms& terms, RuleRow& row) const {
-  for (const ServiceShare& share : terms.split) {
+void ViewBuilderImpl::TakeTerms(const PlatformRuleOptions& platform_options,
+                                RuleRow& row) const {
+  for (const WeightedServiceName& share : platform_options.split) {
     row.split.push_back({this->services.Find(share.service), share.weight});
   }
-  row.timeout = terms.timeout;
-  row.target_latency = terms.target_latency;
-  row.max_attempts = terms.max_attempts;
+  row.timeout = platform_options.timeout;
+  row.target_latency = platform_options.target_latency;
+  row.max_attempts = platform_options.max_attempts;
 }
 
 }  // namespace
--- a/packages/decision/test/change_table_test.cc
+++ b/packages/decision/test/change_table_test.cc
@@ -36,13 +36,13 @@
       if (action.kind == ChangeActionKind::kAppend) {
         this->appending = action.change;
         this->sent.push_back(action.record);
-      } else if (action.kind == ChangeActionKind::kTell) {
+      } else if (action.kind == ChangeActionKind::kReply) {
         this->told.push_back(action.outcome);
       }
     }
     this->table.ClearActions();
   }
-  void EndAppend(AppendEnd end) {
+  void EndAppend(AppendResult end) {
     this->table.OnAppend(this->now, this->appending, end);
     this->Drain();
   }
@@ -72,7 +72,7 @@
 TEST(ChangeTable, Accepted_ToldOnlyAfterReadBack) {
   this->Propose(PutOf("a", TeamOf("t")));
   this->log.Append(this->sent.at(0));
-  this->EndAppend(AppendEnd::kAnswered);
+  this->EndAppend(AppendResult::kAnswered);
   CHECK(this->told.empty());
   this->Read();
   this->CheckTold(1, ChangeStatus::kAccepted);
@@ -85,7 +85,7 @@
   this->Propose(PutOf("a", TeamOf("t")));
   this->AppendOther(PutOf("b", TeamOf("t", 2)));
   this->log.Append(this->sent.at(0));
-  this->EndAppend(AppendEnd::kAnswered);
+  this->EndAppend(AppendResult::kAnswered);
   this->Read();
   this->CheckTold(1, ChangeStatus::kConflict);
   CHECK_EQUAL(0, *this->told[0].version);
@@ -96,7 +96,7 @@
 TEST(ChangeTable, LostAnswer_RecordIsThere_AcceptedWithoutSecondAppend) {
   this->Propose(PutOf("a", TeamOf("t")));
   this->log.Append(this->sent.at(0));
-  this->EndAppend(AppendEnd::kUnknown);
+  this->EndAppend(AppendResult::kUnknown);
   CHECK_EQUAL(1, this->sent.size());
   this->Read();
   this->CheckTold(1, ChangeStatus::kAccepted);
@@ -108,13 +108,13 @@
 // second one too. The change must count once.
 TEST(ChangeTable, LostAnswer_EffectComesLate_CountsOnce) {
   this->Propose(PutOf("a", TeamOf("t")));
-  this->EndAppend(AppendEnd::kUnknown);
+  this->EndAppend(AppendResult::kUnknown);
   this->Read();
   CHECK_EQUAL(2, this->sent.size());
   STRCMP_EQUAL(this->sent[0].c_str(), this->sent[1].c_str());
   this->log.Append(this->sent[0]);
   this->log.Append(this->sent[1]);
-  this->EndAppend(AppendEnd::kAnswered);
+  this->EndAppend(AppendResult::kAnswered);
   this->Read();
   this->CheckTold(1, ChangeStatus::kAccepted);
   CHECK_EQUAL(0, *this->told[0].version);
@@ -125,7 +125,7 @@
 TEST(ChangeTable, LostAnswer_OlderReadSaysNothing_NoSecondAppend) {
   const uint64_t older = this->table.read_ticket();
   this->Propose(PutOf("a", TeamOf("t")));
-  this->EndAppend(AppendEnd::kUnknown);
+  this->EndAppend(AppendResult::kUnknown);
   this->table.OnCaughtUp(this->now, older, this->follower);
   this->Drain();
   CHECK_EQUAL(1, this->sent.size());
@@ -138,12 +138,12 @@
   this->Propose(PutOf("a", TeamOf("t")));
   this->Wait(kPatience);
   this->CheckTold(1, ChangeStatus::kUnresolved);
-  this->EndAppend(AppendEnd::kUnknown);
+  this->EndAppend(AppendResult::kUnknown);
   this->Read();
   CHECK_EQUAL(2, this->sent.size());
   this->log.Append(this->sent[1]);
   this->log.Append(this->sent[0]);
-  this->EndAppend(AppendEnd::kAnswered);
+  this->EndAppend(AppendResult::kAnswered);
   this->Read();
   this->CheckTold(2, ChangeStatus::kVoid);
   CHECK(this->follower.state().Find({ResourceKind::kTeam, "t"}) == nullptr);
@@ -151,25 +151,25 @@
 
 TEST(ChangeTable, Patience_OverButRecordWasFirst_AcceptedAfterUnresolved) {
   this->Propose(PutOf("a", TeamOf("t")));
-  this->EndAppend(AppendEnd::kUnknown);
+  this->EndAppend(AppendResult::kUnknown);
   this->Wait(kPatience);
   this->CheckTold(1, ChangeStatus::kUnresolved);
   this->Read();
   this->log.Append(this->sent[0]);
   this->log.Append(this->sent[1]);
-  this->EndAppend(AppendEnd::kAnswered);
+  this->EndAppend(AppendResult::kAnswered);
   this->Read();
   this->CheckTold(2, ChangeStatus::kAccepted);
 }
 
 TEST(ChangeTable, LogDown_NothingEverTaken_VoidNotUnresolved) {
   this->Propose(PutOf("a", TeamOf("t")));
-  this->EndAppend(AppendEnd::kNoEffect);
+  this->EndAppend(AppendResult::kNoEffect);
   this->Wait(limits::kChangeRetryMin / 2);
   CHECK_EQUAL(1, this->sent.size());
   this->Wait(limits::kChangeRetryMin);
   CHECK_EQUAL(2, this->sent.size());
-  this->EndAppend(AppendEnd::kNoEffect);
+  this->EndAppend(AppendResult::kNoEffect);
   this->Wait(kPatience);
   this->CheckTold(1, ChangeStatus::kVoid);
   CHECK_EQUAL(0, this->table.size());
@@ -222,7 +222,7 @@
   this->Read();
   CHECK(this->told.empty());
   this->log.Append(this->sent.at(0));
-  this->EndAppend(AppendEnd::kAnswered);
+  this->EndAppend(AppendResult::kAnswered);
   this->Read();
   this->CheckTold(1, ChangeStatus::kRejected);
   this->AppendOther(PutOf("b", TeamOf("t")));
@@ -235,13 +235,13 @@
 // may still be taken, so `void` would be a promise that this VM can't keep.
 TEST(ChangeTable, Resend_LogTakesNothing_UnresolvedThenWithdrawn) {
   this->Propose(PutOf("a", TeamOf("t")), true);
-  this->EndAppend(AppendEnd::kNoEffect);
+  this->EndAppend(AppendResult::kNoEffect);
   this->Wait(kPatience);
   this->CheckTold(1, ChangeStatus::kUnresolved);
   this->Wait(limits::kChangeRetryMax);
   this->log.Append(this->sent.at(1));
   this->AppendOther(PutOf("a", TeamOf("t")));
-  this->EndAppend(AppendEnd::kAnswered);
+  this->EndAppend(AppendResult::kAnswered);
   this->Read();
   this->CheckTold(2, ChangeStatus::kVoid);
   CHECK(this->follower.state().Find({ResourceKind::kTeam, "t"}) == nullptr);
--- a/packages/decision/test/checkpoint_test.cc
+++ b/packages/decision/test/checkpoint_test.cc
@@ -51,7 +51,7 @@
   CHECK(this->witness.state().Find({ResourceKind::kTeam, "t"}) == nullptr);
   this->log.first = 1;
   ConfigurationFollower starter;
-  CHECK(Follow(starter, this->log).has_jumped);
+  CHECK(Follow(starter, this->log).state_replaced);
   this->CheckLikeWitness(starter);
   CHECK_EQUAL(1, *starter.covered());
 }
@@ -122,8 +122,8 @@
   CHECK(away.is_ready());
   CHECK(away.wants_snapshot());
   CHECK(away.state().Find({ResourceKind::kTeam, "t"}) != nullptr);
-  CHECK(
-      away.OnSnapshot(WriteCheckpoint(this->witness.state(), "s")).has_jumped);
+  CHECK(away.OnSnapshot(WriteCheckpoint(this->witness.state(), "s"))
+            .state_replaced);
   Follow(away, this->log);
   this->CheckLikeWitness(away);
 }
@@ -137,8 +137,8 @@
   CHECK_FALSE(starter.is_ready());
   starter.OnSnapshot(older);
   CHECK(starter.is_ready());
-  CHECK(starter.OnSnapshot(newer).has_jumped);
-  CHECK_FALSE(starter.OnSnapshot(older).has_jumped);
+  CHECK(starter.OnSnapshot(newer).state_replaced);
+  CHECK_FALSE(starter.OnSnapshot(older).state_replaced);
   CHECK_EQUAL(2, starter.read_offset());
 }
 
@@ -150,7 +150,7 @@
   ConfigurationFollower starter;
   ReadOnce(starter, this->log, 2);
   CHECK_FALSE(starter.is_ready());
-  CHECK_FALSE(starter.OnSnapshot(older).has_jumped);
+  CHECK_FALSE(starter.OnSnapshot(older).state_replaced);
   CHECK(starter.is_ready());
   CHECK_EQUAL(2, starter.read_offset());
 }
@@ -161,7 +161,7 @@
   const std::string weight = "\"weight\":3";
   parts[0].replace(parts[0].find(weight), weight.size(), "\"weight\":4");
   ConfigurationFollower starter;
-  CHECK_FALSE(starter.OnSnapshot(parts).has_jumped);
+  CHECK_FALSE(starter.OnSnapshot(parts).state_replaced);
   CHECK_FALSE(starter.is_ready());
 }
 
@@ -209,7 +209,7 @@
 TEST_GROUP(CheckpointPlan) {
   TimePoint now{};
   CheckpointPlanner planner{TimePoint{}};
-  CheckpointSituation situation;
+  CheckpointConditions situation;
 
   bool TickAfter(Duration step) {
     this->now += step;
--- a/packages/decision/test/cold_quota_test.cc
+++ b/packages/decision/test/cold_quota_test.cc
@@ -22,7 +22,7 @@
 using basilsill::AttemptHandle;
 using basilsill::ColdQuota;
 using basilsill::ColdShareOf;
-using basilsill::ColdTerms;
+using basilsill::ColdStartLimits;
 using basilsill::DispatcherOptions;
 using basilsill::DispatchHarness;
 using basilsill::Duration;
@@ -53,9 +53,9 @@
 };
 
 TEST(ColdQuota, Share_OfABound_LeavesRoomForTwoMoreVms) {
-  CHECK_EQUAL(5, ColdShareOf(ColdTerms{3s, kBound}));
-  CHECK_EQUAL(1, ColdShareOf(ColdTerms{3s, 1}));
-  CHECK_EQUAL(0, ColdShareOf(ColdTerms{3s, 0}));
+  CHECK_EQUAL(5, ColdShareOf(ColdStartLimits{3s, kBound}));
+  CHECK_EQUAL(1, ColdShareOf(ColdStartLimits{3s, 1}));
+  CHECK_EQUAL(0, ColdShareOf(ColdStartLimits{3s, 0}));
 }
 
 TEST(ColdQuota, Start_NoBound_Unlimited) {
--- a/packages/decision/test/configuration_history.cc
+++ b/packages/decision/test/configuration_history.cc
@@ -212,7 +212,7 @@
   for (const ChangeAction& action : actions) {
     if (action.kind == ChangeActionKind::kAppend) {
       this->Append(vm, action);
-    } else if (action.kind == ChangeActionKind::kTell) {
+    } else if (action.kind == ChangeActionKind::kReply) {
       this->Tell(*vm, action.outcome);
     }
   }
@@ -231,7 +231,7 @@
   }
   const FollowResult result = Deliver(vm.follower, *vm.read);
   vm.read.reset();
-  this->counts.jumps += result.has_jumped ? 1 : 0;
+  this->counts.jumps += result.state_replaced ? 1 : 0;
   vm.table.OnFollow(result, vm.follower);
   if (result.has_diverged && !this->is_truth_lost) {
     this->Break(vm.name + " saw a state diverge");
@@ -245,15 +245,15 @@
 void ConfigurationHistory::Append(const std::shared_ptr<Vm>& vm,
                                   const ChangeAction& action) {
   const uint32_t fate = this->Draw(100);
-  AppendEnd end = AppendEnd::kUnknown;
+  AppendResult end = AppendResult::kUnknown;
   std::string what = "never takes effect";
   if (this->is_log_down || fate < 10) {
-    end = AppendEnd::kNoEffect;
+    end = AppendResult::kNoEffect;
     what = "is refused";
   } else if (fate < 70) {
     this->AppendRecord(action.record);
-    end = fate < 55 ? AppendEnd::kAnswered : AppendEnd::kUnknown;
-    what = end == AppendEnd::kAnswered ? "is taken" : "is taken unseen";
+    end = fate < 55 ? AppendResult::kAnswered : AppendResult::kUnknown;
+    what = end == AppendResult::kAnswered ? "is taken" : "is taken unseen";
   } else if (fate < 90) {
     what = "takes effect late";
     this->due.emplace(this->step + 1 + this->Draw(kLongestDelay),
@@ -309,7 +309,7 @@
   }
   const FollowResult result =
       vm.follower.OnSnapshot(WriteCheckpoint(peer.follower.state(), "s"));
-  if (result.has_jumped) {
+  if (result.state_replaced) {
     this->Note(vm.name + " takes a snapshot of " + peer.name);
     ++this->counts.jumps;
     vm.table.OnFollow(result, vm.follower);
--- a/packages/decision/test/configuration_log.h
+++ b/packages/decision/test/configuration_log.h
@@ -68,8 +68,8 @@
   while (!is_done) {
     const uint64_t from = follower.read_offset();
     FollowResult result = ReadOnce(follower, log);
-    is_done = !result.has_jumped && from == follower.read_offset();
-    all.has_jumped |= result.has_jumped;
+    is_done = !result.state_replaced && from == follower.read_offset();
+    all.state_replaced |= result.state_replaced;
     all.has_diverged |= result.has_diverged;
     all.outcomes.insert(all.outcomes.end(), result.outcomes.begin(),
                         result.outcomes.end());
--- a/packages/decision/test/declared_configuration_test.cc
+++ b/packages/decision/test/declared_configuration_test.cc
@@ -295,12 +295,12 @@
   };
   this->AddUpstream("i-1", 1);
   const RoutingViewPtr first = build();
-  CHECK(AppliesMore(nullptr, *first));
+  CHECK(AppliedOffsetChanged(nullptr, *first));
   this->AddUpstream("i-2", 2);
   const RoutingViewPtr second = build();
-  CHECK_FALSE(AppliesMore(first.get(), *second));
+  CHECK_FALSE(AppliedOffsetChanged(first.get(), *second));
   ++this->configuration.version;
-  CHECK(AppliesMore(second.get(), *build()));
+  CHECK(AppliedOffsetChanged(second.get(), *build()));
 }
 
 TEST(DeclaredConfiguration, Build_Teams_HaveKeysQuotasAndClasses) {
--- a/packages/decision/test/start_fleet_test.cc
+++ b/packages/decision/test/start_fleet_test.cc
@@ -62,7 +62,7 @@
     const VmHandle self = all[index].handle;
     list[index] = all[index];
     known[index] = all[index];
-    std::vector<VmHandle> opened = StartHelpers(list, self);
+    std::vector<VmHandle> opened = StartupPeers(list, self);
     for (const VmHandle vm : PlanPropagation(list, self).links) {
       opened.push_back(vm);
     }
--- a/packages/decision/test/view_builder_test.cc
+++ b/packages/decision/test/view_builder_test.cc
@@ -120,11 +120,11 @@
   this->DeclareTwoServices();
   this->data_centres.pop_back();
   const RoutingViewPtr before = this->Build();
-  CHECK_EQUAL(1, this->builder->left_out());
+  CHECK_EQUAL(1, this->builder->excluded_instances());
   CHECK(ServiceNamed(before, "s2")->upstreams.empty());
   this->data_centres.push_back({{1, 0}, "druzhba"});
   const RoutingViewPtr after = this->Build();
-  CHECK_EQUAL(0, this->builder->left_out());
+  CHECK_EQUAL(0, this->builder->excluded_instances());
   CHECK_EQUAL(1, ServiceNamed(after, "s2")->upstreams.size());
 }
 
--- a/packages/decision/test/view_pace_test.cc
+++ b/packages/decision/test/view_pace_test.cc
@@ -1,10 +1,10 @@
-#include "basilsill/decision/view_pace.h"
+#include "basilsill/decision/view_build_throttle.h"
 
 #include <CppUTest/TestHarness.h>
 
 using basilsill::Duration;
 using basilsill::TimePoint;
-using basilsill::ViewPace;
+using basilsill::ViewBuildThrottle;
 using namespace std::chrono_literals;
 
 namespace {
@@ -12,7 +12,7 @@
 /// @returns how much of ten seconds goes into views that take `cost` each, with
 /// a change at every tick.
 double PartSpent(Duration cost) {
-  ViewPace pace;
+  ViewBuildThrottle pace;
   TimePoint now{1s};
   Duration spent{0};
   while (now < TimePoint(11s)) {
@@ -28,21 +28,21 @@
 
 }  // namespace
 
-TEST_GROUP(ViewPace){};
+TEST_GROUP(ViewBuildThrottle){};
 
-TEST(ViewPace, CheapViews_ChangeAtEveryTick_EachTickHasOne) {
+TEST(ViewBuildThrottle, CheapViews_ChangeAtEveryTick_EachTickHasOne) {
   DOUBLES_EQUAL(0.1, PartSpent(10ms), 0.001);
 }
 
 // A small VM of a large fleet does nothing but make views.
-TEST(ViewPace, CostlyViews_TwiceTheCost_TakeABoundedPart) {
+TEST(ViewBuildThrottle, CostlyViews_TwiceTheCost_TakeABoundedPart) {
   CHECK(PartSpent(50ms) <= 0.11);
   CHECK(PartSpent(100ms) <= 0.21);
 }
 
-TEST(ViewPace, AnyCost_NoChangeWaitsForLong) {
-  ViewPace pace;
+TEST(ViewBuildThrottle, AnyCost_NoChangeWaitsForLong) {
+  ViewBuildThrottle pace;
   const TimePoint now{1s};
   pace.OnBuilt(now, now + 3s);
-  CHECK(pace.MayBuild(now + 3s + ViewPace::kMaxWait));
+  CHECK(pace.MayBuild(now + 3s + ViewBuildThrottle::kMaxWait));
 }
--- a/packages/node/src/configuration_host.cc
+++ b/packages/node/src/configuration_host.cc
@@ -23,12 +23,13 @@
 constexpr int kChangeIdWords = 4;
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
 
-AppendEnd EndOf(const Result<AppendAnswer>& answer) {
+AppendResult EndOf(const Result<AppendAnswer>& answer) {
   if (answer) {
-    return AppendEnd::kAnswered;
+    return AppendResult::kAnswered;
   }
-  return answer.error().kind == FailureKind::kUnresolved ? AppendEnd::kUnknown
-                                                         : AppendEnd::kNoEffect;
+  return answer.error().kind == FailureKind::kUnresolved
+             ? AppendResult::kUnknown
+             : AppendResult::kNoEffect;
 }
 
 void LogCheckpoint(uint64_t offset, size_t parts) {
@@ -137,7 +138,7 @@
 
 void ConfigurationHost::OnSnapshot(const std::vector<std::string>& parts) {
   const FollowResult result = this->following.OnSnapshot(parts);
-  if (result.has_jumped) {
+  if (result.state_replaced) {
     Log(Event::kSnapshotTaken,
         {{"offset", this->following.state().next_offset()}});
   }
@@ -167,7 +168,7 @@
 void ConfigurationHost::Tick(TimePoint now) {
   this->changes.Tick(now, this->following);
   this->Pump();
-  CheckpointSituation situation;
+  CheckpointConditions situation;
   situation.next_offset = this->following.state().next_offset();
   situation.first = this->following.log_first();
   situation.covered = this->following.covered();
@@ -260,7 +261,7 @@
           boost::asio::co_spawn(this->context, this->ReadOnce(milliseconds(0)),
                                 Unattended{"configuration"});
           break;
-        case ChangeActionKind::kTell:
+        case ChangeActionKind::kReply:
           this->Tell(action.outcome);
           break;
         case ChangeActionKind::kCount:
--- a/packages/node/src/control.cc
+++ b/packages/node/src/control.cc
@@ -385,7 +385,7 @@
 std::set<VmHandle> Control::CollectWorkers() const {
   if (!this->current_view) {
     const std::vector<VmHandle> helpers =
-        StartHelpers(this->members->rows(), this->members->self());
+        StartupPeers(this->members->rows(), this->members->self());
     return {helpers.begin(), helpers.end()};
   }
   std::set<VmHandle> workers;
@@ -464,7 +464,7 @@
                     this->builder->Build(state, {this->members->rows(),
                                                  this->members->data_centres(),
                                                  this->members->self()}));
-  const bool is_news = AppliesMore(before.get(), *this->current_view);
+  const bool is_news = AppliedOffsetChanged(before.get(), *this->current_view);
   const bool is_first = this->built_views++ == 0;
   this->configuration_changed = false;
   this->built_membership = this->members->version();
--- a/packages/node/src/control.h
+++ b/packages/node/src/control.h
@@ -11,8 +11,8 @@
 
 #include "basilsill/decision/configuration_status.h"
 #include "basilsill/decision/membership.h"
+#include "basilsill/decision/view_build_throttle.h"
 #include "basilsill/decision/view_builder.h"
-#include "basilsill/decision/view_pace.h"
 #include "basilsill/node/settings.h"
 #include "basilsill/node/state_source.h"
 #include "control_links.h"
@@ -148,7 +148,7 @@
   uint64_t built_membership = 0;
   uint64_t counted_membership = 0;
   uint64_t built_views = 0;
-  ViewPace pace;
+  ViewBuildThrottle pace;
   std::chrono::milliseconds api_key_max_age;
   LeaseTime published_as_of = LeaseTime::min();
   /// False while API keys can't be relied on and there are some.
