--- a/packages/decision/include/basilsill/decision/change_table.h
+++ b/packages/decision/include/basilsill/decision/change_table.h
@@ -12,32 +12,32 @@
 #include "basilsill/decision/configuration.h"
 #include "basilsill/decision/follower.h"
 
-/// Changes on their way from an operator's request to an outcome.
+/// Tracks configuration changes from an operator's request to an outcome.
 ///
-/// A change is checked, appended, and decided by nothing but reading its
-/// record back. An append whose answer is lost may take effect late, however
-/// long ago it was; so the table first reads on to the end of the log, and
-/// only if the record is not there appends the same text again: of several
-/// copies the first counts, and all VMs ignore the others. When the
-/// operator's time is up the change is `unresolved`; the table then appends a
-/// withdrawal, and whichever of the two stands first in the log decides. So a
-/// change ends by itself soon after the log answers again, and never takes
-/// effect after that.
+/// A change is validated and appended to the log; its outcome is decided only
+/// by reading its record back. An append whose answer is lost may take effect
+/// at any later time. So the table first reads to the end of the log and
+/// appends the same record again only if it is not there. The first copy in the
+/// log counts; all VMs ignore the others. When the operator's deadline passes,
+/// the change is reported as `unresolved` and the table appends a withdrawal;
+/// whichever of the two records comes first in the log decides. A change
+/// therefore ends soon after the log answers again, and never takes effect
+/// after that.
 
 namespace basilsill {
 
 struct ChangeTag;
 using ChangeHandle = Handle<ChangeTag>;
 
-/// What an operator may be told of a change.
+/// Status of a change as reported to the operator.
 enum class ChangeStatus : uint8_t {
-  kAccepted,    ///< In the log; it is or comes into force on every VM.
-  kConflict,    ///< Another change came first. It will not take effect.
-  kRejected,    ///< Not valid. It will not take effect.
-  kVoid,        ///< Not accepted. It will not take effect.
+  kAccepted,    ///< In the log; in force on every VM, now or soon.
+  kConflict,    ///< Lost to another change; never takes effect.
+  kRejected,    ///< Not valid; never takes effect.
+  kVoid,        ///< Not appended, withdrawn or expired; never takes effect.
   kUnresolved,  ///< May or may not take effect; a final status follows.
-  /// This VM can't tell: it does not follow the log now, or had to skip the
-  /// records in question. Another VM may know.
+  /// This VM cannot determine the outcome: it does not follow the log at
+  /// present, or it skipped the records in question. Another VM may know.
   kUnknown,
   kCount
 };
@@ -45,39 +45,41 @@
 /// @returns the stable name of `status`.
 std::string_view NameOf(ChangeStatus status);
 
-/// All statuses are final but kUnresolved.
+/// Every status except kUnresolved is final.
 struct ChangeOutcome {
   ChangeStatus status = ChangeStatus::kCount;
   std::string change_id;
   uint64_t cookie = 0;
-  /// Accepted: the record's offset, which is the resource's version unless it
-  /// was deleted. Conflict: the current version, absent if there is none.
+  /// If accepted: the offset of the record, which is the version of the
+  /// resource unless the change deleted it. If in conflict: the current
+  /// version; absent if the resource does not exist.
   std::optional<uint64_t> version;
   std::vector<Failure> failures;
 };
 
 struct ChangeRequest {
-  Change change;  ///< `seen` is the table's to set.
+  Change change;  ///< The table sets `seen`.
   TimePoint deadline = kNever;
-  uint64_t cookie = 0;  ///< The shell's own name for the request.
-  /// The id came with the request, so the same change may be on its way at
-  /// another VM. It is then refused by a record in the log alone, which binds
-  /// the other VM too. False only if this VM made the id for this request.
+  uint64_t cookie = 0;  ///< Opaque to the table; copied into the outcome.
+  /// The client supplied the change id, so another VM may be handling the same
+  /// change. It is then rejected only by a record in the log, which binds the
+  /// other VM too. False only if this VM generated the id for this request.
   bool may_be_resend = true;
 };
 
-/// What the answer to an append says.
+/// Result of one append call.
 enum class AppendResult : uint8_t {
-  kAnswered,  ///< It took effect.
-  kNoEffect,  ///< It was refused, and never takes effect.
-  kUnknown,   ///< No answer: it took effect, or will, or won't.
+  kAnswered,  ///< The record was appended.
+  kNoEffect,  ///< The append was refused and never takes effect.
+  kUnknown,   ///< No answer; the record may be appended at any time or never.
   kCount
 };
 
 enum class ChangeActionKind : uint8_t {
   kAppend,   ///< Append `record`, then call OnAppend.
-  kReadNow,  ///< Read without waiting for new records; see read_ticket().
-  kReply,    ///< Tell the operator `outcome`.
+  kReadNow,  ///< Read the log without waiting for new records; see
+             ///< read_ticket().
+  kReply,    ///< Send `outcome` to the operator.
   kCount
 };
 
@@ -88,40 +90,42 @@
   ChangeOutcome outcome;
 };
 
-/// Belongs to the control thread. Calls that take a follower expect it to
-/// have been given all that the log has answered so far.
+/// Used by the control thread only. Calls that take a follower expect that it
+/// has processed every answer of the log so far.
 class ChangeTable {
  public:
   ChangeTable();
 
-  /// Takes in a change.
-  /// @returns its handle; invalid if its outcome is told at once.
+  /// Starts to handle a change.
+  /// @returns its handle; invalid if the final outcome is already among the
+  /// actions.
   ChangeHandle Propose(TimePoint now,
                        const ChangeRequest& request,
                        const ConfigurationFollower& follower);
 
   void OnAppend(TimePoint now, ChangeHandle change, AppendResult end);
 
-  /// The follower took in an answer of the log, or a snapshot.
+  /// To be called after the follower has processed an answer of the log or a
+  /// snapshot.
   void OnFollow(const FollowResult& result,
                 const ConfigurationFollower& follower);
 
-  /// Number to note when a read is sent.
+  /// @returns the number to store when a read is sent, for OnCaughtUp.
   uint64_t read_ticket() const { return this->ticket; }
 
-  /// A read that was sent at read_ticket() `sent_at_ticket` went to the end
-  /// of the log, and OnFollow was called for it.
+  /// To be called after OnFollow when a read has reached the end of the log.
+  /// @param sent_at_ticket Value of read_ticket() when the read was sent.
   void OnCaughtUp(TimePoint now,
                   uint64_t sent_at_ticket,
                   const ConfigurationFollower& follower);
 
-  /// Deadlines and appends that are due again.
+  /// Handles passed deadlines and appends that are due for a retry.
   void Tick(TimePoint now, const ConfigurationFollower& follower);
 
-  /// @returns changes without a final outcome.
+  /// @returns the number of changes without a final outcome.
   size_t size() const { return this->pending.size(); }
 
-  /// @returns true if the change `id` is under way here.
+  /// @returns true if this VM is handling the change `id`.
   bool IsPending(std::string_view id) const { return this->by_id.contains(id); }
 
   /// Actions since the last call of `ClearActions`, in order.
@@ -130,10 +134,10 @@
 
  private:
   enum class Phase : uint8_t {
-    kConfirming,  // A check failed here; the log's end may say otherwise.
-    kAppending,   // An append is on its way.
+    kConfirming,  // A check failed; it is repeated at the end of the log.
+    kAppending,   // An append is in flight.
     kWaiting,     // An append had no effect; the next is due at `retry_at`.
-    kReading,     // The record should be in the log; reading on will tell.
+    kReading,     // The record may be in the log; a read to the end is due.
     kCount
   };
 
@@ -142,24 +146,26 @@
     uint64_t cookie = 0;
     TimePoint deadline = kNever;
     Phase phase = Phase::kConfirming;
-    uint64_t ticket = 0;   // kConfirming, kReading: a read sent then or later.
-    TimePoint retry_at{};  // kWaiting.
+    // kConfirming, kReading: lowest read ticket that counts.
+    uint64_t ticket = 0;
+    TimePoint retry_at{};  // kWaiting only.
     Duration backoff{0};
-    bool may_stand_in_log = false;  // By whichever VM.
-    bool may_be_elsewhere = false;  // Operators know the id.
+    bool may_be_in_log = false;  // Appended by any VM.
+    // Operators know the id and may resend the change.
+    bool may_be_appended_elsewhere = false;
     bool is_withdrawing = false;
     std::string record;  // Empty until the first append.
   };
 
   template <typename IsWanted>
   std::vector<ChangeHandle> Select(IsWanted&& is_wanted) const;
-  static bool IsLapsed(const Pending& entry, const ConfigurationState& state);
-  void RefuseUnseen(const ChangeRequest& request, Failure failure);
-  void TellAtOnce(const ChangeRequest& request,
-                  ChangeStatus status,
-                  std::vector<Failure> failures);
-  bool TellIfDecided(const ChangeRequest& request,
-                     const ConfigurationState& state);
+  static bool IsExpired(const Pending& entry, const ConfigurationState& state);
+  void RefuseWithoutAppend(const ChangeRequest& request, Failure failure);
+  void ReplyImmediately(const ChangeRequest& request,
+                        ChangeStatus status,
+                        std::vector<Failure> failures);
+  bool ReplyIfDecided(const ChangeRequest& request,
+                      const ConfigurationState& state);
   void Finish(ChangeHandle handle,
               ChangeStatus status,
               std::optional<uint64_t> version,
@@ -172,12 +178,12 @@
                      const ConfigurationState& state);
 
   void Append(ChangeHandle handle, Pending& entry, uint64_t seen);
-  void ReadOn(Pending& entry, Phase phase);
+  void RequestRead(Pending& entry, Phase phase);
   void OnRecord(const RecordOutcome& outcome);
-  void OnJump(const ConfigurationState& state);
+  void OnStateReplaced(const ConfigurationState& state);
   void OnDeadline(ChangeHandle handle, Pending& entry);
-  void EndLapsed(const ConfigurationState& state);
-  void FinishLapsed(ChangeHandle handle);
+  void FinishExpiredChanges(const ConfigurationState& state);
+  void FinishExpired(ChangeHandle handle);
 
   HandleTable<Pending, ChangeTag> pending;
   std::map<std::string, ChangeHandle, std::less<>> by_id;
--- a/packages/decision/include/basilsill/decision/checkpoint.h
+++ b/packages/decision/include/basilsill/decision/checkpoint.h
@@ -11,23 +11,24 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/configuration.h"
 
-/// Folded state as text, in parts that fit into records. A VM appends the
-/// parts to the configuration stream as a checkpoint, or sends them to a peer
-/// as a snapshot.
+/// Serialises folded state as text, in parts that each fit into a record. A VM
+/// appends the parts to the configuration stream as a checkpoint, or sends them
+/// to a peer as a snapshot.
 ///
-/// A checkpoint is the exact state at its offset. It is used only by a VM
-/// that lacks the records before that offset and can still read all records
-/// from there on; a VM whose state has no gap skips it. So a stale checkpoint,
-/// written by a VM that was paused, can revert nothing: whoever uses it folds
-/// all that came after its offset, deletions included.
+/// A checkpoint is the exact state at its offset. Only a VM that lacks records
+/// before that offset uses it, and only if it can still read all records from
+/// there on; a VM whose state has no gap skips it. So a stale checkpoint,
+/// written by a VM that was paused, cannot revert anything: a VM that uses it
+/// also folds every record after its offset, deletions included.
 
 namespace basilsill {
 
-/// What the parts of one checkpoint have in common, and the part's number.
+/// Header of a checkpoint part: the fields that all parts of one checkpoint
+/// share, and the number of the part.
 struct CheckpointPartHead {
-  std::string id;       ///< Unique, as the id of a change.
+  std::string id;       ///< Unique, like a change id.
   uint64_t offset = 0;  ///< Next offset of the state.
-  uint64_t digest = 0;  ///< Of the whole state.
+  uint64_t digest = 0;  ///< Digest of the whole state.
   uint32_t part = 0;    ///< From 0 to parts - 1.
   uint32_t parts = 0;
 };
@@ -37,22 +38,24 @@
 std::vector<std::string> WriteCheckpoint(const ConfigurationState& state,
                                          const std::string& id);
 
-/// For the case that records are gone which no checkpoint covers and no VM has
-/// read: an operator may declare that what one VM has, `state`, is the state
-/// at the log's end. Accepted changes among the lost records are lost.
-/// @param log_end Offset that `state` is to have, at least its own.
+/// Writes a checkpoint for the case that records are lost which no checkpoint
+/// covers and no VM has read: an operator may declare the state of one VM,
+/// `state`, to be the state at the end of the log. Accepted changes among the
+/// lost records are lost.
+/// @param log_end Offset of the checkpoint, unless the offset of `state` is
+/// higher.
 /// @returns the records of that checkpoint.
 std::vector<std::string> WriteRecovery(const ConfigurationState& state,
                                        uint64_t log_end,
                                        const std::string& id);
 
-/// @returns the head of a part, or nothing if `record` is none.
+/// @returns the header of a part; nothing if `record` is not a checkpoint part.
 std::optional<CheckpointPartHead> ReadCheckpointHead(std::string_view record);
 
-/// Notes which checkpoints are complete, without their content.
+/// Tracks which checkpoints are complete, without storing their content.
 class CheckpointTracker {
  public:
-  /// @returns true if `head` was the last part missing.
+  /// @returns true if `head` completes its checkpoint.
   bool Add(const CheckpointPartHead& head);
 
  private:
@@ -65,12 +68,13 @@
   std::vector<Open> open;  // Oldest first.
 };
 
-/// Puts checkpoints together. Parts may come in any order, more than once,
-/// and mixed with those of others; one that stays incomplete gives nothing.
+/// Assembles checkpoints from their parts. Parts may arrive in any order, more
+/// than once and interleaved with parts of other checkpoints. An incomplete
+/// checkpoint yields no state.
 class CheckpointReader {
  public:
-  /// @returns the state, if `record` was the last part missing and the whole
-  /// has the digest that its writer gave it.
+  /// @returns the state if `record` completes a checkpoint and the state has
+  /// the digest given by its writer.
   std::optional<ConfigurationState> Add(std::string_view record);
 
  private:
@@ -81,38 +85,40 @@
     ConfigurationContent content;
   };
 
-  Open* FindOrOpen(const CheckpointPartHead& head);
+  Open* FindOrAdd(const CheckpointPartHead& head);
 
   std::vector<Open> open;  // Oldest first.
 };
 
-/// What decides whether a checkpoint is due.
+/// Inputs to the decision whether a checkpoint is due.
 struct CheckpointConditions {
-  uint64_t next_offset = 0;  ///< Of this VM's state, which has no gap.
-  uint64_t first = 0;        ///< Oldest offset that the log retains.
+  /// Next offset of this VM's state, which has no gap.
+  uint64_t next_offset = 0;
+  uint64_t first = 0;  ///< Oldest offset that the log retains.
   /// Offset of the newest complete checkpoint seen in the log.
   std::optional<uint64_t> covered;
-  /// VMs that write before this one; the same on all VMs at best.
+  /// Number of VMs that write before this one. VMs should agree on the order,
+  /// but need not.
   size_t rank = 0;
 };
 
-/// Says when this VM is to write a checkpoint: after so many records, when
-/// retention comes near the newest checkpoint, or when that one is old. If
-/// several VMs write one, no harm is done.
+/// Decides when this VM writes a checkpoint: after limits::kCheckpointEvery
+/// records, when log retention approaches the newest checkpoint, or when that
+/// one is old. It does no harm if several VMs write one.
 class CheckpointPlanner {
  public:
   explicit CheckpointPlanner(TimePoint now) : covered_at(now) {}
 
-  /// @returns true if a checkpoint is to be written now. Call it only while
-  /// the log answers.
-  bool Tick(TimePoint now, const CheckpointConditions& situation);
+  /// @returns true if a checkpoint is to be written now. To be called only
+  /// while the log answers.
+  bool Tick(TimePoint now, const CheckpointConditions& conditions);
 
-  /// The log does not answer. Turns begin again when it does, or all VMs
-  /// would write at that moment.
+  /// To be called while the log does not answer. The turns of the VMs start
+  /// over once it does; otherwise all VMs would write at that moment.
   void OnLogUnavailable() { this->due_since.reset(); }
 
  private:
-  bool IsDue(TimePoint now, const CheckpointConditions& situation) const;
+  bool IsDue(TimePoint now, const CheckpointConditions& conditions) const;
 
   std::optional<uint64_t> covered;
   TimePoint covered_at;  // When `covered` was first seen.
--- a/packages/decision/include/basilsill/decision/configuration.h
+++ b/packages/decision/include/basilsill/decision/configuration.h
@@ -18,103 +18,107 @@
 
 /// Configuration as every VM folds it from the log stream `configuration`.
 ///
-/// A change is a record that names the version it was based on. All VMs fold
+/// A change is a record that names the version it is based on. All VMs fold
 /// the same records in the same order, so of two racing changes the first in
-/// the log wins everywhere and the other is a conflict everywhere. The
-/// version of a resource is the offset of the record that made it.
+/// the log wins on every VM and the other is a conflict on every VM. The
+/// version of a resource is the offset of the record that last changed it.
 ///
-/// | header                 | job                                         |
+/// | header                 | purpose                                     |
 /// | ---------------------- | ------------------------------------------- |
 /// | resource.h             | resources and their JSON form               |
 /// | configuration.h        | records, the fold and its state             |
 /// | checkpoint.h           | state as text: checkpoints, peer snapshots  |
-/// | follower.h             | where to read, gaps, where state comes from |
+/// | follower.h             | reading the log, gaps, initial state        |
 /// | change_table.h         | a change from proposal to outcome           |
 /// | configuration_status.h | in-force status and watch                   |
-/// | view_builder.h         | from state and membership to RoutingView    |
+/// | view_builder.h         | builds RoutingView, also from membership    |
 ///
-/// Everything here belongs to one thread, the control thread.
+/// All of this is used by one thread, the control thread.
 
 namespace basilsill {
 
-/// The log stream that holds configuration.
+/// Name of the log stream that holds configuration.
 inline constexpr std::string_view kConfigurationStream = "configuration";
 
-/// The form of records that this build writes, and the newest it reads.
+/// Format version of the records that this build writes; the newest that it
+/// reads.
 inline constexpr uint64_t kRecordFormat = 1;
 
-/// One change of one resource, as an operator asks for it.
+/// A change of one resource, as requested by an operator.
 struct Change {
-  /// Names this change alone, on all VMs and for ever; 128 random bits as
-  /// text do. The id of a change must never be used for another one.
+  /// Unique over all VMs and never used for another change. 128 random bits,
+  /// written as text, are sufficient.
   std::string id;
   ResourceId resource;
-  /// Version that the change is based on; absent if there must be none.
+  /// Version that the change is based on; absent if the resource must not
+  /// exist.
   std::optional<uint64_t> base;
-  std::optional<Resource> body;  ///< Absent if the resource is to be deleted.
-  /// Next offset to be read where the change was made. The change is stale,
-  /// and ignored by all, once limits::kChangeWindow more records follow.
+  std::optional<Resource> body;  ///< Absent if the change deletes the resource.
+  /// Offset of the next record to be read by the VM that made the change. Once
+  /// more than limits::kChangeWindow further records are in the log, the change
+  /// is stale and every VM ignores it.
   uint64_t seen = 0;
-  /// Clock of the VM that took the change, for operators to read. Nothing is
-  /// decided by it.
+  /// Wall clock of the VM that received the change. For display only; no
+  /// decision depends on it.
   WallTime made_at{};
 };
 
-/// @returns the record of `change`.
+/// @returns the record that encodes `change`.
 std::string WriteChange(const Change& change);
 
-/// Makes a change void wherever it comes up after this record. A change that
-/// stands in the log before it is not touched.
+/// Voids a change whose record comes after the withdrawal in the log. A change
+/// whose record comes earlier is not affected.
 struct Withdrawal {
   std::string id;
   uint64_t seen = 0;  ///< Change::seen of the change.
 };
 
-/// @returns the record of `withdrawal`.
+/// @returns the record that encodes `withdrawal`.
 std::string WriteWithdrawal(const Withdrawal& withdrawal);
 
-/// What the fold made of a record. All VMs come to the same verdict.
+/// Result of folding a record; the same on all VMs.
 enum class RecordVerdict : uint8_t {
-  kAccepted,     ///< In the state from here on.
+  kAccepted,     ///< Applied to the state.
   kConflict,     ///< Based on a version that is not the current one.
-  kRejected,     ///< Not valid in the state at its place in the log.
-  kWithdrawn,    ///< Made the change void before it came up.
-  kRepeated,     ///< Its change id was decided by an earlier record.
-  kStale,        ///< Too far behind its `seen` to be considered.
-  kMalformed,    ///< No record of ours.
-  kCheckpoint,   ///< Part of a checkpoint; says nothing new to a fold.
-  kUnsupported,  ///< Of a newer format; the fold stops before it.
-  kOutOfOrder,   ///< Not at the next offset; nothing was done.
+  kRejected,     ///< Not valid in the state at its offset.
+  kWithdrawn,    ///< A withdrawal that voids its change.
+  kRepeated,     ///< An earlier record decided the same change id.
+  kStale,        ///< More than limits::kChangeWindow after its `seen`.
+  kMalformed,    ///< Not a valid configuration record.
+  kCheckpoint,   ///< Part of a checkpoint; does not change the state.
+  kUnsupported,  ///< Has a newer format; the fold stops before it.
+  kOutOfOrder,   ///< Not at the next offset; ignored.
   kCount
 };
 
 /// @returns the stable name of `verdict`.
 std::string_view NameOf(RecordVerdict verdict);
 
-/// What became of one record.
+/// Outcome of folding one record.
 struct RecordOutcome {
   RecordVerdict verdict = RecordVerdict::kCount;
   uint64_t offset = 0;
   std::string change_id;  ///< Empty if the record has none.
   ResourceId resource;
-  /// Version of the resource after the record; absent if there is none.
+  /// Version of the resource after the record; absent if it does not exist.
   std::optional<uint64_t> version;
-  /// The resource as accepted; null if it was deleted or not accepted.
+  /// The accepted resource; null if the change was a deletion or was not
+  /// accepted.
   std::shared_ptr<const Resource> body;
-  std::vector<Failure> failures;  ///< Why, unless it was accepted.
+  std::vector<Failure> failures;  ///< Reasons why the record was not accepted.
 };
 
-/// A resource with its place in the log.
+/// A resource and the record that last changed it.
 struct ResourceEntry {
   uint64_t version = 0;
   std::string change_id;
   WallTime made_at{};  ///< Change::made_at of that change.
   std::shared_ptr<const Resource> resource;
-  uint64_t digest = 0;  ///< Of the members above.
+  uint64_t digest = 0;  ///< Digest of the members above.
 };
 using ResourceTable = std::map<std::string, ResourceEntry, std::less<>>;
 
-/// How a change was decided.
+/// Decision on a change.
 struct DecidedChange {
   uint64_t offset = 0;
   RecordVerdict verdict = RecordVerdict::kCount;
@@ -127,7 +131,7 @@
   }
 };
 
-/// All that a state consists of, in no particular order.
+/// Complete content of a state, in no particular order.
 struct ConfigurationContent {
   struct Decided {
     std::string change_id;
@@ -139,17 +143,17 @@
   std::vector<Decided> changes;
 };
 
-/// The fold of all records before `next_offset()`. Two states with the same
-/// next offset have the same digest on all VMs.
+/// Result of folding all records before `next_offset()`. Two states with the
+/// same next offset have the same digest on all VMs.
 class ConfigurationState {
  public:
   /// @returns the state that has `content`.
   static ConfigurationState Restore(const ConfigurationContent& content);
   ConfigurationContent Content() const;
 
-  /// Brings a state up to date that is declared whole and not folded from
-  /// records: takes `dropped` away, and puts `entries` in the place of what has
-  /// their names.
+  /// Updates a state whose resources are declared directly instead of being
+  /// folded from records: removes `dropped`, and inserts `entries`, which
+  /// replace resources of the same kind and name.
   void Declare(uint64_t next_offset,
                const std::vector<ResourceId>& dropped,
                std::vector<ResourceEntry> entries);
@@ -157,9 +161,9 @@
   /// Folds the record at `offset`, which must be `next_offset()`.
   RecordOutcome Apply(uint64_t offset, std::string_view record);
 
-  /// Checks a change as Apply would if its record came next.
-  /// @returns all that stands against it; the first is of kind kConflict if
-  /// the base is not the current version.
+  /// Validates a change as Apply would if its record came next.
+  /// @returns all faults; the first is of kind kConflict if the base is not the
+  /// current version.
   std::vector<Failure> Check(const Change& change) const;
 
   /// @returns the resource, or nullptr.
@@ -172,15 +176,16 @@
     return std::get<Spec>(entry.resource->spec);
   }
 
-  /// @returns how a change within the last limits::kChangeWindow records was
-  /// decided, or nullptr.
+  /// @returns the decision on a change within the last limits::kChangeWindow
+  /// records, or nullptr.
   const DecidedChange* FindChange(std::string_view change_id) const;
 
-  /// @returns how `change` was decided: remembered by its id, or plain from
-  /// the resource, which it made what it is.
+  /// @returns the decision on `change`, found by its id or, if the change made
+  /// the current version of the resource, from that version; nothing if there
+  /// is none or it is no longer known.
   std::optional<DecidedChange> DecisionOf(const Change& change) const;
 
-  /// @returns the ratios in force for the team called `team`.
+  /// @returns the ratios that apply to team `team`.
   TrafficRatios RatiosOf(std::string_view team) const;
 
   /// @returns the names of the data centres that have upstream sets.
@@ -207,8 +212,8 @@
   void Accept(const Change& change, RecordOutcome& outcome);
   void Insert(ResourceEntry entry);
   void Erase(const ResourceId& id);
-  void Remember(const std::string& change_id, DecidedChange decided);
-  void ForgetOldChanges();
+  void RecordDecision(const std::string& change_id, DecidedChange decided);
+  void EvictOldDecisions();
   void IndexSet(const std::string& set, const UpstreamSetSpec& spec);
   void UnindexSet(const UpstreamSetSpec& spec);
 
@@ -228,7 +233,7 @@
   std::map<Endpoint, std::string, EndpointLess> set_of_endpoint;
   std::map<std::string, size_t> sets_of_data_centre;
   std::map<std::string, DecidedChange, std::less<>> decided_changes;
-  std::map<uint64_t, std::string> change_at;  // By offset of the decision.
+  std::map<uint64_t, std::string> change_at;  // Key: offset of the decision.
   uint64_t next = 0;
   std::array<uint64_t, static_cast<size_t>(ResourceKind::kCount)>
       table_digests{};
--- a/packages/decision/include/basilsill/decision/configuration_status.h
+++ b/packages/decision/include/basilsill/decision/configuration_status.h
@@ -11,32 +11,35 @@
 #include "basilsill/decision/follower.h"
 #include "basilsill/decision/view.h"
 
-/// What operators see of configuration at work: on which VMs a version is in
-/// force, and the stream of accepted changes.
+/// Configuration status for operators: on which VMs a version is in force, and
+/// a feed of accepted changes.
 
 namespace basilsill {
 
-/// Where one version is in force.
+/// VMs on which one version is in force.
 struct InForceStatus {
   std::vector<VmHandle> on;
-  std::vector<VmHandle> waiting;  ///< Behind, or not heard of yet.
-  bool everywhere = false;        ///< On every VM that counts.
+  /// Has not applied the version or not reported yet.
+  std::vector<VmHandle> waiting;
+  bool everywhere = false;  ///< In force on every VM that counts.
 };
 
-/// What each VM has in force, as far as this VM has heard. A VM counts while
-/// membership holds it for live or suspected: a suspected one may still serve
-/// callers. One that leaves takes no callers and does not count.
+/// Applied offset of each VM, according to the reports that this VM has
+/// received. A VM counts while membership lists it as live or suspected: a
+/// suspected VM may still serve callers. A leaving VM takes no callers and does
+/// not count.
 class InForceTable {
  public:
   /// Replaces the VMs that count.
   void SetVms(const std::vector<VmRow>& vms);
 
-  /// `vm` has every record before `applied` in force: its traffic threads use
-  /// a view of that offset. Late and repeated reports do no harm.
+  /// To be called when `vm` reports that every record before `applied` is in
+  /// force: its traffic threads use a view of that offset. Late and duplicate
+  /// reports are harmless.
   void OnApplied(VmHandle vm, uint64_t applied);
 
-  /// @returns the offset that every VM that counts has in force; nothing if
-  /// one was not heard of yet, or none counts.
+  /// @returns the offset up to which configuration is in force on every VM that
+  /// counts; nothing if one has not reported yet or no VM counts.
   std::optional<uint64_t> everywhere() const;
 
   /// @param version Offset of an accepted record.
@@ -49,37 +52,37 @@
     std::optional<uint64_t> applied;
   };
 
-  std::vector<Row> rows;  // By handle.
+  std::vector<Row> rows;  // Indexed by handle.
 };
 
 /// One accepted change.
 struct WatchEvent {
   uint64_t offset = 0;
   ResourceId id;
-  std::shared_ptr<const Resource> body;  ///< Null if it was deleted.
+  std::shared_ptr<const Resource> body;  ///< Null if the resource was deleted.
 };
 
-/// Answer to a watcher.
+/// Answer to a read of the change feed.
 struct WatchPage {
-  /// The events asked for are not kept here any more. The watcher must list all
-  /// resources and watch on from the offset of that list.
+  /// The requested events are no longer retained. The watcher must list all
+  /// resources and continue from the offset of that list.
   bool must_restart = false;
-  uint64_t next = 0;  ///< Where to go on, after the events of this page.
+  uint64_t next = 0;  ///< Offset to continue from after this page.
   std::vector<WatchEvent> events;
 };
 
-/// The newest accepted changes, for watchers to read at their own pace.
-/// Offsets mean the same on all VMs, so a watcher may go on at another VM.
+/// Buffer of the newest accepted changes, which watchers read page by page.
+/// Offsets are the same on all VMs, so a watcher may continue on another VM.
 class ChangeFeed {
  public:
-  /// Takes in what the follower has read.
+  /// Adds the accepted changes of `result`.
   void OnFollow(const FollowResult& result, const ConfigurationState& state);
 
-  /// @param from Offset to go on from.
-  /// @param max Most events wanted.
+  /// @param from Offset to continue from.
+  /// @param max Maximum number of events in the page.
   WatchPage Read(uint64_t from, size_t max) const;
 
-  /// @returns the oldest offset that Read can go on from.
+  /// @returns the oldest offset that Read can continue from.
   uint64_t oldest() const { return this->begin; }
 
  private:
--- a/packages/decision/include/basilsill/decision/resource.h
+++ b/packages/decision/include/basilsill/decision/resource.h
@@ -14,10 +14,10 @@
 #include "basilsill/decision/api_keys.h"
 #include "basilsill/decision/view.h"
 
-/// The resources that operators declare, and their JSON form. The codec is
-/// strict: it reports every fault of a document at once, each with its kind
-/// and the JSON pointer of the field. References between resources are
-/// checked by Configuration, which knows the other resources.
+/// Resources declared by operators, and their JSON form. The codec is strict:
+/// it reports every fault of a document at once, each with its kind and the
+/// JSON pointer of the field. ConfigurationState checks references between
+/// resources, since it knows the other resources.
 
 namespace basilsill {
 
@@ -34,17 +34,18 @@
 /// @returns the name of `kind` in paths and records, such as "upstream-set".
 std::string_view NameOf(ResourceKind kind);
 
-/// @returns the kind called `name`, if there is one.
+/// @returns the kind with this name, or nothing.
 std::optional<ResourceKind> ResourceKindOf(std::string_view name);
 
-/// The limits resource that applies to every team without one of its own.
-/// No team can have this name.
+/// Name of the limits resource that applies to every team without one of its
+/// own. No team can have this name.
 inline constexpr std::string_view kInstallationLimits = "installation";
 
 struct TeamSpec {
   TeamLimits limits;
   std::vector<ApiKeyDigest> api_keys{};
-  /// Goes before the class of the rule; absent: the rule's counts.
+  /// Takes precedence over the class of the rule; absent: the class of the rule
+  /// applies.
   std::optional<TrafficClass> traffic_class{};
 
   friend bool operator==(const TeamSpec&, const TeamSpec&) = default;
@@ -52,7 +53,7 @@
 
 struct ServiceSpec {
   std::string team;
-  /// Where an upstream says whether it is well; empty: it is not asked.
+  /// Path of the health check; empty: upstreams are not checked.
   std::string health_path{};
   ColdStartLimits cold{};
 
@@ -63,44 +64,45 @@
   Endpoint endpoint;
   uint16_t slots = limits::kDefaultSlotsPerUpstream;
   bool leaving = false;
-  /// Started a moment ago and is slow for that reason.
+  /// Slow because it started recently.
   bool cold = false;
 
   friend bool operator==(const InstanceSpec&, const InstanceSpec&) = default;
 };
 
-/// Upstreams of a service in one data centre. A service may have several
-/// sets in one data centre: that is how more instances than one record holds
-/// are declared.
+/// Upstreams of a service in one data centre. A service may have several sets
+/// in one data centre, because a record holds a limited number of instances.
 struct UpstreamSetSpec {
   std::string service;
   std::string data_centre;
   std::vector<InstanceSpec> instances;
-  /// Which start of which upstream the instance at its place is, where the
-  /// platform says so: another one at the same endpoint is another upstream.
-  /// Empty where it does not.
+  /// Incarnation of the instance at the same index, if the platform reports it:
+  /// a different incarnation at the same endpoint is a different upstream.
+  /// Empty if the platform does not report incarnations.
   std::vector<UpstreamIncarnation> incarnations{};
 
   friend bool operator==(const UpstreamSetSpec&,
                          const UpstreamSetSpec&) = default;
 };
 
-/// A service's part in the requests of one rule.
+/// A service and its weight in the traffic split of a rule.
 struct WeightedServiceName {
   std::string service;
   uint32_t weight = 1;
 };
 
-/// What a rule says beyond RuleSpec where the installation's platform declares
-/// rules. Has no JSON form.
+/// Options of a rule beyond RuleSpec, for installations whose platform declares
+/// the rules. They have no JSON form.
 struct PlatformRuleOptions {
-  /// Services that share the requests by weight; empty: the rule's has all.
+  /// Services that share the requests by weight; empty: the service of the rule
+  /// gets all of them.
   std::vector<WeightedServiceName> split;
-  /// No caller is kept waiting for longer; 0: only its deadline counts.
+  /// Maximum time that a caller waits; 0: only its deadline applies.
   std::chrono::milliseconds timeout{0};
-  /// Answers within this time are good ones; 0: not known.
+  /// Latency up to which an answer counts as good; 0: not known.
   std::chrono::milliseconds target_latency{0};
-  /// Upstreams that one request may be sent to; 0: as the policy has it.
+  /// Maximum number of upstreams that one request is sent to; 0: as set by the
+  /// policy.
   uint8_t max_attempts = 0;
 };
 
@@ -113,25 +115,25 @@
   bool hedge = false;
   bool requires_api_key = false;
   std::chrono::milliseconds deadline = limits::kDefaultDeadline;
-  std::shared_ptr<const PlatformRuleOptions>
-      platform_options{};  ///< Null: none are declared.
+  /// Null: none are declared.
+  std::shared_ptr<const PlatformRuleOptions> platform_options{};
 };
 
-/// Overrides of the policy's ratios, for the team of the resource's name or,
-/// under kInstallationLimits, for all teams. An absent field falls back to
-/// the installation's, then to the default of TrafficRatios.
+/// Overrides of the policy's ratios for the team with the resource's name or,
+/// under kInstallationLimits, for all teams. An absent field falls back to the
+/// value of the installation, then to the default in TrafficRatios.
 struct LimitsSpec {
   std::optional<double> retry_ratio;
   std::optional<double> hedge_ratio;
   std::optional<double> bulk_slot_share;
-  /// Of the whole installation; absent: as the node's settings have it. Has no
-  /// JSON form.
+  /// Limits for the whole installation; absent: the node's settings apply. Has
+  /// no JSON form.
   std::optional<CallerLimits> callers{};
 
   friend bool operator==(const LimitsSpec&, const LimitsSpec&) = default;
 };
 
-/// What a team's limits come to after all overrides.
+/// Ratios of a team after all overrides.
 struct TrafficRatios {
   double retry_ratio = limits::kDefaultRetryRatio;
   double hedge_ratio = limits::kDefaultHedgeRatio;
@@ -140,16 +142,17 @@
   friend bool operator==(const TrafficRatios&, const TrafficRatios&) = default;
 };
 
-/// What operators want of a data centre. One without a resource is in use.
+/// Operator's settings for a data centre. A data centre without this resource
+/// is in use.
 struct DataCentreSpec {
-  /// Its upstreams end what they have and get nothing new.
+  /// Its upstreams finish the requests in flight and get no new ones.
   bool drained = false;
 
   friend bool operator==(const DataCentreSpec&,
                          const DataCentreSpec&) = default;
 };
 
-/// Alternatives stand in the order of ResourceKind.
+/// The alternatives are in the order of ResourceKind.
 using ResourceSpec = std::variant<TeamSpec,
                                   ServiceSpec,
                                   UpstreamSetSpec,
@@ -157,7 +160,7 @@
                                   LimitsSpec,
                                   DataCentreSpec>;
 
-/// Names a resource; names are unique within a kind.
+/// Identifies a resource; names are unique within a kind.
 struct ResourceId {
   ResourceKind kind = ResourceKind::kCount;
   std::string name;
@@ -178,17 +181,19 @@
 };
 
 /// Reads one resource.
-/// @param id What the document must be; its `name` field must agree.
+/// @param id Expected kind and name; the `name` field of the document must
+/// match.
 /// @param text A JSON object, as written by WriteResource.
 /// @returns the resource, or all faults of the document.
 CheckedResult<Resource> ReadResource(const ResourceId& id,
                                      std::string_view text);
 
-/// @returns `resource` as one line of JSON, equal for equal resources.
+/// @returns `resource` as one line of JSON; equal resources give equal text.
 std::string WriteResource(const Resource& resource);
 
-/// @returns true if `name` may name a resource, VM or data centre: lower-case
-/// letters, digits and inner hyphens, at most limits::kMaxNameLength.
+/// @returns true if `name` is valid for a resource, VM or data centre:
+/// lower-case letters, digits and inner hyphens, at most
+/// limits::kMaxNameLength.
 bool IsResourceName(std::string_view name);
 
 }  // namespace basilsill
--- a/packages/decision/include/basilsill/decision/view.h
+++ b/packages/decision/include/basilsill/decision/view.h
@@ -14,10 +14,10 @@
 #include "basilsill/base/time.h"
 
 /// The routing view: what a node knows about configuration and membership at
-/// one instant. The control thread builds it and publishes it whole; traffic
-/// threads only read it. Handles are stable from one view to the next for as
-/// long as the entity lives, and mean nothing on another VM: between VMs
-/// entities go by key (a hash of names) or by name.
+/// one instant. The control thread builds a view and publishes it whole;
+/// traffic threads only read it. The handle of an entity is the same in all
+/// views for as long as the entity exists, and has no meaning on another VM:
+/// messages between VMs identify entities by key (a hash of names) or by name.
 
 namespace basilsill {
 
@@ -35,15 +35,15 @@
 using RuleHandle = Handle<RuleTag>;
 using UpstreamHandle = Handle<UpstreamTag>;
 
-/// Names a shard on every VM alike: hash of service, data centre and number.
+/// Identifies a shard on every VM: hash of service, data centre and number.
 using ShardKey = uint64_t;
 
-/// What a rule says of the urgency of its requests.
+/// Priority class of requests, as declared by a rule or team.
 enum class TrafficClass : uint8_t {
-  kUrgent,      ///< Somebody waits for it: readings, confirmations.
+  kUrgent,      ///< A user is waiting: readings, confirmations.
   kOrdinary,    ///< The default.
   kBulk,        ///< Long answers: downloads, exports.
-  kBackground,  ///< Can wait until its deadline, must never vanish.
+  kBackground,  ///< Can wait until its deadline, must never be lost.
   kCount
 };
 
@@ -53,14 +53,14 @@
 struct TeamLimits {
   uint32_t concurrency = 1024;     ///< Requests in the system, per VM.
   uint32_t queue = 512;            ///< Requests waiting, per shard.
-  double requests_per_second = 0;  ///< Of all VMs together; 0 is no limit.
+  double requests_per_second = 0;  ///< Over all VMs; 0: no limit.
   uint32_t weight = 1;             ///< Share in fair queueing.
-  double burst = 0;  ///< Requests that may come at once beyond the rate.
+  double burst = 0;  ///< Requests allowed at once in excess of the rate.
 
   friend bool operator==(const TeamLimits&, const TeamLimits&) = default;
 };
 
-/// What callers may send and how long they may take.
+/// Size and time limits for the requests of callers.
 struct CallerLimits {
   uint64_t header_bytes = limits::kMaxHeaderBytes;
   uint64_t body_bytes = limits::kMaxBodyBytes;
@@ -75,30 +75,32 @@
   TeamHandle handle;
   std::string name;
   TeamLimits limits;
-  /// Goes before the class of the rule; absent: the rule's counts.
+  /// Takes precedence over the class of the rule; absent: the class of the rule
+  /// applies.
   std::optional<TrafficClass> traffic_class{};
 };
 
-/// One start of an upstream that says who it is. It may start again under the
-/// same id: then it holds nothing of what it held, so that nothing that was
-/// learnt of, sent to or kept open for the earlier start holds for it.
+/// One start of an upstream that reports its identity. An upstream may restart
+/// under the same id and has then lost all its state: nothing that was observed
+/// of, sent to or kept open for the earlier incarnation applies to the new one.
 struct UpstreamIncarnation {
   std::string id;  ///< Empty where upstreams have no ids.
-  /// When it started, by the upstream's own clock: tells one start from the
-  /// next and is never compared with another clock. 0: not told.
+  /// Start time by the upstream's own clock. It distinguishes one start from
+  /// the next and is never compared with another clock. 0: not reported.
   std::chrono::milliseconds started{0};
 
   friend bool operator==(const UpstreamIncarnation&,
                          const UpstreamIncarnation&) = default;
 };
 
-/// How a service's upstreams are spared while they are cold: just started, or
-/// back after a time without work.
+/// Limits the load on upstreams of a service while they are cold: just started,
+/// or back after a time without work.
 struct ColdStartLimits {
-  /// How long one is taken for cold that says nothing of it; 0: not at all.
+  /// Time for which an upstream that does not report its own state counts as
+  /// cold; 0: never.
   std::chrono::milliseconds time{0};
-  /// Requests that one may get in any second while it is cold, from all VMs
-  /// together; 0: any number.
+  /// Requests that one upstream may get in any second while it is cold, from
+  /// all VMs together; 0: no limit.
   uint32_t requests_per_second = 0;
 
   friend bool operator==(const ColdStartLimits&,
@@ -111,34 +113,35 @@
   DataCentreHandle data_centre;
   uint16_t slots = limits::kDefaultSlotsPerUpstream;
   bool leaving = false;  ///< Gets no new work.
-  bool cold = false;     ///< Slow, because it started a moment ago.
-  bool drained = false;  ///< Gets no new work until its data centre does.
+  bool cold = false;     ///< Slow because it started recently.
+  bool drained = false;  ///< Its data centre is drained: gets no new work.
 };
 
-/// A part of a service's upstreams in one data centre, dispatched by one VM.
+/// Subset of a service's upstreams in one data centre, dispatched by one VM.
 struct ShardRow {
-  /// Owners kept in a view: the dispatcher and its successors.
+  /// Number of owners kept in a view: the dispatcher and its successors.
   static constexpr size_t kOwners = 3;
 
   ShardKey key = 0;
   DataCentreHandle data_centre;
   uint16_t number = 0;
-  bool drained = false;  ///< Its data centre is.
-  /// A VM that does not answer would be its first owner if it did; it may be
-  /// cut off and work on.
+  bool drained = false;  ///< Its data centre is drained.
+  /// True if a suspected VM would be the first owner if it were live: it may be
+  /// partitioned from this VM and still dispatch for the shard.
   bool contested = false;
-  std::vector<uint32_t> upstreams;  ///< Positions in ServiceRow::upstreams.
-  std::vector<VmHandle> owners;     ///< In rendezvous order, best first.
+  std::vector<uint32_t> upstreams;  ///< Indices in ServiceRow::upstreams.
+  std::vector<VmHandle> owners;     ///< In rank order, best first.
 };
 
 struct ServiceRow {
   ServiceHandle handle;
   std::string name;
   TeamHandle team;
-  std::string health_path;  ///< Empty: upstreams are not asked.
+  std::string health_path;  ///< Empty: upstreams are not checked.
   ColdStartLimits cold;
   std::vector<UpstreamRow> upstreams;
-  /// Of `upstreams`, in their order; empty where they have no ids.
+  /// Incarnations of `upstreams`, in the same order; empty if the upstreams
+  /// have no ids.
   std::vector<UpstreamIncarnation> incarnations;
   std::vector<ShardRow> shards;
 };
@@ -148,7 +151,8 @@
   std::string value;
 };
 
-/// What a request must look like for a rule; an empty member matches all.
+/// Conditions that a request must meet for a rule to apply; an empty member
+/// matches every request.
 struct RuleMatch {
   std::string host;  ///< Lower case, without port.
   std::string path_prefix = "/";
@@ -156,7 +160,7 @@
   std::vector<HeaderMatch> headers;
 };
 
-/// A service's part in the requests of one rule.
+/// A service and its weight in the traffic split of a rule.
 struct WeightedService {
   ServiceHandle service;
   uint32_t weight = 1;
@@ -166,42 +170,43 @@
   RuleHandle handle;
   std::string name;
   ServiceHandle service;
-  std::vector<WeightedService> split;  ///< Empty: `service` has all.
+  std::vector<WeightedService> split;  ///< Empty: `service` gets all.
   RuleMatch match;
   TrafficClass traffic_class = TrafficClass::kOrdinary;
-  bool once = false;        ///< Must not repeat: needs a claim to run.
-  bool idempotent = false;  ///< As declared; safe methods always are.
-  bool hedge = false;       ///< A slow attempt may be doubled.
-  /// Only callers with a team's API key are let through.
+  bool once = false;  ///< Must not run twice: needs a claim to run.
+  /// As declared; safe methods are always idempotent.
+  bool idempotent = false;
+  bool hedge = false;  ///< A slow attempt may be hedged.
+  /// Rejects callers without an API key of a team.
   bool requires_api_key = false;
   std::chrono::milliseconds deadline = limits::kDefaultDeadline;
-  std::chrono::milliseconds timeout{0};         ///< 0: none but the deadline.
+  std::chrono::milliseconds timeout{0};  ///< 0: only the deadline applies.
   std::chrono::milliseconds target_latency{0};  ///< 0: not known.
-  uint8_t max_attempts = 0;                     ///< 0: as the policy has it.
+  uint8_t max_attempts = 0;                     ///< 0: as set by the policy.
 };
 
 enum class VmState : uint8_t {
   kLive,
-  kSuspected,  ///< Skipped for new work until there is evidence again.
-  kLeaving,    ///< Ends what it has, takes nothing new.
+  kSuspected,  ///< Gets no new work until it is heard from again.
+  kLeaving,    ///< Finishes work in flight, takes no new work.
   kCount
 };
 
 struct VmRow {
   VmHandle handle;
   std::string name;
-  uint64_t incarnation = 0;  ///< 0 until the VM has said it itself.
+  uint64_t incarnation = 0;  ///< 0 until the VM has reported it.
   DataCentreHandle data_centre;
   Endpoint control;               ///< Link of the control thread.
   std::vector<Endpoint> workers;  ///< Links of its traffic threads.
   VmState state = VmState::kLive;
-  /// Processor time that it may use, in thousandths of a core; 0: not told.
+  /// Processor time available to it, in thousandths of a core; 0: not reported.
   uint32_t capacity = 0;
 };
 
-/// @returns true if `a` stands before `b` where a VM has to work for others: a
-/// larger one first, and among VMs of about one size by `score`, a hash. Every
-/// VM comes to the same order.
+/// @returns true if `a` ranks before `b` as a VM that does work for others:
+/// larger VMs first and, among VMs of about the same size, the one with the
+/// higher `score`, a hash. Every VM computes the same order.
 bool RanksBefore(const VmRow& a,
                  uint64_t score_a,
                  const VmRow& b,
@@ -210,43 +215,44 @@
 struct DataCentreRow {
   DataCentreHandle handle;
   std::string name;
-  bool drained = false;  ///< The operator keeps new work away from it.
+  bool drained = false;  ///< An operator keeps new work away from it.
 };
 
 /// Immutable once published. Tables are indexed by `handle.index`; a row
 /// whose handle is invalid is empty.
 struct RoutingView {
-  uint64_t version = 0;         ///< Counts the views of this process.
-  uint64_t applied_offset = 0;  ///< Next configuration record to be read.
+  uint64_t version = 0;  ///< Sequence number of the view in this process.
+  uint64_t applied_offset = 0;  ///< Offset of the next configuration record.
   VmHandle self;
   DataCentreHandle own_data_centre;
   std::vector<TeamRow> teams;
-  /// Of all teams; never null.
+  /// Keys of all teams; never null.
   std::shared_ptr<const ApiKeyTable> api_keys;
   std::vector<std::shared_ptr<const ServiceRow>> services;
-  std::vector<RuleRow> rules;          ///< By handle.
+  std::vector<RuleRow> rules;          ///< Indexed by handle.
   std::vector<RuleHandle> rule_order;  ///< Most specific first.
   std::vector<VmRow> vms;
   std::vector<DataCentreRow> data_centres;
-  /// Absent: as the node's settings have it.
+  /// Absent: the node's settings apply.
   std::optional<CallerLimits> caller_limits;
 };
 using RoutingViewPtr = std::shared_ptr<const RoutingView>;
 
-/// @returns true if peers are to be told how far `after` has applied the
-/// configuration.
-/// @param before The view that it takes the place of; may be null.
-/// @remarks Failure: each VM tells all its peers whenever an upstream has
-/// changed, though what it tells is the same as before. In a large fleet
+/// @returns true if `after` has applied another configuration offset than
+/// `before`, so that peers must be notified.
+/// @param before The view that `after` replaces; may be null.
+/// @remarks Failure: each VM notifies all its peers whenever an upstream
+/// changes, although its offset is the same as before. In a large fleet
 /// something changes all the time, and these messages are most of its traffic.
 bool AppliedOffsetChanged(const RoutingView* before, const RoutingView& after);
 
-/// The parts of a request's head that rules look at.
+/// Parts of a request's head that rules match.
 struct RequestHead {
   std::string_view method;
   std::string_view host;
   std::string_view path;
-  /// @returns the value of header `name` (lower case), empty if absent.
+  /// `find_header` returns the value of header `name` (lower case), or an empty
+  /// text if the header is absent. Its first argument is `headers`.
   const void* headers = nullptr;
   std::string_view (*find_header)(const void* headers,
                                   std::string_view name) = nullptr;
@@ -264,49 +270,51 @@
 const RuleRow* FindRule(const RoutingView& view, RuleHandle handle);
 const VmRow* FindVm(const RoutingView& view, VmHandle handle);
 
-/// @returns how many VMs `view` knows, live or not; at least one.
+/// @returns the number of VMs in `view`, live or not; at least one.
 uint32_t CountVms(const RoutingView& view);
 
 /// @returns the upstream of `service` with this handle, or nullptr.
 const UpstreamRow* FindUpstream(const ServiceRow& service,
                                 UpstreamHandle handle);
 
-/// @returns which start of which upstream `upstream` is, a row of `service`.
+/// @returns the incarnation of `upstream`, which must be a row of `service`.
 UpstreamIncarnation IncarnationOf(const ServiceRow& service,
                                   const UpstreamRow& upstream);
 
-/// @returns the shard `key` of any service, or nullptr.
+/// @returns the shard of `service` with this key, or nullptr.
 const ShardRow* FindShard(const ServiceRow& service, ShardKey key);
 
-/// @returns the VMs that are live, in the order in which they do work that
-/// one VM does for all.
+/// @returns the live VMs in the order in which they are chosen for work that
+/// one VM does for all others.
 std::vector<VmHandle> RankLiveVms(const std::vector<VmRow>& vms);
 
-/// @returns the VMs that `self` asks for help while it starts, two: a small VM
-/// asks large ones, near ones before others, by hash, so that they share those
-/// that start; a large one asks the very first; where all are of one size, each
-/// asks some of those before it in the order of work. So no two wait for each
-/// other, and what the first know reaches all in a few steps.
-/// @remarks A list of VMs may be partial while a whole fleet starts. One that
-/// is small, and first only since larger ones are not listed yet, is asked no
-/// more once two larger ones are.
+/// @returns the VMs, at most two, that `self` asks for state while it starts. A
+/// small VM chooses by hash among the largest VMs, those in its own data centre
+/// first, so that starting VMs spread over them. A larger VM asks the two that
+/// rank first. If all VMs have about the same size, each chooses among those
+/// that rank before it. So no two VMs wait for each other, and the state of the
+/// first VMs reaches all others in a few steps.
+/// @remarks The list of VMs may be incomplete while a whole fleet starts. A
+/// small VM that ranks first only because larger ones are not listed yet is no
+/// longer asked once two larger ones are listed.
 std::vector<VmHandle> StartupPeers(const std::vector<VmRow>& vms,
                                    VmHandle self);
 
-/// @returns the live VM after `self` in a ring of all VMs by name, the same on
-/// every VM; invalid if there is no other. So each VM has one that looks after
-/// it, however few know of it otherwise.
+/// @returns the live VM after `self` in a ring of all VMs ordered by name, the
+/// same on every VM; invalid if there is no other. So each VM is monitored by
+/// one other VM, however few VMs know of it otherwise.
 VmHandle NextInRing(const std::vector<VmRow>& vms, VmHandle self);
 
-/// @returns the key that names a shard on every VM.
+/// @returns the key that identifies a shard on every VM.
 ShardKey MakeShardKey(std::string_view service,
                       std::string_view data_centre,
                       uint16_t number);
 
 /// Splits a service's upstreams into shards by data centre, of at most
-/// `max_upstreams` each, and ranks the VMs of each shard by rendezvous hash:
-/// VMs of the shard's data centre first, then the others. VMs that are not
-/// live come last. Fills `service.shards`.
+/// `max_upstreams` each, and ranks the VMs of each shard: live VMs of the
+/// shard's data centre first, then other live VMs, then those that are not
+/// live; within each group by RanksBefore with a rendezvous hash. Fills
+/// `service.shards`.
 void AssignShards(const RoutingView& view,
                   ServiceRow& service,
                   size_t max_upstreams = limits::kMaxUpstreamsPerShard);
--- a/packages/decision/include/basilsill/decision/view_build_throttle.h
+++ b/packages/decision/include/basilsill/decision/view_build_throttle.h
@@ -5,17 +5,17 @@
 
 namespace basilsill {
 
-/// How often a VM makes a routing view. One costs the more the more upstreams
-/// and VMs there are, and in a large fleet something changes all the time: a
-/// view at each tick would take all of a small VM's processor. So views take a
-/// bounded part of its time, whatever one costs, as long as none waits too
-/// long.
+/// Limits how often a VM builds a routing view. The cost of a view grows with
+/// the number of upstreams and VMs, and in a large fleet something changes all
+/// the time: a view at each tick would use the whole processor of a small VM.
+/// So views take a bounded share of its time, whatever one costs, as long as no
+/// change waits longer than kMaxWait.
 class ViewBuildThrottle {
  public:
-  /// The longest that a change waits for its view.
+  /// Maximum time that a change waits for the next view after a build.
   static constexpr Duration kMaxWait = std::chrono::milliseconds(500);
 
-  /// @returns true if it is time for a view, should there be a change.
+  /// @returns true if a view may be built at `now`.
   bool MayBuild(TimePoint now) const { return now >= this->next_at; }
 
   void OnBuilt(TimePoint begun, TimePoint ended);
--- a/packages/decision/src/change_table.cc
+++ b/packages/decision/src/change_table.cc
@@ -12,19 +12,19 @@
     kStatusNames = {"accepted", "conflict",   "rejected",
                     "void",     "unresolved", "unknown"};
 
-Failure NeverSent() {
+Failure NotAppendedInTime() {
   return {FailureKind::kPlatformUnavailable, "",
-          "the log did not take it in time; it will not take effect"};
+          "this VM did not append the change to the log in time"};
 }
 
 Failure Withdrawn() {
   return {FailureKind::kPlatformUnavailable, "",
-          "it was withdrawn before it stood in the log"};
+          "the change was withdrawn before its record entered the log"};
 }
 
-Failure Lapsed() {
+Failure Expired() {
   return {FailureKind::kPlatformUnavailable, "",
-          "too many other records came first; it can't count any more"};
+          "too many other records were appended first; the change has expired"};
 }
 
 ChangeStatus StatusOf(RecordVerdict verdict) {
@@ -58,37 +58,40 @@
                                   const ChangeRequest& request,
                                   const ConfigurationFollower& follower) {
   const ConfigurationState& state = follower.state();
-  if (this->TellIfDecided(request, state)) {
+  if (this->ReplyIfDecided(request, state)) {
     return {};
   }
   if (this->IsPending(request.change.id)) {
-    this->TellAtOnce(request, ChangeStatus::kUnresolved,
-                     {{FailureKind::kDuplicate, "", "it is under way"}});
+    this->ReplyImmediately(request, ChangeStatus::kUnresolved,
+                           {{FailureKind::kDuplicate, "",
+                             "this VM is already handling the change"}});
     return {};
   }
   const size_t size = WriteChange(request.change).size();
   if (size > limits::kMaxChangeBytes) {
-    this->TellAtOnce(request, ChangeStatus::kRejected,
-                     {{FailureKind::kOutOfRange, "",
-                       "has " + std::to_string(size) + " bytes, allowed are " +
-                           std::to_string(limits::kMaxChangeBytes)}});
+    this->ReplyImmediately(
+        request, ChangeStatus::kRejected,
+        {{FailureKind::kOutOfRange, "",
+          "has " + std::to_string(size) + " bytes, expected at most " +
+              std::to_string(limits::kMaxChangeBytes)}});
     return {};
   }
   if (follower.standing() != FollowerStanding::kFollowing ||
       !follower.is_ready()) {
-    this->RefuseUnseen(request, NeverSent());
+    this->RefuseWithoutAppend(request, NotAppendedInTime());
     return {};
   }
   Pending entry;
   entry.change = request.change;
   entry.cookie = request.cookie;
   entry.deadline = request.deadline;
-  entry.may_be_elsewhere = request.may_be_resend;
-  entry.may_stand_in_log = request.may_be_resend;
+  entry.may_be_appended_elsewhere = request.may_be_resend;
+  entry.may_be_in_log = request.may_be_resend;
   const ChangeHandle handle = this->pending.Create(std::move(entry));
   if (!IsValid(handle)) {
-    this->RefuseUnseen(request, {FailureKind::kLimitReached, "",
-                                 "too many changes are under way here"});
+    this->RefuseWithoutAppend(request,
+                              {FailureKind::kLimitReached, "",
+                               "too many changes are in progress on this VM"});
     return {};
   }
   this->by_id.emplace(request.change.id, handle);
@@ -98,7 +101,7 @@
   } else if (state.Check(request.change).empty()) {
     this->Append(handle, added, state.next_offset());
   } else {
-    this->ReadOn(added, Phase::kConfirming);
+    this->RequestRead(added, Phase::kConfirming);
   }
   return handle;
 }
@@ -111,8 +114,8 @@
     return;
   }
   if (end != AppendResult::kNoEffect) {
-    entry->may_stand_in_log = true;
-    this->ReadOn(*entry, Phase::kReading);
+    entry->may_be_in_log = true;
+    this->RequestRead(*entry, Phase::kReading);
     return;
   }
   entry->phase = Phase::kWaiting;
@@ -124,12 +127,12 @@
 void ChangeTable::OnFollow(const FollowResult& result,
                            const ConfigurationFollower& follower) {
   if (result.state_replaced) {
-    this->OnJump(follower.state());
+    this->OnStateReplaced(follower.state());
   }
   for (const RecordOutcome& outcome : result.outcomes) {
     this->OnRecord(outcome);
   }
-  this->EndLapsed(follower.state());
+  this->FinishExpiredChanges(follower.state());
 }
 
 template <typename IsWanted>
@@ -143,8 +146,8 @@
   return selected;
 }
 
-bool ChangeTable::IsLapsed(const Pending& entry,
-                           const ConfigurationState& state) {
+bool ChangeTable::IsExpired(const Pending& entry,
+                            const ConfigurationState& state) {
   return !entry.record.empty() &&
          state.next_offset() > entry.change.seen + limits::kChangeWindow;
 }
@@ -168,7 +171,7 @@
       this->Finish(handle, ChangeStatus::kVoid, {}, {Withdrawn()});
       break;
     case RecordVerdict::kStale:
-      this->FinishLapsed(handle);
+      this->FinishExpired(handle);
       break;
     default:
       this->Finish(handle, ChangeStatus::kRejected, {}, outcome.failures);
@@ -176,35 +179,42 @@
   }
 }
 
-// Records were skipped, so a decision may have gone by unseen. What the new
-// state remembers of it settles most; what it has forgotten can't be told.
-void ChangeTable::OnJump(const ConfigurationState& state) {
+// Records were skipped, and the decision on a change may have been among them.
+// The new state still holds the decisions of the last limits::kChangeWindow
+// records; the outcome of an older change is unknown.
+void ChangeTable::OnStateReplaced(const ConfigurationState& state) {
   for (const ChangeHandle handle :
        this->Select([](const Pending&) { return true; })) {
     const Pending& entry = *this->pending.Find(handle);
     const std::optional<DecidedChange> decided = state.DecisionOf(entry.change);
     if (decided) {
       this->FinishDecided(handle, *decided, state);
-    } else if (IsLapsed(entry, state)) {
+    } else if (IsExpired(entry, state)) {
       this->Finish(handle, ChangeStatus::kUnknown, {}, {});
     }
   }
 }
 
-// A copy of the change that comes up from here on is stale for every VM, and
-// all records before were read: it has ended, whatever becomes of its appends.
-void ChangeTable::EndLapsed(const ConfigurationState& state) {
-  for (const ChangeHandle handle : this->Select(
-           [&state](const Pending& entry) { return IsLapsed(entry, state); })) {
-    this->FinishLapsed(handle);
+// A copy of the change that is appended from now on is stale on every VM, and
+// all earlier records were read. So the change has ended, whatever happens to
+// its appends.
+void ChangeTable::FinishExpiredChanges(const ConfigurationState& state) {
+  for (const ChangeHandle handle : this->Select([&state](const Pending& entry) {
+         return IsExpired(entry, state);
+       })) {
+    this->FinishExpired(handle);
   }
 }
 
-// A copy that came from another VM later is not stale yet.
-void ChangeTable::FinishLapsed(ChangeHandle handle) {
-  const bool is_alone = !this->pending.Find(handle)->may_be_elsewhere;
-  this->Finish(handle, is_alone ? ChangeStatus::kVoid : ChangeStatus::kUnknown,
-               {}, {Lapsed()});
+// A copy that another VM appends with a later `seen` is not stale yet, so the
+// outcome is unknown if there may be one.
+void ChangeTable::FinishExpired(ChangeHandle handle) {
+  const bool is_appended_here_only =
+      !this->pending.Find(handle)->may_be_appended_elsewhere;
+  this->Finish(
+      handle,
+      is_appended_here_only ? ChangeStatus::kVoid : ChangeStatus::kUnknown, {},
+      {Expired()});
 }
 
 void ChangeTable::OnCaughtUp(TimePoint now,
@@ -224,7 +234,7 @@
     } else if (now >= entry.deadline) {
       entry.is_withdrawing = true;
     }
-    if (failures.empty() || entry.may_be_elsewhere) {
+    if (failures.empty() || entry.may_be_appended_elsewhere) {
       this->Append(handle, entry, state.next_offset());
     } else {
       this->FinishChecked(handle, std::move(failures), state);
@@ -249,19 +259,20 @@
 }
 
 void ChangeTable::OnDeadline(ChangeHandle handle, Pending& entry) {
-  if (!entry.may_stand_in_log && entry.phase != Phase::kAppending) {
-    this->Finish(handle, ChangeStatus::kVoid, {}, {NeverSent()});
+  if (!entry.may_be_in_log && entry.phase != Phase::kAppending) {
+    this->Finish(handle, ChangeStatus::kVoid, {}, {NotAppendedInTime()});
     return;
   }
   entry.is_withdrawing = true;
-  entry.may_stand_in_log = true;
-  entry.may_be_elsewhere = true;
-  ChangeOutcome outcome{ChangeStatus::kUnresolved,
-                        entry.change.id,
-                        entry.cookie,
-                        {},
-                        {{FailureKind::kUnresolved, "",
-                          "the log has not shown yet whether it was taken"}}};
+  entry.may_be_in_log = true;
+  entry.may_be_appended_elsewhere = true;
+  ChangeOutcome outcome{
+      ChangeStatus::kUnresolved,
+      entry.change.id,
+      entry.cookie,
+      {},
+      {{FailureKind::kUnresolved, "",
+        "the log has not yet shown whether the change was appended"}}};
   this->queue.push_back(
       {ChangeActionKind::kReply, handle, {}, std::move(outcome)});
 }
@@ -280,31 +291,32 @@
       {ChangeActionKind::kAppend, handle, std::move(record), {}});
 }
 
-void ChangeTable::ReadOn(Pending& entry, Phase phase) {
+void ChangeTable::RequestRead(Pending& entry, Phase phase) {
   entry.phase = phase;
   entry.ticket = ++this->ticket;
   this->queue.push_back({ChangeActionKind::kReadNow, {}, {}, {}});
 }
 
-// This VM did nothing about the change; another one may have.
-void ChangeTable::RefuseUnseen(const ChangeRequest& request, Failure failure) {
+// This VM did not append the change; if it is a resend, another VM may have.
+void ChangeTable::RefuseWithoutAppend(const ChangeRequest& request,
+                                      Failure failure) {
   const ChangeStatus status =
       request.may_be_resend ? ChangeStatus::kUnknown : ChangeStatus::kVoid;
-  this->TellAtOnce(request, status, {std::move(failure)});
+  this->ReplyImmediately(request, status, {std::move(failure)});
 }
 
-void ChangeTable::TellAtOnce(const ChangeRequest& request,
-                             ChangeStatus status,
-                             std::vector<Failure> failures) {
+void ChangeTable::ReplyImmediately(const ChangeRequest& request,
+                                   ChangeStatus status,
+                                   std::vector<Failure> failures) {
   ChangeOutcome outcome{
       status, request.change.id, request.cookie, {}, std::move(failures)};
   this->queue.push_back({ChangeActionKind::kReply, {}, {}, std::move(outcome)});
 }
 
-// An operator who got no answer sends the change again, perhaps to another
-// VM. The id shows that it was decided already.
-bool ChangeTable::TellIfDecided(const ChangeRequest& request,
-                                const ConfigurationState& state) {
+// An operator who got no answer resends the change, possibly to another VM. The
+// change id shows that it was already decided.
+bool ChangeTable::ReplyIfDecided(const ChangeRequest& request,
+                                 const ConfigurationState& state) {
   const Change& change = request.change;
   const std::optional<DecidedChange> decided = state.DecisionOf(change);
   if (!decided) {
--- a/packages/decision/src/checkpoint.cc
+++ b/packages/decision/src/checkpoint.cc
@@ -19,7 +19,7 @@
 constexpr auto kRequired = Presence::kRequired;
 constexpr std::string_view kCheckpointType = "checkpoint";
 
-// Room for the head of a part and the brackets of its lists.
+// Bytes reserved for the header of a part and the brackets of its lists.
 constexpr size_t kHeadBytes = 1024;
 
 std::optional<RecordVerdict> VerdictOf(std::string_view name) {
@@ -46,7 +46,7 @@
           {"verdict", NameOf(decided.decision.verdict)}};
 }
 
-// One part while it is written.
+// Text of one part while it is being written.
 struct PartText {
   std::string entries;
   std::string changes;
@@ -54,7 +54,8 @@
   size_t size() const { return this->entries.size() + this->changes.size(); }
 };
 
-// Adds `item` to the list chosen by `list`, in a new part if need be.
+// Appends `item` to the list `list` of the last part, or of a new part if it
+// does not fit.
 void AddItem(std::vector<PartText>& parts,
              std::string PartText::*list,
              const json::object& item) {
@@ -85,7 +86,7 @@
   uint64_t format = 0;
   reader.Read("format", kRequired, 1, kRecordFormat, format);
   if (reader.Read("type", kRequired, type) && type != kCheckpointType) {
-    reader.Reject("type", FailureKind::kOutOfRange, "is no checkpoint");
+    reader.Reject("type", FailureKind::kOutOfRange, "must be \"checkpoint\"");
   }
   reader.Read("id", kRequired, head.id);
   reader.Read("offset", kRequired, 0, UINT64_MAX, head.offset);
@@ -93,7 +94,8 @@
   reader.Read("parts", kRequired, 1, limits::kMaxCheckpointParts, head.parts);
   reader.Read("part", kRequired, 0, UINT32_MAX, head.part);
   if (head.part >= head.parts) {
-    reader.Reject("part", FailureKind::kOutOfRange, "is past the last");
+    reader.Reject("part", FailureKind::kOutOfRange,
+                  "must be less than the number of parts");
   }
   return head;
 }
@@ -117,7 +119,7 @@
     entry.resource = std::make_shared<const Resource>(
         ReadResource({*kind, name}, *body, "", failures));
   } else {
-    reader.Reject("kind", FailureKind::kOutOfRange, "is no kind");
+    reader.Reject("kind", FailureKind::kOutOfRange, "must be a resource kind");
   }
   return entry;
 }
@@ -134,7 +136,8 @@
   if (verdict) {
     decided.decision.verdict = *verdict;
   } else {
-    reader.Reject("verdict", FailureKind::kOutOfRange, "is no verdict");
+    reader.Reject("verdict", FailureKind::kOutOfRange,
+                  "must be a record verdict");
   }
   return decided;
 }
@@ -238,7 +241,7 @@
   if (!failures.empty()) {
     return std::nullopt;
   }
-  Open* target = this->FindOrOpen(head);
+  Open* target = this->FindOrAdd(head);
   if (target == nullptr || target->has_part[head.part]) {
     return std::nullopt;
   }
@@ -253,13 +256,13 @@
   }
   auto state = ConfigurationState::Restore(target->content);
   this->open.erase(this->open.begin() + (target - this->open.data()));
-  // A state that was damaged on its way, or written by a build that folds
-  // otherwise, would not match the digest; it must not come into force.
+  // A state that was corrupted in transit, or written by a build that folds
+  // differently, does not match the digest and must not come into force.
   return state.digest() == head.digest ? std::optional(std::move(state))
                                        : std::nullopt;
 }
 
-CheckpointReader::Open* CheckpointReader::FindOrOpen(
+CheckpointReader::Open* CheckpointReader::FindOrAdd(
     const CheckpointPartHead& head) {
   for (Open& candidate : this->open) {
     if (candidate.head.id == head.id) {
@@ -269,9 +272,9 @@
   if (this->open.size() == limits::kMaxOpenCheckpoints) {
     this->open.erase(this->open.begin());
   }
-  Open opened{head, std::vector<bool>(head.parts), head.parts, {}};
-  opened.content.next_offset = head.offset;
-  this->open.push_back(std::move(opened));
+  Open added{head, std::vector<bool>(head.parts), head.parts, {}};
+  added.content.next_offset = head.offset;
+  this->open.push_back(std::move(added));
   return &this->open.back();
 }
 
--- a/packages/decision/src/checkpoint_planner.cc
+++ b/packages/decision/src/checkpoint_planner.cc
@@ -1,4 +1,4 @@
-// When a VM is to write a checkpoint.
+// Decides when a VM writes a checkpoint.
 
 #include <algorithm>
 
@@ -7,26 +7,27 @@
 namespace basilsill {
 
 bool CheckpointPlanner::Tick(TimePoint now,
-                             const CheckpointConditions& situation) {
-  if (situation.covered != this->covered) {
-    this->covered = situation.covered;
+                             const CheckpointConditions& conditions) {
+  if (conditions.covered != this->covered) {
+    this->covered = conditions.covered;
     this->covered_at = now;
     this->due_since.reset();
   }
-  if (!this->IsDue(now, situation)) {
+  if (!this->IsDue(now, conditions)) {
     this->due_since.reset();
     return false;
   }
   if (!this->due_since) {
     this->due_since = now;
   }
-  const auto turn = situation.rank * limits::kCheckpointStagger;
-  // Parts can be lost, and a log may retain less than one checkpoint has.
-  // Without a pause the VM would then do nothing but write checkpoints.
-  const bool has_rested =
+  const auto turn_delay = conditions.rank * limits::kCheckpointStagger;
+  // Parts can be lost, and a log may retain fewer records than one checkpoint
+  // has. Without a minimum interval the VM would then write checkpoints all the
+  // time.
+  const bool is_interval_over =
       !this->written_at ||
       now - *this->written_at >= limits::kCheckpointMinInterval;
-  if (now - *this->due_since < turn || !has_rested) {
+  if (now - *this->due_since < turn_delay || !is_interval_over) {
     return false;
   }
   this->written_at = now;
@@ -34,21 +35,22 @@
 }
 
 bool CheckpointPlanner::IsDue(TimePoint now,
-                              const CheckpointConditions& situation) const {
-  const uint64_t next = situation.next_offset;
+                              const CheckpointConditions& conditions) const {
+  const uint64_t next = conditions.next_offset;
   if (next == 0) {
     return false;
   }
-  const uint64_t covered_offset = situation.covered.value_or(0);
+  const uint64_t covered_offset = conditions.covered.value_or(0);
   const bool has_many_records =
       next - std::min(covered_offset, next) >= limits::kCheckpointEvery;
-  // Retention takes records from the front. Once the checkpoint lies in the
-  // older half of what is left, it is time for the next one.
-  const uint64_t retained = next - std::min(situation.first, next);
+  // Retention trims the log from the front. Once the checkpoint lies in the
+  // older half of the retained records, the next one is due.
+  const uint64_t retained = next - std::min(conditions.first, next);
   const uint64_t margin =
-      covered_offset - std::min(situation.first, covered_offset);
-  const bool is_retention_near = covered_offset < situation.first ||
-                                 (situation.first > 0 && 2 * margin < retained);
+      covered_offset - std::min(conditions.first, covered_offset);
+  const bool is_retention_near =
+      covered_offset < conditions.first ||
+      (conditions.first > 0 && 2 * margin < retained);
   const bool is_old = now - this->covered_at >= limits::kCheckpointMaxAge;
   return has_many_records || is_retention_near || is_old;
 }
--- a/packages/decision/src/configuration.cc
+++ b/packages/decision/src/configuration.cc
@@ -52,9 +52,9 @@
     state.Insert(entry);
   }
   for (const ConfigurationContent::Decided& decided : content.changes) {
-    state.Remember(decided.change_id, decided.decision);
+    state.RecordDecision(decided.change_id, decided.decision);
   }
-  state.ForgetOldChanges();
+  state.EvictOldDecisions();
   return state;
 }
 
@@ -72,8 +72,8 @@
   return content;
 }
 
-// All that goes is gone before anything comes: an endpoint that moves from one
-// set to another is in one of them at a time.
+// All removals come before the insertions, so that an endpoint that moves from
+// one set to another is in one of them at a time.
 void ConfigurationState::Declare(uint64_t next_offset,
                                  const std::vector<ResourceId>& dropped,
                                  std::vector<ResourceEntry> entries) {
@@ -110,15 +110,15 @@
     this->ApplyChange(change, std::move(parsed.failures), outcome);
   }
   ++this->next;
-  this->ForgetOldChanges();
+  this->EvictOldDecisions();
   return outcome;
 }
 
-// An id counts once: of several records that carry it the first decides. The
-// memory of ids is bounded because a record is stale as soon as it stands
-// more than kChangeWindow behind what its author had read. A second copy of a
-// change carries the same `seen`, so while it is not stale, the first copy is
-// still remembered.
+// An id counts once: the first of several records that carry it decides. The
+// number of stored ids is bounded, because a record is stale once it is more
+// than kChangeWindow records after the offset that its author had read. A
+// second copy of a change carries the same `seen`, so while that copy is not
+// stale, the decision on the first copy is still stored.
 bool ConfigurationState::Admit(const std::string& id,
                                uint64_t seen,
                                bool is_decided,
@@ -127,13 +127,14 @@
   if (seen > outcome.offset) {
     outcome.verdict = RecordVerdict::kMalformed;
     outcome.failures.push_back(
-        {FailureKind::kOutOfRange, "/seen", "is past the record itself"});
+        {FailureKind::kOutOfRange, "/seen",
+         "must not be greater than the offset of the record"});
     return false;
   }
   if (IsStale(outcome.offset, seen)) {
     outcome.verdict = RecordVerdict::kStale;
-    outcome.failures.push_back(
-        {FailureKind::kOutOfRange, "/seen", "is too far back"});
+    outcome.failures.push_back({FailureKind::kOutOfRange, "/seen",
+                                "is too far behind the offset of the record"});
     return false;
   }
   if (is_decided) {
@@ -148,7 +149,7 @@
   const bool is_decided = this->FindChange(withdrawal.id) != nullptr;
   if (this->Admit(withdrawal.id, withdrawal.seen, is_decided, outcome)) {
     outcome.verdict = RecordVerdict::kWithdrawn;
-    this->Remember(withdrawal.id, {outcome.offset, outcome.verdict});
+    this->RecordDecision(withdrawal.id, {outcome.offset, outcome.verdict});
   }
 }
 
@@ -170,7 +171,7 @@
       outcome.verdict =
           is_conflict ? RecordVerdict::kConflict : RecordVerdict::kRejected;
     }
-    this->Remember(change.id, {outcome.offset, outcome.verdict});
+    this->RecordDecision(change.id, {outcome.offset, outcome.verdict});
   }
   const ResourceEntry* current = this->Find(change.resource);
   if (current != nullptr) {
@@ -272,14 +273,14 @@
   table.erase(found);
 }
 
-void ConfigurationState::Remember(const std::string& change_id,
-                                  DecidedChange decided) {
+void ConfigurationState::RecordDecision(const std::string& change_id,
+                                        DecidedChange decided) {
   this->decided_changes.emplace(change_id, decided);
   this->change_at.emplace(decided.offset, change_id);
   this->changes_digest += HashDecision(change_id, decided);
 }
 
-void ConfigurationState::ForgetOldChanges() {
+void ConfigurationState::EvictOldDecisions() {
   while (!this->change_at.empty() &&
          this->change_at.begin()->first + limits::kChangeWindow < this->next) {
     const auto oldest = this->change_at.begin();
--- a/packages/decision/src/configuration_check.cc
+++ b/packages/decision/src/configuration_check.cc
@@ -1,5 +1,5 @@
-// What stands against a change in a given state: conflicts, references, names
-// and addresses that are taken, capacities.
+// Validates a change in a given state: version conflicts, references, duplicate
+// keys, addresses and matches, capacities.
 
 #include <algorithm>
 #include <set>
@@ -11,7 +11,7 @@
 namespace basilsill {
 namespace {
 
-// Referrers named in one answer; the rest is left out.
+// Maximum number of referrers that one answer names.
 constexpr size_t kMaxReferrersNamed = 32;
 
 constexpr std::array<size_t, static_cast<size_t>(ResourceKind::kCount)>
@@ -23,7 +23,7 @@
   return version ? std::to_string(*version) : "none";
 }
 
-// Names each resource of `kind` for which `refers` is true.
+// Adds a failure for each resource of `kind` for which `refers` is true.
 template <typename Spec, typename Refers>
 void AddReferrers(const ConfigurationState& state,
                   ResourceKind kind,
@@ -65,7 +65,8 @@
          a.methods == b.methods && SameHeaders(a, b);
 }
 
-// A key says for which team its caller asks, so no two may have it.
+// An API key identifies the team of its caller, so two teams must not share
+// one.
 void CheckApiKeys(const ConfigurationState& state,
                   const std::string& name,
                   const TeamSpec& team,
@@ -82,7 +83,7 @@
                     [&keys](const auto& key) { return keys.contains(key); });
     if (is_shared) {
       out.push_back({FailureKind::kDuplicate, "/api_keys",
-                     "team '" + other + "' has one of them"});
+                     "team '" + other + "' already has one of these keys"});
     }
   }
 }
@@ -137,9 +138,9 @@
                                        std::vector<Failure>& out) const {
   const size_t capacity = kCapacities.at(static_cast<size_t>(id.kind));
   if (this->Find(id) == nullptr && this->Table(id.kind).size() >= capacity) {
-    out.push_back(
-        {FailureKind::kLimitReached, "",
-         "there are " + std::to_string(capacity) + " of its kind already"});
+    out.push_back({FailureKind::kLimitReached, "",
+                   "there are already " + std::to_string(capacity) +
+                       " resources of this kind"});
   }
 }
 
@@ -168,7 +169,7 @@
   }
 }
 
-// An instance belongs to one set: its slots are counted by one dispatcher.
+// An instance belongs to one set only, since one dispatcher counts its slots.
 void ConfigurationState::CheckSet(const ResourceId& id,
                                   const UpstreamSetSpec& spec,
                                   std::vector<Failure>& out) const {
@@ -179,7 +180,8 @@
       ++added;
     } else if (holder->second != id.name) {
       out.push_back({FailureKind::kDuplicate, "/instances/" + std::to_string(i),
-                     "upstream set '" + holder->second + "' has it"});
+                     "upstream set '" + holder->second +
+                         "' already contains this instance"});
     }
   }
   if (this->set_of_endpoint.size() + added > limits::kMaxUpstreams) {
@@ -195,15 +197,15 @@
   }
 }
 
-// Of two rules with the same match one could never apply.
+// Of two rules with the same match, one would never apply.
 void ConfigurationState::CheckRule(const ResourceId& id,
                                    const RuleSpec& spec,
                                    std::vector<Failure>& out) const {
   for (const auto& [name, entry] : this->Table(ResourceKind::kRule)) {
     if (name != id.name &&
         SameMatch(SpecOf<RuleSpec>(entry).match, spec.match)) {
-      out.push_back(
-          {FailureKind::kDuplicate, "/match", "rule '" + name + "' has it"});
+      out.push_back({FailureKind::kDuplicate, "/match",
+                     "rule '" + name + "' already has this match"});
     }
   }
 }
--- a/packages/decision/src/configuration_record.cc
+++ b/packages/decision/src/configuration_record.cc
@@ -33,11 +33,12 @@
     if (kind) {
       id.kind = *kind;
     } else {
-      reader.Reject("kind", FailureKind::kOutOfRange, "is no kind");
+      reader.Reject("kind", FailureKind::kOutOfRange,
+                    "must be a resource kind");
     }
   }
   if (reader.Read("name", kRequired, id.name) && !IsResourceName(id.name)) {
-    reader.Reject("name", FailureKind::kOutOfRange, "is no resource name");
+    reader.Reject("name", FailureKind::kOutOfRange, "must be a resource name");
   }
 }
 
@@ -59,7 +60,8 @@
   const json::value* body =
       reader.Take("body", is_delete ? kOptional : kRequired);
   if (is_delete && body != nullptr) {
-    reader.Reject("body", FailureKind::kUnknownField, "of a deletion");
+    reader.Reject("body", FailureKind::kUnknownField,
+                  "must be absent from a deletion");
   }
   reader.RejectUnknownFields();
   if (!failures.empty()) {
@@ -108,10 +110,10 @@
   std::string type;
   reader.Read("format", kRequired, 1, UINT64_MAX, format);
   if (format > kRecordFormat) {
-    // A newer build wrote it. Whatever it means, other VMs may act on it, so
-    // to skip it would make this VM's state another one than theirs.
+    // A newer build wrote the record, and other VMs may apply it. If this VM
+    // skipped it, its state would differ from theirs.
     reader.Reject("format", FailureKind::kVersionMismatch,
-                  "newer than this build reads");
+                  "is newer than this build supports");
     return {OtherRecord{RecordVerdict::kUnsupported}, std::move(failures)};
   }
   reader.Read("type", kRequired, type);
@@ -128,7 +130,7 @@
   if (type == kCheckpointType) {
     return {OtherRecord{RecordVerdict::kCheckpoint}, {}};
   }
-  reader.Reject("type", FailureKind::kOutOfRange, "is no record type");
+  reader.Reject("type", FailureKind::kOutOfRange, "must be a record type");
   return {malformed, std::move(failures)};
 }
 
--- a/packages/decision/src/configuration_record.h
+++ b/packages/decision/src/configuration_record.h
@@ -11,14 +11,16 @@
 
 namespace basilsill {
 
-/// Any record that is no change; `verdict` says which.
+/// A record that is neither a change nor a withdrawal; `verdict` says what it
+/// is.
 struct OtherRecord {
   RecordVerdict verdict = RecordVerdict::kMalformed;
 };
 
 struct ParsedRecord {
   std::variant<OtherRecord, Change, Withdrawal> content;
-  /// Faults of the record. Those of a change's body leave it a change.
+  /// Faults of the record. If only the body of a change has faults, `content`
+  /// is still a Change.
   std::vector<Failure> failures;
 };
 
--- a/packages/decision/src/configuration_status.cc
+++ b/packages/decision/src/configuration_status.cc
@@ -9,8 +9,8 @@
   for (size_t i = 0; i < vms.size(); ++i) {
     const VmRow& vm = vms[i];
     Row& row = this->rows[i];
-    // Another handle at this index is another VM, or one that started again
-    // and may be further back than it was.
+    // A different handle at this index means another VM, or a restarted one
+    // that may have applied less than before.
     if (row.vm != vm.handle) {
       row = {vm.handle, false, {}};
     }
@@ -56,7 +56,7 @@
 void ChangeFeed::OnFollow(const FollowResult& result,
                           const ConfigurationState& state) {
   if (result.state_replaced) {
-    // Changes were skipped. A watcher who went on would never hear of them.
+    // Changes were skipped. A watcher that continued would never receive them.
     this->events.clear();
     this->begin = result.outcomes.empty() ? state.next_offset()
                                           : result.outcomes.front().offset;
@@ -82,8 +82,8 @@
     return page;
   }
   if (from > this->end) {
-    // The watcher comes from a VM that has read further. To send it back
-    // would show it older states than it has seen.
+    // The watcher comes from a VM that has read further. A restart would show
+    // it states older than it has seen.
     page.next = from;
     return page;
   }
--- a/packages/decision/src/follower.cc
+++ b/packages/decision/src/follower.cc
@@ -25,7 +25,7 @@
 }
 
 uint64_t ConfigurationFollower::read_offset() const {
-  switch (this->current) {
+  switch (this->current_standing) {
     case FollowerStanding::kSearching:
     case FollowerStanding::kUncovered:
       return this->search_next;
@@ -38,43 +38,43 @@
 
 FollowResult ConfigurationFollower::OnRead(const ConfigurationRead& answer) {
   FollowResult result;
-  if (!this->TakeBounds(answer)) {
+  if (!this->UpdateBounds(answer)) {
     return result;
   }
   if (!this->bounds_known && !this->ready) {
-    this->SearchNear();
+    this->StartSearchNearEnd();
   }
   this->bounds_known = true;
-  if (this->current == FollowerStanding::kRewound) {
+  if (this->current_standing == FollowerStanding::kRewound) {
     this->CheckSameLog(answer);
   }
-  if (this->current == FollowerStanding::kSearching ||
-      this->current == FollowerStanding::kUncovered) {
-    this->SearchOn(answer, result);
-  } else if (this->current != FollowerStanding::kRewound) {
-    this->FoldOn(answer, result);
+  if (this->current_standing == FollowerStanding::kSearching ||
+      this->current_standing == FollowerStanding::kUncovered) {
+    this->ContinueSearch(answer, result);
+  } else if (this->current_standing != FollowerStanding::kRewound) {
+    this->FoldRecords(answer, result);
   }
   return result;
 }
 
 void ConfigurationFollower::OnTrimmed(const ConfigurationRead& answer) {
-  if (this->TakeBounds(answer)) {
+  if (this->UpdateBounds(answer)) {
     this->bounds_known = true;
-    this->SearchNear();
+    this->StartSearchNearEnd();
   }
 }
 
-// Offsets that were read already are gone from the log, as after its service
-// was restored from a copy. Offsets are versions, so folding on could give one
-// version to two different states. The VM keeps what it has until it sees that
-// the log holds the record it folded last.
+// Offsets that were already read are missing from the log, for example after
+// the log service was restored from a backup. Offsets are versions, so folding
+// new records could give one version to two different states. The VM keeps its
+// state until it sees that the log holds the record that it folded last.
 void ConfigurationFollower::OnBeyondEnd(const ConfigurationRead& answer) {
-  if (this->TakeBounds(answer) && this->folded.next_offset() > this->end) {
-    this->current = FollowerStanding::kRewound;
+  if (this->UpdateBounds(answer) && this->folded.next_offset() > this->end) {
+    this->current_standing = FollowerStanding::kRewound;
   }
 }
 
-bool ConfigurationFollower::TakeBounds(const ConfigurationRead& answer) {
+bool ConfigurationFollower::UpdateBounds(const ConfigurationRead& answer) {
   if (answer.from != this->read_offset()) {
     return false;
   }
@@ -90,7 +90,7 @@
   const LogRecord& record = answer.records.front();
   if (record.offset + 1 == this->folded.next_offset() &&
       HashRecord(record.body) == *this->last_record_hash) {
-    this->current = FollowerStanding::kFollowing;
+    this->current_standing = FollowerStanding::kFollowing;
   }
 }
 
@@ -105,55 +105,55 @@
   if (!state) {
     return result;
   }
-  const bool is_further = state->next_offset() > this->folded.next_offset();
-  if (!is_further && this->current == FollowerStanding::kFollowing) {
-    // What this VM has is as good as what the peer serves.
+  const bool is_newer = state->next_offset() > this->folded.next_offset();
+  if (!is_newer && this->current_standing == FollowerStanding::kFollowing) {
+    // The state of this VM is at least as new as the one that the peer serves.
     this->ready = true;
   }
-  if (!is_further && this->ready) {
+  if (!is_newer && this->ready) {
     return result;
   }
   this->newest_checkpoint =
       std::max(this->newest_checkpoint.value_or(0), state->next_offset());
-  this->Adopt(std::move(*state), result);
+  this->ReplaceState(std::move(*state), result);
   this->ready = true;
   if (this->bounds_known && this->folded.next_offset() < this->first) {
-    this->SearchNear();
+    this->StartSearchNearEnd();
   }
   return result;
 }
 
-// A checkpoint is due after kCheckpointEvery records, so there should be one
-// near the end; the log may hold far more than is worth reading.
-void ConfigurationFollower::SearchNear() {
+// A checkpoint is due every kCheckpointEvery records, so there should be one
+// near the end; the log may hold far more records than are worth reading.
+void ConfigurationFollower::StartSearchNearEnd() {
   const uint64_t near =
       this->end - std::min<uint64_t>(this->end, limits::kCheckpointSearch);
-  this->Search(std::max(this->first, near));
+  this->StartSearch(std::max(this->first, near));
 }
 
-void ConfigurationFollower::Search(uint64_t from) {
+void ConfigurationFollower::StartSearch(uint64_t from) {
   this->reader = {};
   this->search_start = from;
   this->search_next = from;
-  // Nothing is missing before offset 0: the log itself has the whole state.
-  this->current =
+  // From offset 0 the log itself holds the whole state.
+  this->current_standing =
       from == 0 ? FollowerStanding::kFollowing : FollowerStanding::kSearching;
 }
 
-void ConfigurationFollower::SearchOn(const ConfigurationRead& answer,
-                                     FollowResult& result) {
+void ConfigurationFollower::ContinueSearch(const ConfigurationRead& answer,
+                                           FollowResult& result) {
   for (const LogRecord& record : answer.records) {
     if (record.offset != this->search_next) {
       continue;
     }
     ++this->search_next;
     std::optional<ConfigurationState> state = this->reader.Add(record.body);
-    // With records missing between its offset and the log's first one, a
-    // checkpoint can't be led on to now.
+    // A checkpoint is of no use while records between its offset and the first
+    // one of the log are missing.
     if (state && state->next_offset() >= answer.first &&
         state->next_offset() >= this->folded.next_offset()) {
       this->newest_checkpoint = state->next_offset();
-      this->Adopt(std::move(*state), result);
+      this->ReplaceState(std::move(*state), result);
       return;
     }
   }
@@ -164,15 +164,15 @@
 
 void ConfigurationFollower::EndSearch() {
   if (this->search_start > this->first) {
-    this->Search(this->first);
+    this->StartSearch(this->first);
   } else {
-    this->current = FollowerStanding::kUncovered;
+    this->current_standing = FollowerStanding::kUncovered;
   }
 }
 
-void ConfigurationFollower::FoldOn(const ConfigurationRead& answer,
-                                   FollowResult& result) {
-  this->current = FollowerStanding::kFollowing;
+void ConfigurationFollower::FoldRecords(const ConfigurationRead& answer,
+                                        FollowResult& result) {
+  this->current_standing = FollowerStanding::kFollowing;
   for (const LogRecord& record : answer.records) {
     if (record.offset != this->folded.next_offset()) {
       continue;
@@ -181,43 +181,43 @@
     const RecordVerdict verdict = outcome.verdict;
     result.outcomes.push_back(std::move(outcome));
     if (verdict == RecordVerdict::kUnsupported) {
-      this->current = FollowerStanding::kUnsupported;
+      this->current_standing = FollowerStanding::kUnsupported;
       return;
     }
     this->last_record_hash = HashRecord(record.body);
-    this->RememberDigest();
+    this->RecordDigest();
     if (verdict == RecordVerdict::kCheckpoint) {
-      this->NoteCheckpoint(record.body, result);
+      this->TrackCheckpoint(record.body, result);
     }
   }
   this->ready = this->ready || this->is_at_end();
 }
 
-void ConfigurationFollower::NoteCheckpoint(const std::string& record,
-                                           FollowResult& result) {
+void ConfigurationFollower::TrackCheckpoint(const std::string& record,
+                                            FollowResult& result) {
   const std::optional<CheckpointPartHead> head = ReadCheckpointHead(record);
   if (!head) {
     return;
   }
-  const std::optional<uint64_t> own = this->DigestAt(head->offset);
-  result.has_diverged |= own && *own != head->digest;
+  const std::optional<uint64_t> own_digest = this->DigestAt(head->offset);
+  result.has_diverged |= own_digest && *own_digest != head->digest;
   if (this->tracker.Add(*head)) {
     this->newest_checkpoint =
         std::max(this->newest_checkpoint.value_or(0), head->offset);
   }
 }
 
-void ConfigurationFollower::Adopt(ConfigurationState state,
-                                  FollowResult& result) {
+void ConfigurationFollower::ReplaceState(ConfigurationState state,
+                                         FollowResult& result) {
   this->folded = std::move(state);
-  this->current = FollowerStanding::kFollowing;
+  this->current_standing = FollowerStanding::kFollowing;
   this->last_record_hash.reset();
   this->digests.clear();
-  this->RememberDigest();
+  this->RecordDigest();
   result.state_replaced = true;
 }
 
-void ConfigurationFollower::RememberDigest() {
+void ConfigurationFollower::RecordDigest() {
   this->digests.push_back(this->folded.digest());
   if (this->digests.size() > limits::kMaxKnownDigests) {
     this->digests.pop_front();
--- a/packages/decision/src/json_object_reader.cc
+++ b/packages/decision/src/json_object_reader.cc
@@ -10,7 +10,7 @@
 
 namespace json = boost::json;
 
-// A JSON pointer writes "~" and "/" inside of a name as "~0" and "~1".
+// In a JSON pointer, "~" and "/" inside a name are written as "~0" and "~1".
 std::string EscapePointer(std::string_view name) {
   std::string escaped;
   for (const char c : name) {
@@ -26,7 +26,7 @@
 }
 
 std::string RangeText(const std::string& min, const std::string& max) {
-  return "allowed is " + min + " to " + max;
+  return "must be from " + min + " to " + max;
 }
 
 }  // namespace
@@ -49,7 +49,7 @@
   }
   const json::value* field = this->object->if_contains(name);
   if (field == nullptr && presence == Presence::kRequired) {
-    this->Reject(name, FailureKind::kMissingField, "must be there");
+    this->Reject(name, FailureKind::kMissingField, "is required");
   }
   return field;
 }
@@ -108,17 +108,17 @@
   return true;
 }
 
-bool JsonObjectReader::ReadWhole(std::string_view name,
-                                 Presence presence,
-                                 uint64_t min,
-                                 uint64_t max,
-                                 uint64_t& target) {
+bool JsonObjectReader::ReadInteger(std::string_view name,
+                                   Presence presence,
+                                   uint64_t min,
+                                   uint64_t max,
+                                   uint64_t& target) {
   const json::value* field = this->Take(name, presence);
   if (field == nullptr) {
     return false;
   }
   if (!field->is_int64() && !field->is_uint64()) {
-    this->Reject(name, FailureKind::kWrongType, "must be a whole number");
+    this->Reject(name, FailureKind::kWrongType, "must be an integer");
     return false;
   }
   boost::json::error_code fault;
@@ -146,7 +146,7 @@
   }
   if (array->size() > max_size) {
     this->Reject(name, FailureKind::kOutOfRange,
-                 "at most " + std::to_string(max_size) + " entries");
+                 "must have at most " + std::to_string(max_size) + " entries");
     return {};
   }
   return {array->data(), array->size()};
@@ -161,7 +161,7 @@
                                     field.key()) != this->known.end();
     if (!is_known) {
       this->Reject(field.key(), FailureKind::kUnknownField,
-                   "is no field of this object");
+                   "is not a field of this object");
     }
   }
 }
--- a/packages/decision/src/json_object_reader.h
+++ b/packages/decision/src/json_object_reader.h
@@ -12,22 +12,23 @@
 
 #include "basilsill/base/error.h"
 
-/// Reads the fields of one JSON object strictly, and goes on after a fault so
+/// Reads the fields of one JSON object strictly, and continues after a fault so
 /// that all faults of a document are found in one pass.
 
 namespace basilsill {
 
 enum class Presence : uint8_t { kRequired, kOptional, kCount };
 
-/// Fields of one object. Every Read* call names a field that the format has;
-/// `RejectOthers` then reports the fields that no call has named. A Read*
-/// call that finds a fault reports it and leaves its target as it was; it
-/// returns true only if it has set its target.
+/// Reader for the fields of one object. Every Read* call names a field of the
+/// format; `RejectUnknownFields` then reports the fields that no call has
+/// named. A Read* call that finds a fault reports it and leaves its target
+/// unchanged; it returns true only if it has set its target.
 class JsonObjectReader {
  public:
-  /// @param value What should be an object; anything else is reported.
+  /// @param value Expected to be an object; any other type is reported as a
+  /// fault.
   /// @param path JSON pointer of `value`.
-  /// @param failures Where faults go; outlives the reader.
+  /// @param failures Receives the faults; must outlive the reader.
   JsonObjectReader(const boost::json::value& value,
                    std::string path,
                    std::vector<Failure>& failures);
@@ -43,7 +44,7 @@
             double max,
             double& target);
 
-  /// Reads a whole number from `min` to `max`.
+  /// Reads an integer from `min` to `max`.
   template <typename Integer>
   bool Read(std::string_view name,
             Presence presence,
@@ -51,14 +52,15 @@
             uint64_t max,
             Integer& target) {
     uint64_t number = 0;
-    if (!this->ReadWhole(name, presence, min, max, number)) {
+    if (!this->ReadInteger(name, presence, min, max, number)) {
       return false;
     }
     target = static_cast<Integer>(number);
     return true;
   }
 
-  /// @returns the entries of array `name`; none if absent or at fault.
+  /// @returns the entries of array `name`; empty if it is absent or has a
+  /// fault.
   std::span<const boost::json::value> ReadArray(std::string_view name,
                                                 Presence presence,
                                                 size_t max_size);
@@ -72,13 +74,13 @@
   std::string PathOf(std::string_view name) const;
 
  private:
-  bool ReadWhole(std::string_view name,
-                 Presence presence,
-                 uint64_t min,
-                 uint64_t max,
-                 uint64_t& target);
+  bool ReadInteger(std::string_view name,
+                   Presence presence,
+                   uint64_t min,
+                   uint64_t max,
+                   uint64_t& target);
 
-  const boost::json::object* object;  // nullptr if the value was no object.
+  const boost::json::object* object;  // nullptr if the value is not an object.
   std::string path;
   std::vector<Failure>& failures;
   std::vector<std::string_view> known;
--- a/packages/decision/src/name_table.h
+++ b/packages/decision/src/name_table.h
@@ -9,18 +9,18 @@
 
 #include "basilsill/base/handle.h"
 
-/// Handles for entities that go by name.
+/// Handles for entities that are identified by name.
 
 namespace basilsill {
 
-/// Gives each name a handle that lasts for as long as the name is in use.
+/// Assigns each name a handle that stays valid while the name is in use.
 template <typename Tag>
 class NameTable {
  public:
   explicit NameTable(size_t capacity) : table(capacity) {}
 
-  /// Frees the handles of all names for which `is_used(name)` is false. To be
-  /// called before Take: names that are gone must not keep new ones out of a
+  /// Frees the handles of all names for which `is_used(name)` is false. Must be
+  /// called before Take, so that unused names do not keep new ones out of a
   /// full table.
   template <typename IsUsed>
   void Retain(IsUsed&& is_used) {
@@ -29,7 +29,8 @@
     });
   }
 
-  /// @returns the handle of `name`, invalid if the table is full.
+  /// @returns the handle of `name`, which is added if it has none; invalid if
+  /// the table is full.
   Handle<Tag> Take(std::string_view name) {
     const auto known = this->handles.find(name);
     if (known != this->handles.end()) {
@@ -49,9 +50,9 @@
   }
 
  private:
-  struct Nothing {};
+  struct NoValue {};
 
-  HandleTable<Nothing, Tag> table;
+  HandleTable<NoValue, Tag> table;
   std::map<std::string, Handle<Tag>, std::less<>> handles;
 };
 
--- a/packages/decision/src/resource_json.h
+++ b/packages/decision/src/resource_json.h
@@ -15,8 +15,8 @@
 
 /// Reads the resource `id` from `value`.
 /// @param path JSON pointer of `value`.
-/// @param failures Where faults go. If there are any, the returned resource
-/// is not to be used.
+/// @param failures Receives the faults. If there are any, the returned resource
+/// must not be used.
 Resource ReadResource(const ResourceId& id,
                       const boost::json::value& value,
                       const std::string& path,
--- a/packages/decision/src/resource_reader.cc
+++ b/packages/decision/src/resource_reader.cc
@@ -34,8 +34,8 @@
   }
   if (!IsResourceName(name)) {
     reader.Reject(field, FailureKind::kOutOfRange,
-                  "must be lower-case letters, digits and inner hyphens, at "
-                  "most " +
+                  "must have only lower-case letters, digits and inner "
+                  "hyphens, expected length at most " +
                       std::to_string(limits::kMaxNameLength));
     return;
   }
@@ -51,8 +51,8 @@
   return std::nullopt;
 }
 
-// One spelling for an address, so that two spellings of one instance are
-// found to be the same.
+// Converts an address to its canonical spelling, so that two spellings of one
+// instance compare equal.
 std::optional<std::string> CanonicalAddress(const std::string& text) {
   std::array<unsigned char, sizeof(in6_addr)> bytes;
   std::array<char, INET6_ADDRSTRLEN> spelled;
@@ -82,7 +82,7 @@
                           "digits"});
     }
   }
-  // Order means nothing: one spelling for one meaning.
+  // The order is irrelevant; sorting gives equal resources equal text.
   std::sort(keys.begin(), keys.end());
   keys.erase(std::unique(keys.begin(), keys.end()), keys.end());
 }
@@ -136,7 +136,7 @@
   if (canonical) {
     instance.endpoint.address = *canonical;
   } else if (has_address) {
-    fields.Reject("address", FailureKind::kOutOfRange, "must be an IP number");
+    fields.Reject("address", FailureKind::kOutOfRange, "must be an IP address");
   }
   return instance;
 }
@@ -157,7 +157,7 @@
     if (!endpoint.address.empty() &&
         !seen.emplace(endpoint.address, endpoint.port).second) {
       failures.push_back({FailureKind::kDuplicate, path,
-                          "this address and port stand further up already"});
+                          "an earlier instance has the same address and port"});
     }
     spec.instances.push_back(std::move(instance));
   }
@@ -202,7 +202,7 @@
       methods.emplace_back(*text);
     }
   }
-  // Order means nothing: one spelling for one meaning.
+  // The order is irrelevant; sorting gives equal resources equal text.
   std::sort(methods.begin(), methods.end());
   methods.erase(std::unique(methods.begin(), methods.end()), methods.end());
 }
--- a/packages/decision/src/view.cc
+++ b/packages/decision/src/view.cc
@@ -62,17 +62,17 @@
   return &rows[handle.index];
 }
 
-// Two, so that a VM that starts does not depend on one other.
-constexpr size_t kHelpersAsked = 2;
+// Two, so that a starting VM does not depend on a single peer.
+constexpr size_t kStartupPeers = 2;
 
 struct RankedVm {
-  int group = 0;  ///< Lower ones first.
+  int group = 0;  ///< Lower groups rank first.
   uint64_t score = 0;
   const VmRow* vm = nullptr;
 };
 
-// Leaves, of VMs in the order of work, those of the first one's size, or more
-// if these are too few.
+// Removes the VMs smaller than the first one from a ranked list, unless fewer
+// than kStartupPeers would remain.
 void DropSmaller(const std::vector<VmRow>& vms, std::vector<VmHandle>& order) {
   const auto size_of = [&vms](VmHandle vm) {
     return std::bit_width(vms.at(vm.index).capacity);
@@ -81,12 +81,12 @@
     return size_of(vm) < size_of(order.front());
   };
   const auto smaller = std::find_if(order.begin(), order.end(), is_smaller);
-  if (smaller - order.begin() >= static_cast<ptrdiff_t>(kHelpersAsked)) {
+  if (smaller - order.begin() >= static_cast<ptrdiff_t>(kStartupPeers)) {
     order.erase(smaller, order.end());
   }
 }
 
-// Fills the owners of `shard`, and whether they are contested.
+// Fills `shard.owners` and `shard.contested`.
 void RankOwners(const RoutingView& view, ShardRow& shard) {
   std::vector<RankedVm> ranked;
   for (const VmRow& vm : view.vms) {
@@ -98,12 +98,12 @@
     ranked.push_back({group, HashText(vm.name, shard.key), &vm});
   }
   const size_t kept = std::min(ShardRow::kOwners, ranked.size());
-  const auto goes_before = [](const RankedVm& a, const RankedVm& b) {
+  const auto ranks_before = [](const RankedVm& a, const RankedVm& b) {
     return a.group != b.group ? a.group < b.group
                               : RanksBefore(*a.vm, a.score, *b.vm, b.score);
   };
   std::partial_sort(ranked.begin(), ranked.begin() + kept, ranked.end(),
-                    goes_before);
+                    ranks_before);
   for (size_t i = 0; i < kept; ++i) {
     shard.owners.push_back(ranked[i].vm->handle);
   }
@@ -112,14 +112,14 @@
         RankedVm if_live = vm;
         if_live.group = vm.vm->data_centre == shard.data_centre ? 0 : 1;
         return vm.vm->state == VmState::kSuspected &&
-               goes_before(if_live, ranked.front());
+               ranks_before(if_live, ranked.front());
       });
 }
 
 }  // namespace
 
-// Sizes within a factor of two count as one, so that work is spread over all
-// of them.
+// Capacities with the same highest bit, thus within a factor of two, count as
+// equal, so that work is spread over all VMs of about one size.
 bool RanksBefore(const VmRow& a,
                  uint64_t score_a,
                  const VmRow& b,
@@ -152,15 +152,16 @@
 std::vector<VmHandle> StartupPeers(const std::vector<VmRow>& vms,
                                    VmHandle self) {
   std::vector<VmHandle> order = RankLiveVms(vms);
-  const auto own_place = std::find(order.begin(), order.end(), self);
-  const auto before = static_cast<size_t>(own_place - order.begin());
+  const auto own_position = std::find(order.begin(), order.end(), self);
+  const auto before = static_cast<size_t>(own_position - order.begin());
   const VmRow& own = vms.at(self.index);
   const bool is_large =
       !order.empty() && std::bit_width(own.capacity) >
                             std::bit_width(vms.at(order.back().index).capacity);
   std::erase(order, self);
-  const size_t asked_of = is_large ? kHelpersAsked : before;
-  order.resize(std::min(order.size(), std::max(asked_of, kHelpersAsked)));
+  const size_t candidate_count = is_large ? kStartupPeers : before;
+  order.resize(
+      std::min(order.size(), std::max(candidate_count, kStartupPeers)));
   DropSmaller(vms, order);
   std::vector<RankedVm> ranked;
   for (const VmHandle vm : order) {
@@ -173,7 +174,7 @@
             [](const RankedVm& a, const RankedVm& b) {
               return a.group != b.group ? a.group < b.group : a.score > b.score;
             });
-  ranked.resize(std::min(ranked.size(), kHelpersAsked));
+  ranked.resize(std::min(ranked.size(), kStartupPeers));
   std::vector<VmHandle> chosen;
   chosen.reserve(ranked.size());
   for (const RankedVm& vm : ranked) {
@@ -261,9 +262,10 @@
 
 UpstreamIncarnation IncarnationOf(const ServiceRow& service,
                                   const UpstreamRow& upstream) {
-  const auto place = static_cast<size_t>(&upstream - service.upstreams.data());
-  return place < service.incarnations.size() ? service.incarnations[place]
-                                             : UpstreamIncarnation();
+  const auto position =
+      static_cast<size_t>(&upstream - service.upstreams.data());
+  return position < service.incarnations.size() ? service.incarnations[position]
+                                                : UpstreamIncarnation();
 }
 
 const ShardRow* FindShard(const ServiceRow& service, ShardKey key) {
--- a/packages/decision/src/view_build_throttle.cc
+++ b/packages/decision/src/view_build_throttle.cc
@@ -5,13 +5,14 @@
 namespace basilsill {
 namespace {
 
-// A view that took one unit of time is followed by none for so many.
-constexpr int kPauseParts = 9;
+// Pause after a view, as a multiple of the time that its build took: builds
+// take a tenth of the time at most, unless kMaxWait shortens the pause.
+constexpr int kPauseFactor = 9;
 
 }  // namespace
 
 void ViewBuildThrottle::OnBuilt(TimePoint begun, TimePoint ended) {
-  this->next_at = ended + std::min((ended - begun) * kPauseParts, kMaxWait);
+  this->next_at = ended + std::min((ended - begun) * kPauseFactor, kMaxWait);
 }
 
 }  // namespace basilsill
--- a/packages/decision/src/view_builder.cc
+++ b/packages/decision/src/view_builder.cc
@@ -11,13 +11,13 @@
 namespace basilsill {
 namespace {
 
-// What shard assignment looks at of a VM.
-struct VmStanding {
+// Properties of a VM that shard assignment depends on.
+struct VmPlacement {
   VmHandle handle;
   DataCentreHandle data_centre;
   bool is_live;
 
-  friend bool operator==(const VmStanding&, const VmStanding&) = default;
+  friend bool operator==(const VmPlacement&, const VmPlacement&) = default;
 };
 
 template <typename Row, typename HandleType>
@@ -28,7 +28,7 @@
   return rows[handle.index];
 }
 
-// Most specific first; the name settles what is left, so that the order is
+// Orders rules from most to least specific, then by name, so that the order is
 // the same on all VMs.
 bool IsMoreSpecific(const RuleRow& a, const RuleRow& b) {
   const auto rank = [](const RuleRow& rule) {
@@ -54,24 +54,25 @@
   }
 
  private:
-  bool UpdateStandings(const std::vector<VmRow>& vms);
+  bool UpdatePlacements(const std::vector<VmRow>& vms);
   static void MarkDrained(const ConfigurationState& configuration,
                           RoutingView& view);
   void BuildTeams(const ConfigurationState& configuration, RoutingView& view);
   std::shared_ptr<const ApiKeyTable> MakeApiKeys(const ResourceTable& table);
   void BuildRules(const ConfigurationState& configuration, RoutingView& view);
   void MakeRules(const ResourceTable& table);
-  void TakeTerms(const PlatformRuleOptions& platform_options,
-                 RuleRow& row) const;
+  void CopyPlatformOptions(const PlatformRuleOptions& platform_options,
+                           RuleRow& row) const;
 
   NameTable<TeamTag> team_names{limits::kMaxTeams};
   NameTable<RuleTag> rule_names{limits::kMaxRules};
   ServiceRows services;
 
-  std::vector<VmStanding> standings;
-  uint64_t teams_digest = 0;  // Of the teams that `api_keys` came from.
+  std::vector<VmPlacement> placements;
+  uint64_t teams_digest = 0;  // Of the teams that `api_keys` was built from.
   std::shared_ptr<const ApiKeyTable> api_keys;
-  uint64_t rules_digest = 0;  // Of the rules that the next two came from.
+  // Of the rules that `rules` and `rule_order` were built from.
+  uint64_t rules_digest = 0;
   std::vector<RuleRow> rules;
   std::vector<RuleHandle> rule_order;
   uint64_t version = 0;
@@ -91,7 +92,7 @@
     view->own_data_centre = own->data_centre;
   }
   this->BuildTeams(configuration, *view);
-  const bool vms_changed = this->UpdateStandings(membership.vms);
+  const bool vms_changed = this->UpdatePlacements(membership.vms);
   this->services.Build(configuration, vms_changed, *view);
   this->BuildRules(configuration, *view);
   const ResourceTable& limits = configuration.Table(ResourceKind::kLimits);
@@ -114,15 +115,15 @@
   }
 }
 
-// Returns true if shards may have other owners than in the view before.
-bool ViewBuilderImpl::UpdateStandings(const std::vector<VmRow>& vms) {
-  std::vector<VmStanding> now;
+// Returns true if shards may have other owners than in the previous view.
+bool ViewBuilderImpl::UpdatePlacements(const std::vector<VmRow>& vms) {
+  std::vector<VmPlacement> now;
   now.reserve(vms.size());
   for (const VmRow& vm : vms) {
     now.push_back({vm.handle, vm.data_centre, vm.state == VmState::kLive});
   }
-  const bool is_changed = now != this->standings;
-  this->standings = std::move(now);
+  const bool is_changed = now != this->placements;
+  this->placements = std::move(now);
   return is_changed;
 }
 
@@ -187,7 +188,7 @@
     row.requires_api_key = spec.requires_api_key;
     row.deadline = spec.deadline;
     if (spec.platform_options) {
-      this->TakeTerms(*spec.platform_options, row);
+      this->CopyPlatformOptions(*spec.platform_options, row);
     }
     this->rule_order.push_back(row.handle);
     RowAt(this->rules, row.handle) = std::move(row);
@@ -198,8 +199,9 @@
             });
 }
 
-void ViewBuilderImpl::TakeTerms(const PlatformRuleOptions& platform_options,
-                                RuleRow& row) const {
+void ViewBuilderImpl::CopyPlatformOptions(
+    const PlatformRuleOptions& platform_options,
+    RuleRow& row) const {
   for (const WeightedServiceName& share : platform_options.split) {
     row.split.push_back({this->services.Find(share.service), share.weight});
   }
--- a/packages/decision/test/change_table_test.cc
+++ b/packages/decision/test/change_table_test.cc
@@ -1,4 +1,4 @@
-// Tests of a change's way from proposal to outcome.
+// Tests of the handling of a change from proposal to outcome.
 
 #include "basilsill/decision/change_table.h"
 
@@ -11,15 +11,15 @@
 
 namespace basilsill::test {
 TEST_GROUP(ChangeTable) {
-  static constexpr std::chrono::seconds kPatience{10};
+  static constexpr std::chrono::seconds kChangeTimeout{10};
 
   ConfigurationLog log;
   ConfigurationFollower follower;
   ChangeTable table;
   TimePoint now{};
-  ChangeHandle appending;           // Of the last kAppend.
-  std::vector<std::string> sent;    // Records of all kAppend.
-  std::vector<ChangeOutcome> told;  // Outcomes of all kTell.
+  ChangeHandle appending;              // Change of the last kAppend.
+  std::vector<std::string> sent;       // Records of all kAppend.
+  std::vector<ChangeOutcome> replies;  // Outcomes of all kReply.
 
   void setup() override {
     Follow(this->follower, this->log);
@@ -27,256 +27,263 @@
 
   void Propose(const Change& change, bool may_be_resend = false) {
     this->table.Propose(this->now,
-                        {change, this->now + kPatience, 7, may_be_resend},
+                        {change, this->now + kChangeTimeout, 7, may_be_resend},
                         this->follower);
-    this->Drain();
+    this->CollectActions();
   }
-  void Drain() {
+  void CollectActions() {
     for (const ChangeAction& action : this->table.actions()) {
       if (action.kind == ChangeActionKind::kAppend) {
         this->appending = action.change;
         this->sent.push_back(action.record);
       } else if (action.kind == ChangeActionKind::kReply) {
-        this->told.push_back(action.outcome);
+        this->replies.push_back(action.outcome);
       }
     }
     this->table.ClearActions();
   }
-  void EndAppend(AppendResult end) {
+  void CompleteAppend(AppendResult end) {
     this->table.OnAppend(this->now, this->appending, end);
-    this->Drain();
+    this->CollectActions();
   }
-  // A read that is sent now goes to the end of the log.
+  // Sends a read and delivers its answer, which reaches the end of the log.
   void Read() {
     const uint64_t ticket = this->table.read_ticket();
     this->table.OnFollow(Follow(this->follower, this->log), this->follower);
     this->table.OnCaughtUp(this->now, ticket, this->follower);
-    this->Drain();
+    this->CollectActions();
   }
   void Wait(Duration span) {
     this->now += span;
     this->table.Tick(this->now, this->follower);
-    this->Drain();
+    this->CollectActions();
   }
-  void CheckTold(size_t count, ChangeStatus last) {
-    CHECK_EQUAL(count, this->told.size());
+  void CheckReplies(size_t count, ChangeStatus last) {
+    CHECK_EQUAL(count, this->replies.size());
     STRCMP_EQUAL(std::string(NameOf(last)).c_str(),
-                 std::string(NameOf(this->told.back().status)).c_str());
+                 std::string(NameOf(this->replies.back().status)).c_str());
   }
-  // Another VM's change.
-  void AppendOther(const Change& change) {
+  // Appends a change made by another VM.
+  void AppendFromOtherVm(const Change& change) {
     this->log.Append(WriteChange(change));
   }
 };
 
-TEST(ChangeTable, Accepted_ToldOnlyAfterReadBack) {
+TEST(ChangeTable, Accepted_AppendAnswered_ReportedOnlyAfterReadBack) {
   this->Propose(PutOf("a", TeamOf("t")));
   this->log.Append(this->sent.at(0));
-  this->EndAppend(AppendResult::kAnswered);
-  CHECK(this->told.empty());
+  this->CompleteAppend(AppendResult::kAnswered);
+  CHECK(this->replies.empty());
   this->Read();
-  this->CheckTold(1, ChangeStatus::kAccepted);
-  CHECK_EQUAL(0, *this->told[0].version);
-  CHECK_EQUAL(7, this->told[0].cookie);
+  this->CheckReplies(1, ChangeStatus::kAccepted);
+  CHECK_EQUAL(0, *this->replies[0].version);
+  CHECK_EQUAL(7, this->replies[0].cookie);
   CHECK_EQUAL(0, this->table.size());
 }
 
 TEST(ChangeTable, Race_OtherChangeFirst_ConflictWithCurrentVersion) {
   this->Propose(PutOf("a", TeamOf("t")));
-  this->AppendOther(PutOf("b", TeamOf("t", 2)));
+  this->AppendFromOtherVm(PutOf("b", TeamOf("t", 2)));
   this->log.Append(this->sent.at(0));
-  this->EndAppend(AppendResult::kAnswered);
+  this->CompleteAppend(AppendResult::kAnswered);
   this->Read();
-  this->CheckTold(1, ChangeStatus::kConflict);
-  CHECK_EQUAL(0, *this->told[0].version);
+  this->CheckReplies(1, ChangeStatus::kConflict);
+  CHECK_EQUAL(0, *this->replies[0].version);
 }
 
-// Story: the append takes effect, its answer is lost. Sent again at once it
-// would stand twice; reading on shows that it is there.
-TEST(ChangeTable, LostAnswer_RecordIsThere_AcceptedWithoutSecondAppend) {
+// Failure: an append takes effect but its answer is lost, and the record is
+// appended a second time at once, although a read would show that it is in the
+// log.
+TEST(ChangeTable, LostAnswer_RecordInLog_AcceptedWithoutSecondAppend) {
   this->Propose(PutOf("a", TeamOf("t")));
   this->log.Append(this->sent.at(0));
-  this->EndAppend(AppendResult::kUnknown);
+  this->CompleteAppend(AppendResult::kUnknown);
   CHECK_EQUAL(1, this->sent.size());
   this->Read();
-  this->CheckTold(1, ChangeStatus::kAccepted);
+  this->CheckReplies(1, ChangeStatus::kAccepted);
   CHECK_EQUAL(1, this->sent.size());
 }
 
-// Story: the answer is lost and the record is not in the log, so the table
-// appends it again. Then the first append takes effect after all, and the
-// second one too. The change must count once.
-TEST(ChangeTable, LostAnswer_EffectComesLate_CountsOnce) {
+// Failure: the answer is lost and the record is not in the log, so the table
+// appends it again. Then both appends take effect, and the change is applied
+// twice.
+TEST(ChangeTable, LostAnswer_LateEffect_AppliedOnce) {
   this->Propose(PutOf("a", TeamOf("t")));
-  this->EndAppend(AppendResult::kUnknown);
+  this->CompleteAppend(AppendResult::kUnknown);
   this->Read();
   CHECK_EQUAL(2, this->sent.size());
   STRCMP_EQUAL(this->sent[0].c_str(), this->sent[1].c_str());
   this->log.Append(this->sent[0]);
   this->log.Append(this->sent[1]);
-  this->EndAppend(AppendResult::kAnswered);
+  this->CompleteAppend(AppendResult::kAnswered);
   this->Read();
-  this->CheckTold(1, ChangeStatus::kAccepted);
-  CHECK_EQUAL(0, *this->told[0].version);
+  this->CheckReplies(1, ChangeStatus::kAccepted);
+  CHECK_EQUAL(0, *this->replies[0].version);
 }
 
-// Story: a read that was on its way when the answer got lost does not show
-// the record. It can't: it was sent before. Only a later one counts.
-TEST(ChangeTable, LostAnswer_OlderReadSaysNothing_NoSecondAppend) {
+// Failure: a read that was in flight when the answer was lost does not show the
+// record, because it was sent earlier, and the table appends the record again.
+// Only a read sent after the loss may decide.
+TEST(ChangeTable, LostAnswer_ReadSentEarlier_NoSecondAppend) {
   const uint64_t older = this->table.read_ticket();
   this->Propose(PutOf("a", TeamOf("t")));
-  this->EndAppend(AppendResult::kUnknown);
+  this->CompleteAppend(AppendResult::kUnknown);
   this->table.OnCaughtUp(this->now, older, this->follower);
-  this->Drain();
+  this->CollectActions();
   CHECK_EQUAL(1, this->sent.size());
 }
 
-// Story: the log hangs past the operator's patience, who hears `unresolved`.
-// When it answers again, a withdrawal settles the matter: the append that was
-// under way all the time comes after it and does nothing.
-TEST(ChangeTable, Patience_Over_UnresolvedThenVoidByWithdrawal) {
+// Failure: the log hangs until the operator's deadline has passed and the
+// change is reported as `unresolved`. The append that was in flight takes
+// effect much later. A withdrawal that is appended before it must void it.
+TEST(ChangeTable, Deadline_Passed_UnresolvedThenVoidByWithdrawal) {
   this->Propose(PutOf("a", TeamOf("t")));
-  this->Wait(kPatience);
-  this->CheckTold(1, ChangeStatus::kUnresolved);
-  this->EndAppend(AppendResult::kUnknown);
+  this->Wait(kChangeTimeout);
+  this->CheckReplies(1, ChangeStatus::kUnresolved);
+  this->CompleteAppend(AppendResult::kUnknown);
   this->Read();
   CHECK_EQUAL(2, this->sent.size());
   this->log.Append(this->sent[1]);
   this->log.Append(this->sent[0]);
-  this->EndAppend(AppendResult::kAnswered);
+  this->CompleteAppend(AppendResult::kAnswered);
   this->Read();
-  this->CheckTold(2, ChangeStatus::kVoid);
+  this->CheckReplies(2, ChangeStatus::kVoid);
   CHECK(this->follower.state().Find({ResourceKind::kTeam, "t"}) == nullptr);
 }
 
-TEST(ChangeTable, Patience_OverButRecordWasFirst_AcceptedAfterUnresolved) {
+TEST(ChangeTable, Deadline_PassedButRecordFirst_AcceptedAfterUnresolved) {
   this->Propose(PutOf("a", TeamOf("t")));
-  this->EndAppend(AppendResult::kUnknown);
-  this->Wait(kPatience);
-  this->CheckTold(1, ChangeStatus::kUnresolved);
+  this->CompleteAppend(AppendResult::kUnknown);
+  this->Wait(kChangeTimeout);
+  this->CheckReplies(1, ChangeStatus::kUnresolved);
   this->Read();
   this->log.Append(this->sent[0]);
   this->log.Append(this->sent[1]);
-  this->EndAppend(AppendResult::kAnswered);
+  this->CompleteAppend(AppendResult::kAnswered);
   this->Read();
-  this->CheckTold(2, ChangeStatus::kAccepted);
+  this->CheckReplies(2, ChangeStatus::kAccepted);
 }
 
-TEST(ChangeTable, LogDown_NothingEverTaken_VoidNotUnresolved) {
+TEST(ChangeTable, LogDown_NothingAppended_VoidNotUnresolved) {
   this->Propose(PutOf("a", TeamOf("t")));
-  this->EndAppend(AppendResult::kNoEffect);
+  this->CompleteAppend(AppendResult::kNoEffect);
   this->Wait(limits::kChangeRetryMin / 2);
   CHECK_EQUAL(1, this->sent.size());
   this->Wait(limits::kChangeRetryMin);
   CHECK_EQUAL(2, this->sent.size());
-  this->EndAppend(AppendResult::kNoEffect);
-  this->Wait(kPatience);
-  this->CheckTold(1, ChangeStatus::kVoid);
+  this->CompleteAppend(AppendResult::kNoEffect);
+  this->Wait(kChangeTimeout);
+  this->CheckReplies(1, ChangeStatus::kVoid);
   CHECK_EQUAL(0, this->table.size());
 }
 
-// Story: an operator's script makes a team at one VM, hears `accepted`, and
-// makes a service at another VM, which has not read the team yet. That must
-// not be refused as a dangling reference.
-TEST(ChangeTable, Check_FailsHereOnly_ReadsOnBeforeItRefuses) {
-  this->AppendOther(PutOf("a", TeamOf("t")));
+// Failure: an operator's script creates a team on one VM, gets `accepted`, and
+// creates a service on another VM, which has not read the team's record yet.
+// That VM rejects the service as a dangling reference.
+TEST(ChangeTable, Check_FailsOnThisVmOnly_ReadsLogBeforeRejecting) {
+  this->AppendFromOtherVm(PutOf("a", TeamOf("t")));
   this->Propose(PutOf("b", ServiceOf("s", "t")));
-  CHECK(this->told.empty());
+  CHECK(this->replies.empty());
   CHECK(this->sent.empty());
   this->Read();
   CHECK_EQUAL(1, this->sent.size());
   this->Propose(PutOf("c", RuleOf("r", "no-such", "/")));
   this->Read();
-  this->CheckTold(1, ChangeStatus::kRejected);
-  CHECK(FailureKind::kDanglingReference == this->told[0].failures[0].kind);
+  this->CheckReplies(1, ChangeStatus::kRejected);
+  CHECK(FailureKind::kDanglingReference == this->replies[0].failures[0].kind);
 }
 
 TEST(ChangeTable, Check_StaleBase_ConflictWithoutAppend) {
-  this->AppendOther(PutOf("a", TeamOf("t")));
-  this->AppendOther(PutOf("b", TeamOf("t", 2), 0));
+  this->AppendFromOtherVm(PutOf("a", TeamOf("t")));
+  this->AppendFromOtherVm(PutOf("b", TeamOf("t", 2), 0));
   this->Read();
   this->Propose(PutOf("c", TeamOf("t", 3), 0));
   this->Read();
-  this->CheckTold(1, ChangeStatus::kConflict);
-  CHECK_EQUAL(1, *this->told[0].version);
+  this->CheckReplies(1, ChangeStatus::kConflict);
+  CHECK_EQUAL(1, *this->replies[0].version);
   CHECK(this->sent.empty());
 }
 
-// Story: an operator gets no answer and sends the same change, with the same
-// id, through another VM. It was accepted meanwhile, and even replaced.
+// Failure: an operator gets no answer and resends the change with the same id
+// through another VM. Meanwhile it was accepted and even replaced, and the
+// resend is reported as a conflict.
 TEST(ChangeTable, Resend_DecidedBefore_SameAnswer) {
-  this->AppendOther(PutOf("a", TeamOf("t")));
-  this->AppendOther(PutOf("b", TeamOf("t", 2), 0));
+  this->AppendFromOtherVm(PutOf("a", TeamOf("t")));
+  this->AppendFromOtherVm(PutOf("b", TeamOf("t", 2), 0));
   this->Read();
   this->Propose(PutOf("a", TeamOf("t")), true);
-  this->CheckTold(1, ChangeStatus::kAccepted);
-  CHECK_EQUAL(0, *this->told[0].version);
+  this->CheckReplies(1, ChangeStatus::kAccepted);
+  CHECK_EQUAL(0, *this->replies[0].version);
   CHECK(this->sent.empty());
 }
 
-// Story: an operator's first append hangs at another VM, and the change comes
-// again here, where it names a team that is gone. Refused here alone, it could
-// still be taken there once the team is back. So the log must say no.
-TEST(ChangeTable, Resend_NotValidHere_RefusedByARecord) {
+// Failure: an operator's first append hangs on another VM, and the change is
+// resent here, where it refers to a team that was deleted. If only this VM
+// rejects it, the first append can still be accepted once the team exists
+// again. So a record in the log must reject it.
+TEST(ChangeTable, Resend_InvalidOnThisVm_RejectedByRecord) {
   this->Propose(PutOf("a", ServiceOf("s", "t")), true);
   this->Read();
-  CHECK(this->told.empty());
+  CHECK(this->replies.empty());
   this->log.Append(this->sent.at(0));
-  this->EndAppend(AppendResult::kAnswered);
+  this->CompleteAppend(AppendResult::kAnswered);
   this->Read();
-  this->CheckTold(1, ChangeStatus::kRejected);
-  this->AppendOther(PutOf("b", TeamOf("t")));
-  this->AppendOther(PutOf("a", ServiceOf("s", "t")));
+  this->CheckReplies(1, ChangeStatus::kRejected);
+  this->AppendFromOtherVm(PutOf("b", TeamOf("t")));
+  this->AppendFromOtherVm(PutOf("a", ServiceOf("s", "t")));
   this->Read();
   CHECK(this->follower.state().Find({ResourceKind::kService, "s"}) == nullptr);
 }
 
-// Story: the same, but the log takes nothing here. What hangs at the other VM
-// may still be taken, so `void` would be a promise that this VM can't keep.
-TEST(ChangeTable, Resend_LogTakesNothing_UnresolvedThenWithdrawn) {
+// Failure: a change is resent here while its first append hangs on another VM.
+// The log refuses the append of this VM, which reports `void`, although the
+// first append may still take effect.
+TEST(ChangeTable, Resend_LogRefusesAppend_UnresolvedThenWithdrawn) {
   this->Propose(PutOf("a", TeamOf("t")), true);
-  this->EndAppend(AppendResult::kNoEffect);
-  this->Wait(kPatience);
-  this->CheckTold(1, ChangeStatus::kUnresolved);
+  this->CompleteAppend(AppendResult::kNoEffect);
+  this->Wait(kChangeTimeout);
+  this->CheckReplies(1, ChangeStatus::kUnresolved);
   this->Wait(limits::kChangeRetryMax);
   this->log.Append(this->sent.at(1));
-  this->AppendOther(PutOf("a", TeamOf("t")));
-  this->EndAppend(AppendResult::kAnswered);
+  this->AppendFromOtherVm(PutOf("a", TeamOf("t")));
+  this->CompleteAppend(AppendResult::kAnswered);
   this->Read();
-  this->CheckTold(2, ChangeStatus::kVoid);
+  this->CheckReplies(2, ChangeStatus::kVoid);
   CHECK(this->follower.state().Find({ResourceKind::kTeam, "t"}) == nullptr);
 }
 
-// Story: an append hangs while other VMs append thousands of records. Should
-// it still take effect it counts for nobody, so the operator can be told.
-TEST(ChangeTable, Lapse_WindowPassed_VoidForGood) {
+// Failure: an append hangs while other VMs append thousands of records, and the
+// operator gets no final outcome. If the append still takes effect, every VM
+// ignores it, so the change can be reported as void.
+TEST(ChangeTable, Expiry_WindowPassed_VoidPermanently) {
   this->Propose(PutOf("a", TeamOf("t")));
   for (size_t i = 0; i <= limits::kChangeWindow; ++i) {
     this->log.Append("filler");
   }
   this->Read();
-  this->CheckTold(1, ChangeStatus::kVoid);
+  this->CheckReplies(1, ChangeStatus::kVoid);
   this->log.Append(this->sent[0]);
   this->Read();
   CHECK(this->follower.state().Find({ResourceKind::kTeam, "t"}) == nullptr);
 }
 
-// Story: this VM is cut off for longer than the log keeps records and goes on
-// from a peer's snapshot. The peer's memory of ids tells what became of it.
-TEST(ChangeTable, Jump_DecisionSkipped_ToldFromTheSnapshot) {
+// Failure: this VM is disconnected for longer than the log retains records and
+// continues from a peer's snapshot, so it never reads the record of its change.
+// The snapshot contains the decision.
+TEST(ChangeTable, Snapshot_DecisionSkipped_OutcomeFromSnapshot) {
   this->Propose(PutOf("a", TeamOf("t")));
   ConfigurationFollower peer;
   this->log.Append(this->sent[0]);
-  this->AppendOther(DeleteOf("b", {ResourceKind::kTeam, "t"}, 0));
+  this->AppendFromOtherVm(DeleteOf("b", {ResourceKind::kTeam, "t"}, 0));
   Follow(peer, this->log);
   this->table.OnFollow(
       this->follower.OnSnapshot(WriteCheckpoint(peer.state(), "s")),
       this->follower);
-  this->Drain();
-  this->CheckTold(1, ChangeStatus::kAccepted);
+  this->CollectActions();
+  this->CheckReplies(1, ChangeStatus::kAccepted);
 }
 
-TEST(ChangeTable, Jump_PastTheWindow_OutcomeUnknown) {
+TEST(ChangeTable, Snapshot_PastWindow_OutcomeUnknown) {
   this->Propose(PutOf("a", TeamOf("t")));
   ConfigurationFollower peer;
   for (size_t i = 0; i <= limits::kChangeWindow; ++i) {
@@ -286,16 +293,16 @@
   this->table.OnFollow(
       this->follower.OnSnapshot(WriteCheckpoint(peer.state(), "s")),
       this->follower);
-  this->Drain();
-  this->CheckTold(1, ChangeStatus::kUnknown);
+  this->CollectActions();
+  this->CheckReplies(1, ChangeStatus::kUnknown);
 }
 
-TEST(ChangeTable, Searching_VmHasNoState_RefusedAtOnce) {
+TEST(ChangeTable, Searching_NoState_RefusedImmediately) {
   this->follower = {};
   this->Propose(PutOf("a", TeamOf("t")));
-  this->CheckTold(1, ChangeStatus::kVoid);
+  this->CheckReplies(1, ChangeStatus::kVoid);
   this->Propose(PutOf("b", TeamOf("t")), true);
-  this->CheckTold(2, ChangeStatus::kUnknown);
+  this->CheckReplies(2, ChangeStatus::kUnknown);
 }
 
 }  // namespace basilsill::test
--- a/packages/decision/test/configuration_bench.cc
+++ b/packages/decision/test/configuration_bench.cc
@@ -1,5 +1,6 @@
-// What configuration costs the control thread at today's size and at the size
-// it is to grow to. Not part of CI: figures depend on the machine.
+// Cost of configuration on the control thread, at the current size of the
+// installation and at the size that it must support. Not part of CI, since the
+// figures depend on the machine.
 
 #include <cstdlib>
 #include <memory>
@@ -26,7 +27,8 @@
 constexpr Size kToday{4, 31, 3, 14};
 constexpr Size kBig{350, 14000, 12, 1000};
 
-// A whole installation: per service one rule and one set per data centre.
+// An installation with one rule per service, and one upstream set per service
+// and data centre.
 class Installation {
  public:
   explicit Installation(const Size& size) : size(size) {
@@ -55,7 +57,7 @@
     }
   }
 
-  // One set with one instance more or less in rotation.
+  // Takes one instance of one set in or out of rotation.
   void ChangeOneSet() {
     const std::string name = "s0-0";
     Resource set =
@@ -92,16 +94,19 @@
     this->Put(ServiceOf(name, "team-" + name));
     this->Put(RuleOf(name, name, "/" + name));
     const size_t count = this->size.instances / this->size.services;
-    for (size_t place = 0; place < this->size.data_centres; ++place) {
-      UpstreamSetSpec spec{name, "dc" + std::to_string(place), {}};
-      for (size_t i = place; i < count; i += this->size.data_centres) {
+    for (size_t data_centre_index = 0;
+         data_centre_index < this->size.data_centres; ++data_centre_index) {
+      UpstreamSetSpec spec{name, "dc" + std::to_string(data_centre_index), {}};
+      for (size_t i = data_centre_index; i < count;
+           i += this->size.data_centres) {
         ++this->next_address;
         spec.instances.push_back(
             {{"10.0." + std::to_string(this->next_address / 250) + "." +
                   std::to_string(this->next_address % 250),
               80}});
       }
-      this->Put({name + "-" + std::to_string(place), std::move(spec)});
+      this->Put(
+          {name + "-" + std::to_string(data_centre_index), std::move(spec)});
     }
   }
 
--- a/packages/decision/test/configuration_history.cc
+++ b/packages/decision/test/configuration_history.cc
@@ -12,18 +12,18 @@
 
 constexpr size_t kVms = 4;
 constexpr size_t kSteps = 150;
-constexpr size_t kHealSteps = 400;
+constexpr size_t kRecoverySteps = 400;
 constexpr Duration kStepTime = std::chrono::milliseconds(200);
-constexpr Duration kPatience = std::chrono::seconds(3);
-constexpr size_t kLongestDelay = 40;  // Steps.
-constexpr size_t kLongRead = 1000;    // Records.
+constexpr Duration kChangeTimeout = std::chrono::seconds(3);
+constexpr size_t kMaxDelaySteps = 40;
+constexpr size_t kLongReadRecords = 1000;
 
 std::string TextOf(const ChangeOutcome& outcome) {
   return outcome.change_id + " " + std::string(NameOf(outcome.status)) + " " +
          std::to_string(outcome.version.value_or(0));
 }
 
-bool IsFinalNo(const ChangeOutcome& outcome) {
+bool IsFinalRejection(const ChangeOutcome& outcome) {
   return outcome.status == ChangeStatus::kConflict ||
          outcome.status == ChangeStatus::kRejected ||
          outcome.status == ChangeStatus::kVoid;
@@ -37,8 +37,8 @@
     this->vms.push_back(std::make_shared<Vm>());
     this->vms.back()->name = "vm " + std::to_string(i);
   }
-  this->digests.push_back(this->truth.digest());
-  this->Note("seed " + std::to_string(seed));
+  this->digests.push_back(this->expected_state.digest());
+  this->Trace("seed " + std::to_string(seed));
 }
 
 std::string ConfigurationHistory::Run() {
@@ -49,23 +49,24 @@
   for (const auto& vm : this->vms) {
     vm->is_paused = false;
   }
-  while (this->step < kSteps + kHealSteps && !this->IsWell()) {
+  while (this->step < kSteps + kRecoverySteps && !this->HasConverged()) {
     this->Step(true);
-    if (this->step == kSteps + kHealSteps / 2) {
+    if (this->step == kSteps + kRecoverySteps / 2) {
       this->Recover();
     }
   }
-  if (!this->IsWell()) {
-    this->Break("a VM is behind or a change open although all is well again");
+  if (!this->HasConverged()) {
+    this->ReportViolation(
+        "a VM is behind or a change is pending although all faults have ended");
   }
   for (const auto& vm : this->vms) {
     if (vm->follower.state().digest() != this->digests.back() &&
-        !this->is_truth_lost) {
-      this->Break(vm->name + " ends with a state of its own");
+        !this->is_expected_state_lost) {
+      this->ReportViolation(vm->name + " ends with a different state");
     }
   }
-  this->CheckTold();
-  return this->broken.empty() ? "" : this->broken + "\n" + this->text;
+  this->CheckOutcomes();
+  return this->violation.empty() ? "" : this->violation + "\n" + this->text;
 }
 
 uint32_t ConfigurationHistory::Draw(size_t below) {
@@ -73,17 +74,17 @@
       0, static_cast<uint32_t>(below) - 1)(this->random);
 }
 
-void ConfigurationHistory::Note(const std::string& line) {
+void ConfigurationHistory::Trace(const std::string& line) {
   this->text += std::to_string(this->step) + ": " + line + "\n";
 }
 
-void ConfigurationHistory::Break(const std::string& promise) {
-  if (this->broken.empty()) {
-    this->broken = "broken: " + promise;
+void ConfigurationHistory::ReportViolation(const std::string& invariant) {
+  if (this->violation.empty()) {
+    this->violation = "violated: " + invariant;
   }
 }
 
-void ConfigurationHistory::Step(bool is_healing) {
+void ConfigurationHistory::Step(bool is_recovering) {
   ++this->step;
   this->now += kStepTime;
   while (!this->due.empty() && this->due.begin()->first <= this->step) {
@@ -91,43 +92,43 @@
     this->due.erase(this->due.begin());
     event();
   }
-  if (!is_healing) {
-    this->Disturb();
+  if (!is_recovering) {
+    this->InjectFault();
   }
   for (const auto& vm : this->vms) {
-    if (is_healing) {
+    if (is_recovering) {
       this->TakeSnapshot(*vm);
     }
-    this->Turn(vm);
+    this->RunVm(vm);
   }
 }
 
-void ConfigurationHistory::Disturb() {
-  std::shared_ptr<Vm>& place = this->DrawVm();
-  Vm& vm = *place;
-  const uint32_t what = this->Draw(100);
-  if (what < 25) {
+void ConfigurationHistory::InjectFault() {
+  std::shared_ptr<Vm>& slot = this->DrawVm();
+  Vm& vm = *slot;
+  const uint32_t event_draw = this->Draw(100);
+  if (event_draw < 25) {
     this->Propose(vm);
-  } else if (what < 30) {
+  } else if (event_draw < 30) {
     vm.is_paused = !vm.is_paused && this->Chance(50);
-    this->Note(vm.name + (vm.is_paused ? " pauses" : " runs"));
-  } else if (what < 33) {
-    this->Note(vm.name + " is replaced");
+    this->Trace(vm.name + (vm.is_paused ? " pauses" : " resumes"));
+  } else if (event_draw < 33) {
+    this->Trace(vm.name + " is replaced");
     auto fresh = std::make_shared<Vm>();
     fresh->name = vm.name;
-    place = std::move(fresh);
-  } else if (what < 41) {
+    slot = std::move(fresh);
+  } else if (event_draw < 41) {
     this->AppendCheckpoint(vm);
-  } else if (what < 44) {
+  } else if (event_draw < 44) {
     this->Trim();
-  } else if (what < 46) {
+  } else if (event_draw < 46) {
     this->is_log_down = !this->is_log_down && this->Chance(60);
-    this->Note(this->is_log_down ? "log down" : "log up");
-  } else if (what < 50) {
+    this->Trace(this->is_log_down ? "log down" : "log up");
+  } else if (event_draw < 50) {
     this->TakeSnapshot(vm);
-  } else if (what == 50 && this->Chance(2)) {
-    // So many records that changes under way lapse and ids are forgotten.
-    this->Note("burst");
+  } else if (event_draw == 50 && this->Chance(2)) {
+    // Enough records for pending changes to expire and ids to be evicted.
+    this->Trace("burst");
     for (size_t i = 0; i < limits::kChangeWindow; ++i) {
       this->AppendRecord("filler");
     }
@@ -139,7 +140,7 @@
     return;
   }
   const std::optional<Change> resend = this->DrawResend();
-  // An operator has read what is to change at any VM, long ago perhaps.
+  // The operator has read the resource on any VM, possibly long ago.
   const Change change =
       resend ? *resend : this->DrawChange(this->DrawVm()->follower.state());
   if (!resend) {
@@ -149,15 +150,16 @@
   }
   const bool may_be_resend =
       resend.has_value() || this->proposed.at(change.id).has_own_id;
-  this->Note(vm.name + " gets " + WriteChange(change));
-  vm.table.Propose(this->now, {change, this->now + kPatience, 0, may_be_resend},
+  this->Trace(vm.name + " gets " + WriteChange(change));
+  vm.table.Propose(this->now,
+                   {change, this->now + kChangeTimeout, 0, may_be_resend},
                    vm.follower);
 }
 
 std::optional<Change> ConfigurationHistory::DrawResend() {
-  std::vector<const Known*> open;
+  std::vector<const ProposedChange*> open;
   for (const auto& [id, known] : this->proposed) {
-    // Past the window an operator has to look at the resource instead.
+    // Past the window an operator must read the resource instead of resending.
     if (known.may_resend &&
         this->log.end() <= known.proposed_at + limits::kChangeWindow) {
       open.push_back(&known);
@@ -201,7 +203,7 @@
   }
 }
 
-void ConfigurationHistory::Turn(const std::shared_ptr<Vm>& vm) {
+void ConfigurationHistory::RunVm(const std::shared_ptr<Vm>& vm) {
   if (vm->is_paused) {
     return;
   }
@@ -213,17 +215,18 @@
     if (action.kind == ChangeActionKind::kAppend) {
       this->Append(vm, action);
     } else if (action.kind == ChangeActionKind::kReply) {
-      this->Tell(*vm, action.outcome);
+      this->OnOutcome(*vm, action.outcome);
     }
   }
 }
 
-// A read is answered in one turn and delivered in a later one, so that other
-// things happen in between.
+// A read is answered in one step and delivered in a later one, so that other
+// events happen in between.
 void ConfigurationHistory::Read(Vm& vm) {
   if (!vm.read) {
     if (!this->is_log_down && this->Chance(70)) {
-      const size_t max = this->Chance(80) ? 1 + this->Draw(20) : kLongRead;
+      const size_t max =
+          this->Chance(80) ? 1 + this->Draw(20) : kLongReadRecords;
       vm.read_ticket = vm.table.read_ticket();
       vm.read = ReadFrom(this->log, vm.follower.read_offset(), max);
     }
@@ -231,10 +234,10 @@
   }
   const FollowResult result = Deliver(vm.follower, *vm.read);
   vm.read.reset();
-  this->counts.jumps += result.state_replaced ? 1 : 0;
+  this->counts.state_replacements += result.state_replaced ? 1 : 0;
   vm.table.OnFollow(result, vm.follower);
-  if (result.has_diverged && !this->is_truth_lost) {
-    this->Break(vm.name + " saw a state diverge");
+  if (result.has_diverged && !this->is_expected_state_lost) {
+    this->ReportViolation(vm.name + " detected a diverged state");
   }
   if (vm.follower.is_at_end()) {
     vm.table.OnCaughtUp(this->now, vm.read_ticket, vm.follower);
@@ -244,44 +247,47 @@
 
 void ConfigurationHistory::Append(const std::shared_ptr<Vm>& vm,
                                   const ChangeAction& action) {
-  const uint32_t fate = this->Draw(100);
+  const uint32_t outcome_draw = this->Draw(100);
   AppendResult end = AppendResult::kUnknown;
-  std::string what = "never takes effect";
-  if (this->is_log_down || fate < 10) {
+  std::string effect = "never takes effect";
+  if (this->is_log_down || outcome_draw < 10) {
     end = AppendResult::kNoEffect;
-    what = "is refused";
-  } else if (fate < 70) {
+    effect = "is refused";
+  } else if (outcome_draw < 70) {
     this->AppendRecord(action.record);
-    end = fate < 55 ? AppendResult::kAnswered : AppendResult::kUnknown;
-    what = end == AppendResult::kAnswered ? "is taken" : "is taken unseen";
-  } else if (fate < 90) {
-    what = "takes effect late";
-    this->due.emplace(this->step + 1 + this->Draw(kLongestDelay),
+    end = outcome_draw < 55 ? AppendResult::kAnswered : AppendResult::kUnknown;
+    effect = end == AppendResult::kAnswered ? "is appended"
+                                            : "is appended, its answer lost";
+  } else if (outcome_draw < 90) {
+    effect = "takes effect late";
+    this->due.emplace(this->step + 1 + this->Draw(kMaxDelaySteps),
                       [this, record = action.record] {
-                        this->Note("a late append takes effect");
+                        this->Trace("a late append takes effect");
                         this->AppendRecord(record);
                       });
   }
-  // A VM that is replaced meanwhile never hears of it.
+  // A VM that is replaced meanwhile never gets the answer.
   this->due.emplace(
       this->step + 1 + this->Draw(6),
-      [this, end, change = action.change, asked = std::weak_ptr<Vm>(vm)] {
-        if (const std::shared_ptr<Vm> asker = asked.lock()) {
-          asker->table.OnAppend(this->now, change, end);
+      [this, end, change = action.change, requester = std::weak_ptr<Vm>(vm)] {
+        if (const std::shared_ptr<Vm> requesting_vm = requester.lock()) {
+          requesting_vm->table.OnAppend(this->now, change, end);
         }
       });
-  this->Note(vm->name + " appends " + action.record + ", which " + what);
+  this->Trace(vm->name + " appends " + action.record + ", which " + effect);
 }
 
-void ConfigurationHistory::Tell(const Vm& vm, const ChangeOutcome& outcome) {
-  this->Note(vm.name + " tells " + TextOf(outcome));
-  ++this->counts.told.at(static_cast<size_t>(outcome.status));
-  Known& known = this->proposed.at(outcome.change_id);
-  known.told.push_back(outcome);
-  known.may_resend = !IsFinalNo(outcome);
+void ConfigurationHistory::OnOutcome(const Vm& vm,
+                                     const ChangeOutcome& outcome) {
+  this->Trace(vm.name + " reports " + TextOf(outcome));
+  ++this->counts.outcomes.at(static_cast<size_t>(outcome.status));
+  ProposedChange& known = this->proposed.at(outcome.change_id);
+  known.outcomes.push_back(outcome);
+  known.may_resend = !IsFinalRejection(outcome);
 }
 
-// Makes a checkpoint, or appends the one made some time ago, in part perhaps.
+// Writes a checkpoint, or appends the one written earlier, possibly with parts
+// missing.
 void ConfigurationHistory::AppendCheckpoint(Vm& vm) {
   if (vm.is_paused || this->is_log_down || !vm.follower.is_ready()) {
     return;
@@ -289,10 +295,10 @@
   if (vm.checkpoint.empty()) {
     const std::string id = "k" + std::to_string(this->next_id++);
     vm.checkpoint = WriteCheckpoint(vm.follower.state(), id);
-    this->Note(vm.name + " makes checkpoint " + id);
+    this->Trace(vm.name + " writes checkpoint " + id);
     return;
   }
-  this->Note(vm.name + " appends its checkpoint");
+  this->Trace(vm.name + " appends its checkpoint");
   for (const std::string& part : vm.checkpoint) {
     if (!this->Chance(5)) {
       this->AppendRecord(part);
@@ -310,8 +316,8 @@
   const FollowResult result =
       vm.follower.OnSnapshot(WriteCheckpoint(peer.follower.state(), "s"));
   if (result.state_replaced) {
-    this->Note(vm.name + " takes a snapshot of " + peer.name);
-    ++this->counts.jumps;
+    this->Trace(vm.name + " takes a snapshot of " + peer.name);
+    ++this->counts.state_replacements;
     vm.table.OnFollow(result, vm.follower);
     this->CheckDigest(vm);
   }
@@ -320,22 +326,22 @@
 void ConfigurationHistory::Trim() {
   const uint64_t kept = this->Draw(40);
   uint64_t first = this->log.end() - std::min(this->log.end(), kept);
-  // Mostly a checkpoint is there in time, as the planner sees to.
+  // In most cases a checkpoint was written in time, as the planner ensures.
   if (!this->Chance(10)) {
     first = std::min(first, this->covered);
   }
   this->log.first = std::max(this->log.first, first);
-  this->Note("trimmed to " + std::to_string(this->log.first));
+  this->Trace("trimmed to " + std::to_string(this->log.first));
 }
 
 void ConfigurationHistory::AppendRecord(const std::string& record) {
   const uint64_t offset = this->log.Append(record);
-  const RecordOutcome outcome = this->truth.Apply(offset, record);
-  this->digests.push_back(this->truth.digest());
+  const RecordOutcome outcome = this->expected_state.Apply(offset, record);
+  this->digests.push_back(this->expected_state.digest());
   ++this->counts.records.at(static_cast<size_t>(outcome.verdict));
   if (outcome.verdict != RecordVerdict::kMalformed) {
-    this->Note("  log " + std::to_string(offset) + " " +
-               std::string(NameOf(outcome.verdict)) + " " + outcome.change_id);
+    this->Trace("  log " + std::to_string(offset) + " " +
+                std::string(NameOf(outcome.verdict)) + " " + outcome.change_id);
   }
   if (outcome.verdict == RecordVerdict::kAccepted) {
     this->CheckAccepted(outcome);
@@ -347,8 +353,9 @@
   }
 }
 
-// What the log's order demands, told without the fold: an accepted change is
-// based on the version that the accepted one before it made, and counts once.
+// Checks the order of the log independently of the fold: an accepted change is
+// based on the version made by the accepted change before it, and is accepted
+// once.
 void ConfigurationHistory::CheckAccepted(const RecordOutcome& outcome) {
   const Change& change = this->proposed.at(outcome.change_id).change;
   const auto version = this->versions.find(change.resource);
@@ -357,10 +364,11 @@
           ? version != this->versions.end() && version->second == *change.base
           : version == this->versions.end();
   if (!is_based_on_current) {
-    this->Break(change.id + " was accepted on a version that is not current");
+    this->ReportViolation(change.id +
+                          " was accepted on a version that is not current");
   }
   if (!this->accepted_at.emplace(change.id, outcome.offset).second) {
-    this->Break(change.id + " was accepted twice");
+    this->ReportViolation(change.id + " was accepted twice");
   }
   if (change.body) {
     this->versions[change.resource] = outcome.offset;
@@ -371,30 +379,33 @@
 
 void ConfigurationHistory::CheckDigest(const Vm& vm) {
   const ConfigurationState& state = vm.follower.state();
-  if (!this->is_truth_lost &&
+  if (!this->is_expected_state_lost &&
       state.digest() != this->digests.at(state.next_offset())) {
-    this->Break(vm.name + " has another state at " +
-                std::to_string(state.next_offset()));
+    this->ReportViolation(vm.name + " has a different state at offset " +
+                          std::to_string(state.next_offset()));
   }
 }
 
-void ConfigurationHistory::CheckTold() {
+void ConfigurationHistory::CheckOutcomes() {
   for (const auto& [id, known] : this->proposed) {
     const auto accepted = this->accepted_at.find(id);
     const bool is_accepted = accepted != this->accepted_at.end();
-    for (const ChangeOutcome& outcome : known.told) {
-      const bool is_yes = outcome.status == ChangeStatus::kAccepted;
-      const bool is_true_yes =
-          is_yes && is_accepted && accepted->second == *outcome.version;
-      const bool is_false_no = IsFinalNo(outcome) && is_accepted;
-      if (!this->is_truth_lost && (is_yes != is_true_yes || is_false_no)) {
-        this->Break(TextOf(outcome) + ", but it is not so");
+    for (const ChangeOutcome& outcome : known.outcomes) {
+      const bool is_reported_accepted =
+          outcome.status == ChangeStatus::kAccepted;
+      const bool is_correctly_accepted = is_reported_accepted && is_accepted &&
+                                         accepted->second == *outcome.version;
+      const bool is_wrongly_rejected = IsFinalRejection(outcome) && is_accepted;
+      if (!this->is_expected_state_lost &&
+          (is_reported_accepted != is_correctly_accepted ||
+           is_wrongly_rejected)) {
+        this->ReportViolation(TextOf(outcome) + ", which contradicts the log");
       }
     }
   }
 }
 
-bool ConfigurationHistory::IsWell() const {
+bool ConfigurationHistory::HasConverged() const {
   return this->due.empty() &&
          std::all_of(
              this->vms.begin(), this->vms.end(), [this](const auto& vm) {
@@ -404,24 +415,24 @@
              });
 }
 
-// If records went that nobody had read, an operator has to say that what the
-// VM furthest on has is the configuration.
+// If records were lost that no VM had read, an operator must declare the state
+// of the most advanced VM to be the configuration.
 void ConfigurationHistory::Recover() {
-  const Vm* furthest = this->vms.front().get();
+  const Vm* most_advanced = this->vms.front().get();
   for (const auto& vm : this->vms) {
     if (vm->follower.standing() == FollowerStanding::kFollowing) {
       return;
     }
     if (vm->follower.state().next_offset() >
-        furthest->follower.state().next_offset()) {
-      furthest = vm.get();
+        most_advanced->follower.state().next_offset()) {
+      most_advanced = vm.get();
     }
   }
-  this->Note("recovery");
+  this->Trace("recovery");
   ++this->counts.recoveries;
-  this->is_truth_lost = true;
-  const auto parts =
-      WriteRecovery(furthest->follower.state(), this->log.end(), "recovery");
+  this->is_expected_state_lost = true;
+  const auto parts = WriteRecovery(most_advanced->follower.state(),
+                                   this->log.end(), "recovery");
   for (const std::string& part : parts) {
     this->AppendRecord(part);
   }
--- a/packages/decision/test/configuration_history_test.cc
+++ b/packages/decision/test/configuration_history_test.cc
@@ -1,4 +1,5 @@
-// Random histories of racing operators and faults; see configuration_history.h.
+// Randomised simulation of racing operators and faults; see
+// configuration_history.h.
 
 #include "configuration_history.h"
 
@@ -12,30 +13,31 @@
 
 constexpr uint64_t kHistories = 2000;
 
-// A longer run than that of CI is asked for by the environment.
+// The environment can request a longer run than that of CI.
 uint64_t HistoriesToRun() {
-  const char* asked = std::getenv("BASILSILL_HISTORIES");
-  return asked == nullptr ? kHistories : std::strtoull(asked, nullptr, 10);
+  const char* requester = std::getenv("BASILSILL_HISTORIES");
+  return requester == nullptr ? kHistories
+                              : std::strtoull(requester, nullptr, 10);
 }
 
 }  // namespace
 
 TEST_GROUP(ConfigurationHistory){};
 
-// Story: operators race through four VMs on a few resources. Appends take
-// effect unseen, late, twice or never; VMs pause, are replaced, write stale
-// and half checkpoints; the log trims and fails. An accepted change must stay,
-// and all VMs must hold the same state at the same offset.
-TEST(ConfigurationHistory, RandomFaults_AnySeed_KeepsEveryPromise) {
+// Failure: operators race through four VMs on a few resources. Appends take
+// effect unnoticed, late, twice or never; VMs pause, are replaced, and write
+// stale and incomplete checkpoints; the log is trimmed and fails. An accepted
+// change is lost, or VMs hold different states at the same offset.
+TEST(ConfigurationHistory, RandomFaults_AnySeed_KeepsInvariants) {
   HistoryCounts counts;
   const uint64_t histories = HistoriesToRun();
   for (uint64_t seed = 1; seed <= histories; ++seed) {
-    const std::string broken = ConfigurationHistory(seed, counts).Run();
-    STRCMP_EQUAL("", broken.c_str());
+    const std::string violation = ConfigurationHistory(seed, counts).Run();
+    STRCMP_EQUAL("", violation.c_str());
   }
-  // Cases that did not come up were not tested.
-  for (const size_t told : counts.told) {
-    CHECK(told > histories / 2);
+  // Cases that did not occur were not tested.
+  for (const size_t count : counts.outcomes) {
+    CHECK(count > histories / 2);
   }
   for (const RecordVerdict verdict :
        {RecordVerdict::kAccepted, RecordVerdict::kConflict,
@@ -43,7 +45,7 @@
         RecordVerdict::kRepeated, RecordVerdict::kStale}) {
     CHECK(counts.records.at(static_cast<size_t>(verdict)) > 0);
   }
-  CHECK(counts.jumps > histories / 2);
+  CHECK(counts.state_replacements > histories / 2);
   CHECK(counts.recoveries > 0);
 }
 
--- a/packages/decision/test/configuration_log.h
+++ b/packages/decision/test/configuration_log.h
@@ -8,7 +8,7 @@
 
 #include "basilsill/decision/follower.h"
 
-/// The platform's log, in memory.
+/// In-memory substitute for the platform's log.
 
 namespace basilsill::test {
 
@@ -27,7 +27,7 @@
   }
 };
 
-/// @returns what the log answers to a read from `from`.
+/// @returns the answer of `log` to a read from `from`.
 inline ConfigurationRead ReadFrom(const ConfigurationLog& log,
                                   uint64_t from,
                                   size_t max) {
@@ -39,7 +39,7 @@
   return answer;
 }
 
-/// Gives an answer to `follower` as its kind requires.
+/// Passes `answer` to the method of `follower` that handles it.
 inline FollowResult Deliver(ConfigurationFollower& follower,
                             const ConfigurationRead& answer) {
   if (answer.from < answer.first) {
@@ -60,7 +60,7 @@
   return Deliver(follower, ReadFrom(log, follower.read_offset(), max));
 }
 
-/// Reads until nothing comes any more, as a node's read loop does.
+/// Reads until there is no more progress, as a node's read loop does.
 inline FollowResult Follow(ConfigurationFollower& follower,
                            const ConfigurationLog& log) {
   FollowResult all;
--- a/packages/decision/test/configuration_status_test.cc
+++ b/packages/decision/test/configuration_status_test.cc
@@ -1,4 +1,4 @@
-// Tests of in-force status and watch.
+// Tests of in-force status and the change feed.
 
 #include "basilsill/decision/configuration_status.h"
 
@@ -22,7 +22,7 @@
   }
 };
 
-TEST(InForce, Status_OneVmBehind_NamesIt) {
+TEST(InForce, Status_OneVmBehind_ListsItAsWaiting) {
   this->table.OnApplied({0, 0}, 6);
   this->table.OnApplied({1, 0}, 5);
   const auto status = this->table.StatusOf(5);
@@ -34,15 +34,15 @@
   CHECK(this->table.StatusOf(4).everywhere);
 }
 
-TEST(InForce, Status_VmNotHeardOf_IsNotEverywhere) {
+TEST(InForce, Status_VmWithoutReport_IsNotEverywhere) {
   this->table.OnApplied({0, 0}, 6);
   CHECK_FALSE(this->table.everywhere().has_value());
   CHECK_FALSE(this->table.StatusOf(0).everywhere);
 }
 
-// Story: a VM is replaced under its name. The report of the old process comes
-// late and must not count for the new one, which has applied nothing yet.
-TEST(InForce, Applied_ReportOfOldProcess_DoesNotCount) {
+// Failure: a VM is replaced under its name. A late report of the old process
+// counts for the new one, which has applied nothing yet.
+TEST(InForce, Applied_ReportOfOldProcess_Ignored) {
   this->table.OnApplied({0, 0}, 6);
   this->vms[1].handle.generation = 1;
   this->table.SetVms(this->vms);
@@ -52,7 +52,7 @@
   CHECK(this->table.StatusOf(5).everywhere);
 }
 
-TEST(InForce, Vms_SuspectedCountsAndLeavingDoesNot) {
+TEST(InForce, Vms_SuspectedAndLeaving_OnlySuspectedCounts) {
   this->table.OnApplied({0, 0}, 6);
   this->vms[1].state = VmState::kSuspected;
   this->table.SetVms(this->vms);
@@ -90,9 +90,9 @@
   CHECK(this->feed.Read(second.next, 2).events.empty());
 }
 
-// Story: the VM skips records with the help of a peer's snapshot. A watcher
-// who went on would miss the changes in between and never know.
-TEST(ChangeFeed, Read_VmJumped_WatcherMustRestart) {
+// Failure: the VM skips records by adopting a peer's snapshot. A watcher that
+// continues misses the changes in between without notice.
+TEST(ChangeFeed, Read_VmSkippedRecords_WatcherMustRestart) {
   this->Append(PutOf("a", TeamOf("t")));
   ConfigurationLog other = this->log;
   other.Append(WriteChange(PutOf("b", TeamOf("u"))));
@@ -106,9 +106,10 @@
   CHECK_FALSE(this->feed.Read(3, 9).must_restart);
 }
 
-// Story: a watcher's VM is replaced, and it goes on at one that has not read
-// as far yet. Told to restart, it would list older states than it has seen.
-TEST(ChangeFeed, Read_WatcherIsAhead_WaitsForTheVm) {
+// Failure: a watcher's VM is replaced, and the watcher continues on one that
+// has not read as far yet. If told to restart, it lists states older than it
+// has seen.
+TEST(ChangeFeed, Read_WatcherAheadOfVm_WaitsForVm) {
   const WatchPage page = this->feed.Read(1, 9);
   CHECK_FALSE(page.must_restart);
   CHECK_EQUAL(1, page.next);
@@ -117,7 +118,7 @@
   CHECK_EQUAL(1, this->feed.Read(page.next, 9).events.at(0).offset);
 }
 
-TEST(ChangeFeed, Read_OlderThanKept_WatcherMustRestart) {
+TEST(ChangeFeed, Read_OlderThanRetained_WatcherMustRestart) {
   for (size_t i = 0; i <= limits::kMaxWatchEvents; ++i) {
     const std::optional<uint64_t> base =
         i == 0 ? std::nullopt : std::optional<uint64_t>(i - 1);
--- a/packages/decision/test/configuration_test.cc
+++ b/packages/decision/test/configuration_test.cc
@@ -29,21 +29,21 @@
   }
 };
 
-TEST(ConfigurationFold, Apply_TwoChangesOnOneBase_FirstInTheLogWins) {
+TEST(ConfigurationFold, Apply_TwoChangesOnOneBase_FirstInLogWins) {
   CheckVerdict(RecordVerdict::kAccepted, this->Append(PutOf("a", TeamOf("t"))));
   CheckVerdict(RecordVerdict::kAccepted,
                this->Append(PutOf("b", TeamOf("t", 2), 0)));
-  const RecordOutcome loser = this->Append(PutOf("c", TeamOf("t", 3), 0));
-  CheckVerdict(RecordVerdict::kConflict, loser);
-  CHECK_EQUAL(1, *loser.version);
+  const RecordOutcome losing = this->Append(PutOf("c", TeamOf("t", 3), 0));
+  CheckVerdict(RecordVerdict::kConflict, losing);
+  CHECK_EQUAL(1, *losing.version);
   const auto* entry = this->state.Find({ResourceKind::kTeam, "t"});
   CHECK_EQUAL(2, ConfigurationState::SpecOf<TeamSpec>(*entry).limits.weight);
 }
 
-// Story: an operator deletes a service on one VM while another adds a rule to
-// it on another VM. Each change is valid where it was made. The rule's record
-// comes second, so every VM must refuse it, or it would name nothing.
-TEST(ConfigurationFold, Apply_ReferenceGoneMeanwhile_RejectedByAll) {
+// Failure: an operator deletes a service on one VM while another adds a rule
+// for it on another VM. Each change is valid where it was made. The rule's
+// record comes second; if a VM accepts it, the rule refers to nothing.
+TEST(ConfigurationFold, Apply_ReferenceDeletedMeanwhile_Rejected) {
   this->Append(PutOf("a", TeamOf("t")));
   this->Append(PutOf("b", ServiceOf("s", "t")));
   CheckVerdict(RecordVerdict::kAccepted,
@@ -54,8 +54,8 @@
   STRCMP_EQUAL("/service", rule.failures.front().path.c_str());
 }
 
-// An operator mistypes the data centre that is to be drained. Accepted, the
-// slip would drain nothing and seem to be in force everywhere.
+// Failure: an operator mistypes the data centre that is to be drained. If
+// accepted, the change drains nothing and appears to be in force everywhere.
 TEST(ConfigurationFold, Apply_DrainOfUnknownDataCentre_Rejected) {
   this->Append(PutOf("a", TeamOf("t")));
   this->Append(PutOf("b", ServiceOf("s", "t")));
@@ -66,7 +66,7 @@
   CheckVerdict(RecordVerdict::kAccepted, this->Append(PutOf("e", meant)));
 }
 
-TEST(ConfigurationFold, Apply_DeleteOfWhatIsReferredTo_NamesEachReferrer) {
+TEST(ConfigurationFold, Apply_DeleteOfReferencedService_NamesEachReferrer) {
   this->Append(PutOf("a", TeamOf("t")));
   this->Append(PutOf("b", ServiceOf("s", "t")));
   this->Append(PutOf("c", SetOf("u", "s", "lyulin", {80})));
@@ -78,10 +78,10 @@
   CHECK(FailureKind::kInUse == outcome.failures.front().kind);
 }
 
-// Story: an append's answer is lost and its record is sent again; meanwhile
-// the resource was deleted. The second copy finds no resource, as its base
-// says, and would bring the deleted resource back.
-TEST(ConfigurationFold, Apply_CopyOfCreateAfterDelete_DoesNotBringItBack) {
+// Failure: the answer to an append is lost and the record is appended again;
+// meanwhile the resource was deleted. The second copy finds no resource, as its
+// base requires, and restores the deleted one.
+TEST(ConfigurationFold, Apply_CopyOfCreateAfterDelete_Ignored) {
   this->Append(PutOf("a", TeamOf("t")));
   this->Append(DeleteOf("b", {ResourceKind::kTeam, "t"}, 0));
   CheckVerdict(RecordVerdict::kRepeated, this->Append(PutOf("a", TeamOf("t"))));
@@ -89,9 +89,10 @@
   CHECK(RecordVerdict::kAccepted == this->state.FindChange("a")->verdict);
 }
 
-// Story: the same, but the copy comes after all memory of the change's id is
-// gone, from a VM that was paused for a day.
-TEST(ConfigurationFold, Apply_CopyPastTheWindow_IsStale) {
+// Failure: a VM that was paused for a day appends a second copy of a change,
+// whose id is no longer stored. The copy restores a resource that was deleted
+// meanwhile.
+TEST(ConfigurationFold, Apply_CopyPastWindow_IsStale) {
   this->Append(PutOf("a", TeamOf("t")));
   this->Append(DeleteOf("b", {ResourceKind::kTeam, "t"}, 0));
   while (this->state.next_offset() < limits::kChangeWindow) {
@@ -118,7 +119,7 @@
   CHECK(this->state.Find({ResourceKind::kTeam, "t"}) != nullptr);
 }
 
-TEST(ConfigurationFold, Apply_NoRecordOfOurs_SkippedWithReason) {
+TEST(ConfigurationFold, Apply_MalformedRecord_SkippedWithReason) {
   for (const char* text : {"", "[]", "{}", R"({"format":1,"type":"hello"})",
                            R"({"format":1,"type":"change","id":"a"})"}) {
     const RecordOutcome outcome = this->Append(text);
@@ -128,9 +129,9 @@
   CHECK_EQUAL(5, this->state.next_offset());
 }
 
-// Story: half of the VMs run a newer build, which writes a record that older
-// ones can't read. An older VM that skipped it would end in another state
-// than the rest and never know.
+// Failure: half of the VMs run a newer build, which writes a record that older
+// builds cannot read. An older VM that skips it ends up in a different state
+// than the others without notice.
 TEST(ConfigurationFold, Apply_RecordOfNewerFormat_StopsTheFold) {
   CheckVerdict(RecordVerdict::kUnsupported,
                this->Append(R"({"format":2,"type":"change"})"));
@@ -151,7 +152,7 @@
   CHECK_EQUAL(2, this->state.instance_count());
 }
 
-TEST(ConfigurationFold, Ratios_TeamThenInstallationThenDefault) {
+TEST(ConfigurationFold, Ratios_TeamAndInstallationLimits_MostSpecificWins) {
   this->Append(PutOf("a", TeamOf("t")));
   this->Append(PutOf("b", Resource{"installation", LimitsSpec{0.5, 0.25, {}}}));
   this->Append(PutOf("c", Resource{"t", LimitsSpec{0.125, {}, {}}}));
--- a/packages/decision/test/configuration_text.h
+++ b/packages/decision/test/configuration_text.h
@@ -8,7 +8,7 @@
 
 #include "basilsill/decision/configuration.h"
 
-/// Short ways to write resources and changes in tests.
+/// Helpers that build resources and changes for tests.
 
 namespace basilsill::test {
 
--- a/packages/decision/test/resource_test.cc
+++ b/packages/decision/test/resource_test.cc
@@ -9,7 +9,7 @@
 namespace basilsill::test {
 namespace {
 
-void CheckWrittenAsRead(ResourceKind kind, const std::string& text) {
+void CheckRoundTrip(ResourceKind kind, const std::string& text) {
   const auto first = ReadResource({kind, "x"}, text);
   CHECK_TEXT(first.has_value(), text.c_str());
   const std::string written = WriteResource(first.value());
@@ -18,9 +18,9 @@
   STRCMP_EQUAL(written.c_str(), WriteResource(second.value()).c_str());
 }
 
-bool Has(const std::vector<Failure>& failures,
-         FailureKind kind,
-         const std::string& path) {
+bool HasFailure(const std::vector<Failure>& failures,
+                FailureKind kind,
+                const std::string& path) {
   for (const Failure& failure : failures) {
     if (failure.kind == kind && failure.path == path) {
       return true;
@@ -34,25 +34,23 @@
 TEST_GROUP(Resource){};
 
 TEST(Resource, Write_EachKind_ReadsBackEqual) {
-  CheckWrittenAsRead(ResourceKind::kTeam,
-                     R"({"name":"x","limits":{"requests_per_second":2.5}})");
-  CheckWrittenAsRead(ResourceKind::kService,
-                     R"({"name":"x","team":"t","cold_time_ms":3000,
+  CheckRoundTrip(ResourceKind::kTeam,
+                 R"({"name":"x","limits":{"requests_per_second":2.5}})");
+  CheckRoundTrip(ResourceKind::kService,
+                 R"({"name":"x","team":"t","cold_time_ms":3000,
           "cold_requests_per_second":16})");
-  CheckWrittenAsRead(
+  CheckRoundTrip(
       ResourceKind::kUpstreamSet,
       R"({"name":"x","service":"s","data_centre":"lyulin","instances":[
           {"address":"10.0.0.1","port":80},
           {"address":"::1","port":81,"slots":4,"leaving":true}]})");
-  CheckWrittenAsRead(ResourceKind::kRule,
-                     R"({"name":"x","service":"s","class":"bulk","hedge":true,
+  CheckRoundTrip(ResourceKind::kRule,
+                 R"({"name":"x","service":"s","class":"bulk","hedge":true,
           "idempotent":true,"deadline_ms":250,"match":{"host":"a.example",
           "path_prefix":"/a","methods":["PUT","GET"],
           "headers":[{"name":"x-a","value":"B"}]}})");
-  CheckWrittenAsRead(ResourceKind::kLimits,
-                     R"({"name":"x","retry_ratio":0.25})");
-  CheckWrittenAsRead(ResourceKind::kDataCentre,
-                     R"({"name":"x","drained":true})");
+  CheckRoundTrip(ResourceKind::kLimits, R"({"name":"x","retry_ratio":0.25})");
+  CheckRoundTrip(ResourceKind::kDataCentre, R"({"name":"x","drained":true})");
 }
 
 TEST(Resource, Read_ManyFaults_ReportsAllWithPathAndKind) {
@@ -64,14 +62,14 @@
   CHECK(read.has_error());
   const auto& failures = read.error();
   CHECK_EQUAL(8, failures.size());
-  CHECK(Has(failures, FailureKind::kOutOfRange, "/name"));
-  CHECK(Has(failures, FailureKind::kOutOfRange, "/service"));
-  CHECK(Has(failures, FailureKind::kMissingField, "/data_centre"));
-  CHECK(Has(failures, FailureKind::kOutOfRange, "/instances/0/address"));
-  CHECK(Has(failures, FailureKind::kOutOfRange, "/instances/0/port"));
-  CHECK(Has(failures, FailureKind::kWrongType, "/instances/0/slots"));
-  CHECK(Has(failures, FailureKind::kDuplicate, "/instances/2"));
-  CHECK(Has(failures, FailureKind::kUnknownField, "/a~1b"));
+  CHECK(HasFailure(failures, FailureKind::kOutOfRange, "/name"));
+  CHECK(HasFailure(failures, FailureKind::kOutOfRange, "/service"));
+  CHECK(HasFailure(failures, FailureKind::kMissingField, "/data_centre"));
+  CHECK(HasFailure(failures, FailureKind::kOutOfRange, "/instances/0/address"));
+  CHECK(HasFailure(failures, FailureKind::kOutOfRange, "/instances/0/port"));
+  CHECK(HasFailure(failures, FailureKind::kWrongType, "/instances/0/slots"));
+  CHECK(HasFailure(failures, FailureKind::kDuplicate, "/instances/2"));
+  CHECK(HasFailure(failures, FailureKind::kUnknownField, "/a~1b"));
 }
 
 TEST(Resource, Read_OnceWithHedgeAndIdempotent_RejectsBoth) {
@@ -80,24 +78,24 @@
                    R"({"name":"x","service":"s","once":true,"hedge":true,
                        "idempotent":true,"class":"slow"})");
   CHECK(read.has_error());
-  CHECK(Has(read.error(), FailureKind::kOutOfRange, "/hedge"));
-  CHECK(Has(read.error(), FailureKind::kOutOfRange, "/idempotent"));
-  CHECK(Has(read.error(), FailureKind::kOutOfRange, "/class"));
+  CHECK(HasFailure(read.error(), FailureKind::kOutOfRange, "/hedge"));
+  CHECK(HasFailure(read.error(), FailureKind::kOutOfRange, "/idempotent"));
+  CHECK(HasFailure(read.error(), FailureKind::kOutOfRange, "/class"));
 }
 
-TEST(Resource, Read_NoJson_IsSyntaxFault) {
+TEST(Resource, Read_InvalidJson_IsSyntaxFailure) {
   const auto read = ReadResource({ResourceKind::kTeam, "x"}, R"({"name":)");
   CHECK(read.has_error());
-  CHECK(Has(read.error(), FailureKind::kSyntax, ""));
+  CHECK(HasFailure(read.error(), FailureKind::kSyntax, ""));
 }
 
-TEST(Resource, Read_AddressSpelledOtherwise_IsTheSameInstance) {
+TEST(Resource, Read_SameAddressSpelledDifferently_IsDuplicate) {
   const auto read =
       ReadResource({ResourceKind::kUpstreamSet, "x"},
                    R"({"name":"x","service":"s","data_centre":"d","instances":[
           {"address":"::1","port":80},{"address":"0:0::1","port":80}]})");
   CHECK(read.has_error());
-  CHECK(Has(read.error(), FailureKind::kDuplicate, "/instances/1"));
+  CHECK(HasFailure(read.error(), FailureKind::kDuplicate, "/instances/1"));
 }
 
 }  // namespace basilsill::test
--- a/packages/decision/test/view_builder_test.cc
+++ b/packages/decision/test/view_builder_test.cc
@@ -1,4 +1,4 @@
-// Tests of making routing views out of configuration and membership.
+// Tests of building routing views from configuration and membership.
 
 #include "basilsill/decision/view_builder.h"
 
@@ -30,7 +30,7 @@
                                           {{1, 0}, "druzhba"}};
   std::vector<VmRow> vms{VmOf(0, "a"), VmOf(1, "b")};
 
-  // VM `index` stands in data centre `index`.
+  // VM `index` is in data centre `index`.
   static VmRow VmOf(uint32_t index, const std::string& name) {
     VmRow row;
     row.handle = {index, 0};
@@ -95,9 +95,9 @@
   CHECK(ServiceNamed(after, "s3") != nullptr);
 }
 
-// Story: a VM is replaced under its old name, so membership gives it a new
-// handle. Shards that still named the old one would be dispatched by nobody.
-TEST(ViewBuilder, Build_VmStartedAgain_OwnersFollow) {
+// Failure: a VM is replaced under its old name, so membership gives it a new
+// handle. Shards that still refer to the old handle are dispatched by no VM.
+TEST(ViewBuilder, Build_VmRestarted_OwnersFollow) {
   this->DeclareTwoServices();
   const RoutingViewPtr before = this->Build();
   this->vms[1].handle.generation = 1;
@@ -116,7 +116,7 @@
   CHECK_EQUAL(1, after->vms[1].workers.size());
 }
 
-TEST(ViewBuilder, Build_DataCentreKnownLater_InstancesComeIn) {
+TEST(ViewBuilder, Build_DataCentreAddedLater_InstancesIncluded) {
   this->DeclareTwoServices();
   this->data_centres.pop_back();
   const RoutingViewPtr before = this->Build();
@@ -147,9 +147,9 @@
   STRCMP_EQUAL("d-host b-long e-method c-short a-root ", order.c_str());
 }
 
-// Each VM must have one that looks after it, whatever order others heard of it
-// in, and whoever is suspected.
-TEST(ViewBuilder, NextInRing_SeveralVms_EachIsNextOfOne) {
+// Failure: a VM is monitored by no other VM. Each must have a predecessor in
+// the ring, whatever the order of the list and whichever VM is suspected.
+TEST(ViewBuilder, NextInRing_SeveralVms_EachHasOnePredecessor) {
   this->vms = {VmOf(0, "c"), VmOf(1, "a"), VmOf(2, "d"), VmOf(3, "b")};
   CHECK(NextInRing(this->vms, {1, 0}) == this->vms[3].handle);
   CHECK(NextInRing(this->vms, {3, 0}) == this->vms[0].handle);
@@ -158,7 +158,7 @@
   CHECK(NextInRing(this->vms, {1, 0}) == this->vms[0].handle);
 }
 
-TEST(ViewBuilder, NextInRing_Alone_Nobody) {
+TEST(ViewBuilder, NextInRing_SingleVm_Invalid) {
   this->vms = {VmOf(0, "c")};
   CHECK_FALSE(IsValid(NextInRing(this->vms, {0, 0})));
 }
--- a/packages/decision/test/view_pace_test.cc
+++ b/packages/decision/test/view_pace_test.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// @returns how much of ten seconds goes into views that take `cost` each, with
-/// a change at every tick.
-double PartSpent(Duration cost) {
+/// @returns the fraction of ten seconds spent on views that take `cost` each,
+/// with a change at every tick.
+double FractionSpent(Duration cost) {
   ViewBuildThrottle pace;
   TimePoint now{1s};
   Duration spent{0};
@@ -30,17 +30,17 @@
 
 TEST_GROUP(ViewBuildThrottle){};
 
-TEST(ViewBuildThrottle, CheapViews_ChangeAtEveryTick_EachTickHasOne) {
-  DOUBLES_EQUAL(0.1, PartSpent(10ms), 0.001);
+TEST(ViewBuildThrottle, CheapViews_ChangeAtEveryTick_BuiltAtEveryTick) {
+  DOUBLES_EQUAL(0.1, FractionSpent(10ms), 0.001);
 }
 
-// A small VM of a large fleet does nothing but make views.
-TEST(ViewBuildThrottle, CostlyViews_TwiceTheCost_TakeABoundedPart) {
-  CHECK(PartSpent(50ms) <= 0.11);
-  CHECK(PartSpent(100ms) <= 0.21);
+// Failure: a small VM in a large fleet spends all its time on building views.
+TEST(ViewBuildThrottle, CostlyViews_ChangeAtEveryTick_TimeIsBounded) {
+  CHECK(FractionSpent(50ms) <= 0.11);
+  CHECK(FractionSpent(100ms) <= 0.21);
 }
 
-TEST(ViewBuildThrottle, AnyCost_NoChangeWaitsForLong) {
+TEST(ViewBuildThrottle, CostlyView_NextChange_WaitsAtMostMaxWait) {
   ViewBuildThrottle pace;
   const TimePoint now{1s};
   pace.OnBuilt(now, now + 3s);
