--- a/packages/decision/include/basilsill/decision/change_table.h
+++ b/packages/decision/include/basilsill/decision/change_table.h
@@ -97,13 +97,12 @@
   ChangeTable();
 
   /// Starts to handle a change.
-  /// @returns its handle; invalid if the final outcome is already among the
-  /// actions.
+  /// @returns its handle; invalid if the outcome is already among the actions.
   ChangeHandle Propose(TimePoint now,
                        const ChangeRequest& request,
                        const ConfigurationFollower& follower);
 
-  void OnAppend(TimePoint now, ChangeHandle change, AppendResult end);
+  void OnAppend(TimePoint now, ChangeHandle change, AppendResult append_result);
 
   /// To be called after the follower has processed an answer of the log or a
   /// snapshot.
@@ -150,7 +149,7 @@
     uint64_t ticket = 0;
     TimePoint retry_at{};  // kWaiting only.
     Duration backoff{0};
-    bool may_be_in_log = false;  // Appended by any VM.
+    bool may_be_in_log = false;  // Possibly appended, by any VM.
     // Operators know the id and may resend the change.
     bool may_be_appended_elsewhere = false;
     bool is_withdrawing = false;
--- a/packages/decision/src/change_table.cc
+++ b/packages/decision/src/change_table.cc
@@ -108,12 +108,12 @@
 
 void ChangeTable::OnAppend(TimePoint now,
                            ChangeHandle change,
-                           AppendResult end) {
+                           AppendResult append_result) {
   Pending* entry = this->pending.Find(change);
   if (entry == nullptr || entry->phase != Phase::kAppending) {
     return;
   }
-  if (end != AppendResult::kNoEffect) {
+  if (append_result != AppendResult::kNoEffect) {
     entry->may_be_in_log = true;
     this->RequestRead(*entry, Phase::kReading);
     return;
--- a/packages/decision/src/json_object_reader.cc
+++ b/packages/decision/src/json_object_reader.cc
@@ -118,7 +118,7 @@
     return false;
   }
   if (!field->is_int64() && !field->is_uint64()) {
-    this->Reject(name, FailureKind::kWrongType, "must be an integer");
+    this->Reject(name, FailureKind::kWrongType, "must be a whole number");
     return false;
   }
   boost::json::error_code fault;
--- a/packages/decision/test/change_table_test.cc
+++ b/packages/decision/test/change_table_test.cc
@@ -42,8 +42,8 @@
     }
     this->table.ClearActions();
   }
-  void CompleteAppend(AppendResult end) {
-    this->table.OnAppend(this->now, this->appending, end);
+  void CompleteAppend(AppendResult append_result) {
+    this->table.OnAppend(this->now, this->appending, append_result);
     this->CollectActions();
   }
   // Sends a read and delivers its answer, which reaches the end of the log.
--- a/packages/decision/test/configuration_history.cc
+++ b/packages/decision/test/configuration_history.cc
@@ -66,7 +66,7 @@
     }
   }
   this->CheckOutcomes();
-  return this->violation.empty() ? "" : this->violation + "\n" + this->text;
+  return this->violation.empty() ? "" : this->violation + "\n" + this->trace;
 }
 
 uint32_t ConfigurationHistory::Draw(size_t below) {
@@ -75,7 +75,7 @@
 }
 
 void ConfigurationHistory::Trace(const std::string& line) {
-  this->text += std::to_string(this->step) + ": " + line + "\n";
+  this->trace += std::to_string(this->step) + ": " + line + "\n";
 }
 
 void ConfigurationHistory::ReportViolation(const std::string& invariant) {
@@ -248,16 +248,18 @@
 void ConfigurationHistory::Append(const std::shared_ptr<Vm>& vm,
                                   const ChangeAction& action) {
   const uint32_t outcome_draw = this->Draw(100);
-  AppendResult end = AppendResult::kUnknown;
+  AppendResult append_result = AppendResult::kUnknown;
   std::string effect = "never takes effect";
   if (this->is_log_down || outcome_draw < 10) {
-    end = AppendResult::kNoEffect;
+    append_result = AppendResult::kNoEffect;
     effect = "is refused";
   } else if (outcome_draw < 70) {
     this->AppendRecord(action.record);
-    end = outcome_draw < 55 ? AppendResult::kAnswered : AppendResult::kUnknown;
-    effect = end == AppendResult::kAnswered ? "is appended"
-                                            : "is appended, its answer lost";
+    append_result =
+        outcome_draw < 55 ? AppendResult::kAnswered : AppendResult::kUnknown;
+    effect = append_result == AppendResult::kAnswered
+                 ? "is appended"
+                 : "is appended, its answer lost";
   } else if (outcome_draw < 90) {
     effect = "takes effect late";
     this->due.emplace(this->step + 1 + this->Draw(kMaxDelaySteps),
@@ -269,9 +271,10 @@
   // A VM that is replaced meanwhile never gets the answer.
   this->due.emplace(
       this->step + 1 + this->Draw(6),
-      [this, end, change = action.change, requester = std::weak_ptr<Vm>(vm)] {
+      [this, append_result, change = action.change,
+       requester = std::weak_ptr<Vm>(vm)] {
         if (const std::shared_ptr<Vm> requesting_vm = requester.lock()) {
-          requesting_vm->table.OnAppend(this->now, change, end);
+          requesting_vm->table.OnAppend(this->now, change, append_result);
         }
       });
   this->Trace(vm->name + " appends " + action.record + ", which " + effect);
--- a/packages/decision/test/configuration_history.h
+++ b/packages/decision/test/configuration_history.h
@@ -112,7 +112,7 @@
   uint64_t covered = 0;  // Offset of the newest complete checkpoint.
   bool is_expected_state_lost = false;  // Set by a recovery.
 
-  std::string text;
+  std::string trace;
   std::string violation;
 };
 
--- a/packages/decision/test/view_pace_test.cc
+++ b/packages/decision/test/view_pace_test.cc
@@ -12,12 +12,12 @@
 /// @returns the fraction of ten seconds spent on views that take `cost` each,
 /// with a change at every tick.
 double FractionSpent(Duration cost) {
-  ViewBuildThrottle pace;
+  ViewBuildThrottle throttle;
   TimePoint now{1s};
   Duration spent{0};
   while (now < TimePoint(11s)) {
-    if (pace.MayBuild(now)) {
-      pace.OnBuilt(now, now + cost);
+    if (throttle.MayBuild(now)) {
+      throttle.OnBuilt(now, now + cost);
       spent += cost;
     }
     now += 100ms;
@@ -41,8 +41,8 @@
 }
 
 TEST(ViewBuildThrottle, CostlyView_NextChange_WaitsAtMostMaxWait) {
-  ViewBuildThrottle pace;
+  ViewBuildThrottle throttle;
   const TimePoint now{1s};
-  pace.OnBuilt(now, now + 3s);
-  CHECK(pace.MayBuild(now + 3s + ViewBuildThrottle::kMaxWait));
+  throttle.OnBuilt(now, now + 3s);
+  CHECK(throttle.MayBuild(now + 3s + ViewBuildThrottle::kMaxWait));
 }
