--- a/packages/decision/include/basilsill/decision/view.h
+++ b/packages/decision/include/basilsill/decision/view.h
@@ -176,7 +176,7 @@
   bool once = false;  ///< Must not run twice: needs a claim to run.
   /// As declared; safe methods are always idempotent.
   bool idempotent = false;
-  bool hedge = false;  ///< A slow attempt may be hedged.
+  bool hedge = false;  ///< A slow attempt may be duplicated.
   /// Rejects callers without an API key of a team.
   bool requires_api_key = false;
   std::chrono::milliseconds deadline = limits::kDefaultDeadline;
--- a/packages/decision/test/configuration_history.cc
+++ b/packages/decision/test/configuration_history.cc
@@ -93,7 +93,7 @@
     event();
   }
   if (!is_recovering) {
-    this->InjectFault();
+    this->InjectEvent();
   }
   for (const auto& vm : this->vms) {
     if (is_recovering) {
@@ -103,7 +103,7 @@
   }
 }
 
-void ConfigurationHistory::InjectFault() {
+void ConfigurationHistory::InjectEvent() {
   std::shared_ptr<Vm>& slot = this->DrawVm();
   Vm& vm = *slot;
   const uint32_t event_draw = this->Draw(100);
--- a/packages/decision/test/configuration_history.h
+++ b/packages/decision/test/configuration_history.h
@@ -72,7 +72,7 @@
   void ReportViolation(const std::string& invariant);
 
   void Step(bool is_recovering);
-  void InjectFault();
+  void InjectEvent();
   void Propose(Vm& vm);
   std::optional<Change> DrawResend();
   Change DrawChange(const ConfigurationState& state);
