--- a/packages/decision/include/basilsill/decision/claims.h
+++ b/packages/decision/include/basilsill/decision/claims.h
@@ -49,25 +49,26 @@
 /// incarnation.
 uint64_t MakeClaimOrigin(std::string_view vm, uint64_t incarnation);
 
-struct KeptHeader {
+struct StoredHeader {
   std::string name;
   std::string value;
 
-  friend bool operator==(const KeptHeader&, const KeptHeader&) = default;
+  friend bool operator==(const StoredHeader&, const StoredHeader&) = default;
 };
 
 /// An upstream's answer as the log keeps it for resends.
-struct KeptAnswer {
+struct StoredResponse {
   uint16_t status = 0;
   bool whole = true;  ///< False: too long to keep, only the status is known.
-  std::vector<KeptHeader> headers;
+  std::vector<StoredHeader> headers;
   std::string body;
 
-  friend bool operator==(const KeptAnswer&, const KeptAnswer&) = default;
+  friend bool operator==(const StoredResponse&,
+                         const StoredResponse&) = default;
 };
 
 /// @returns the bytes of `answer` that count against kMaxKeptAnswerBytes.
-size_t KeptSizeOf(const KeptAnswer& answer);
+size_t StoredSizeOf(const StoredResponse& answer);
 
 struct ClaimRequest {
   ClaimKey key;
@@ -93,8 +94,8 @@
   Digest body;
   ClaimAttempt attempt;
   ClaimOutcome outcome = ClaimOutcome::kCount;
-  KeptAnswer answer;    ///< For kDone.
-  uint64_t cookie = 0;  ///< Comes back with kRecorded.
+  StoredResponse answer;  ///< For kDone.
+  uint64_t cookie = 0;    ///< Comes back with kRecorded.
 };
 
 enum class ClaimActionKind : uint8_t {
@@ -119,7 +120,7 @@
   ClaimAttempt attempt;
   Refusal refusal = Refusal::kNone;
   Duration retry_after{0};
-  KeptAnswer answer;
+  StoredResponse answer;
 };
 
 enum class AppendOutcome : uint8_t {
--- a/packages/decision/include/basilsill/decision/dispatch.h
+++ b/packages/decision/include/basilsill/decision/dispatch.h
@@ -176,7 +176,7 @@
   RatioBudgetOptions hedge_budget = kHedgeBudget;
   /// Share of the dispatchers in the fleet-wide limit on repeats, if there is
   /// a limit.
-  std::optional<RepeatParts> repeats;
+  std::optional<RepeatShares> repeats;
   /// Answers to load queries tell whether the upstream is cold.
   bool cold_is_reported = false;
   /// Shared with the EntryRouter of the same worker; null: no quarantine.
--- a/packages/decision/include/basilsill/decision/repeat_budget.h
+++ b/packages/decision/include/basilsill/decision/repeat_budget.h
@@ -23,14 +23,14 @@
 
 /// What the places that repeat have of the fleet's bound on one service. Their
 /// sum stays within it whatever VMs start, end, or do not see each other.
-struct RepeatParts {
+struct RepeatShares {
   RepeatBudgetOptions dispatchers;  ///< Of all shards together, if settled.
   RepeatBudgetOptions unsettled;    ///< Of all VMs together, at other shards.
   RepeatBudgetOptions entries;      ///< Of all entry VMs together, if settled.
 };
 
 /// @param fleet The bound of all VMs together, on one service.
-RepeatParts ShareRepeats(const RepeatBudgetOptions& fleet);
+RepeatShares SplitRepeatBudget(const RepeatBudgetOptions& fleet);
 
 /// Until a place has been that place for a whole window, whoever was it before
 /// may have spent all that there was, and nobody is left to tell.
--- a/packages/decision/src/claim_judge.cc
+++ b/packages/decision/src/claim_judge.cc
@@ -237,7 +237,7 @@
   ++this->counts.refused;
 }
 
-void ClaimTableImpl::Replay(ClaimHandle handle, const KeptAnswer& answer) {
+void ClaimTableImpl::Replay(ClaimHandle handle, const StoredResponse& answer) {
   const WaitingClaim& waiting = *this->waiting_claims.Find(handle);
   ClaimAction action;
   action.kind = ClaimActionKind::kReplay;
--- a/packages/decision/src/claim_read.cc
+++ b/packages/decision/src/claim_read.cc
@@ -87,7 +87,7 @@
       this->Refuse(now, handle, Refusal::kClaimRunning);
     } else {
       const ClaimKeyState& state = *work.ledger.Find(waiting.id);
-      this->Replay(handle, KeptAnswer{state.status, false, {}, {}});
+      this->Replay(handle, StoredResponse{state.status, false, {}, {}});
     }
   }
 }
--- a/packages/decision/src/claim_record.cc
+++ b/packages/decision/src/claim_record.cc
@@ -95,9 +95,9 @@
   return static_cast<ClaimRecordKind>(found - kKindNames.begin());
 }
 
-void WriteAnswer(const KeptAnswer& answer, json::object& object) {
+void WriteAnswer(const StoredResponse& answer, json::object& object) {
   json::array headers;
-  for (const KeptHeader& header : answer.headers) {
+  for (const StoredHeader& header : answer.headers) {
     headers.push_back(json::array{header.name, Widened(header.value)});
   }
   object["status"] = answer.status;
@@ -106,8 +106,8 @@
   object["answer"] = Widened(answer.body);
 }
 
-KeptAnswer ReadAnswer(const json::object& object) {
-  KeptAnswer answer;
+StoredResponse ReadAnswer(const json::object& object) {
+  StoredResponse answer;
   answer.status = object.at("status").to_number<uint16_t>();
   answer.whole = object.at("whole").as_bool();
   answer.body = Narrowed(TextAt(object, "answer"));
--- a/packages/decision/src/claim_record.h
+++ b/packages/decision/src/claim_record.h
@@ -51,7 +51,7 @@
   Digest body;                        ///< Not in kReleased.
   std::string vm;                     ///< Who wrote it; for people.
   std::chrono::milliseconds left{0};  ///< kClaim: until its deadline.
-  KeptAnswer answer;                  ///< kDone.
+  StoredResponse answer;              ///< kDone.
 
   friend bool operator==(const ClaimRecord&, const ClaimRecord&) = default;
 };
--- a/packages/decision/src/claim_table.h
+++ b/packages/decision/src/claim_table.h
@@ -89,7 +89,7 @@
 struct ClaimJudgement {
   ClaimDecision decision = ClaimDecision::kWait;
   Refusal refusal = Refusal::kNone;
-  const KeptAnswer* answer = nullptr;
+  const StoredResponse* answer = nullptr;
   uint64_t offset = 0;
 };
 
@@ -147,7 +147,7 @@
   void Grant(ClaimHandle handle);
   void Refuse(TimePoint now, ClaimHandle handle, Refusal refusal);
   void RefuseAtOnce(const ClaimRequest& request, Refusal refusal);
-  void Replay(ClaimHandle handle, const KeptAnswer& answer);
+  void Replay(ClaimHandle handle, const StoredResponse& answer);
   void Fetch(const ClaimStream& stream, uint64_t offset);
   void GiveUp(TimePoint now, const WaitingClaim& waiting);
 
--- a/packages/decision/src/claims.cc
+++ b/packages/decision/src/claims.cc
@@ -31,9 +31,9 @@
   return DigestOf(parts).low;
 }
 
-size_t KeptSizeOf(const KeptAnswer& answer) {
+size_t StoredSizeOf(const StoredResponse& answer) {
   size_t bytes = answer.body.size();
-  for (const KeptHeader& header : answer.headers) {
+  for (const StoredHeader& header : answer.headers) {
     bytes += header.name.size() + header.value.size();
   }
   return bytes;
@@ -172,8 +172,8 @@
     return false;
   }
   OpenEnd open{end, IdOf(end.key), StreamOf(end.key), notify};
-  if (KeptSizeOf(end.answer) > limits::kMaxKeptAnswerBytes) {
-    open.end.answer = KeptAnswer{end.answer.status, false, {}, {}};
+  if (StoredSizeOf(end.answer) > limits::kMaxKeptAnswerBytes) {
+    open.end.answer = StoredResponse{end.answer.status, false, {}, {}};
   }
   StreamWork& work = this->Open(now, open.stream);
   const ClaimEndHandle handle = this->open_ends.Create(std::move(open));
--- a/packages/decision/src/dispatcher.cc
+++ b/packages/decision/src/dispatcher.cc
@@ -269,7 +269,7 @@
   if (!this->options.repeats) {
     return true;
   }
-  const RepeatParts& parts = *this->options.repeats;
+  const RepeatShares& parts = *this->options.repeats;
   const bool is_settled =
       IsSettled(now, shard.first_since, parts.dispatchers.window);
   RepeatBudgetOptions part = is_settled ? parts.dispatchers : parts.unsettled;
--- a/packages/decision/src/dispatcher_admit.cc
+++ b/packages/decision/src/dispatcher_admit.cc
@@ -133,7 +133,7 @@
     const DispatchRequest& request) {
   const TrafficClass traffic_class = request.traffic_class;
   const RingKind ring = RingOf(traffic_class);
-  const uint32_t ahead = this->queue.Ahead(shard, lane, ring);
+  const uint32_t ahead = this->queue.CountAhead(shard, lane, ring);
   const Duration wait = this->ExpectedWait(now, shard, ring, ahead);
   if (wait > request.max_wait) {
     return {Refusal::kQueueFull, this->WithJitter(wait)};
--- a/packages/decision/src/fair_queue.cc
+++ b/packages/decision/src/fair_queue.cc
@@ -222,9 +222,9 @@
   return kNoRow;
 }
 
-uint32_t FairQueue::Ahead(const ShardState& shard,
-                          uint32_t row,
-                          RingKind ring) const {
+uint32_t FairQueue::CountAhead(const ShardState& shard,
+                               uint32_t row,
+                               RingKind ring) const {
   const Ring& waiting = RingAt(shard, ring);
   const LaneRow& lane = this->lanes[row];
   uint64_t weights = waiting.weights;
--- a/packages/decision/src/fair_queue.h
+++ b/packages/decision/src/fair_queue.h
@@ -56,7 +56,9 @@
   uint32_t NewestAfter(uint32_t lane, RingKind ring) const;
 
   /// @returns requests that go before a new one of `lane` in `ring`, at most.
-  uint32_t Ahead(const ShardState& shard, uint32_t lane, RingKind ring) const;
+  uint32_t CountAhead(const ShardState& shard,
+                      uint32_t lane,
+                      RingKind ring) const;
 
   LaneRow& lane(uint32_t row) { return this->lanes[row]; }
   const LaneRow& lane(uint32_t row) const { return this->lanes[row]; }
--- a/packages/decision/src/repeat_budget.cc
+++ b/packages/decision/src/repeat_budget.cc
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-RepeatParts ShareRepeats(const RepeatBudgetOptions& fleet) {
+RepeatShares SplitRepeatBudget(const RepeatBudgetOptions& fleet) {
   return {PartOf(fleet, kRatioPart, kDispatcherPart),
           PartOf(fleet, kUnsettledRatio, kUnsettledPart / kStartsInWindow),
           PartOf(fleet, 0, kEntryPart)};
--- a/packages/decision/test/claim_world.cc
+++ b/packages/decision/test/claim_world.cc
@@ -90,7 +90,7 @@
            const std::string& answer);
   void TellEnd(const SendingPtr& sending, const ClaimEnd& end);
   void TellAnswer(const SendingPtr& sending, const std::string& answer);
-  void TellReplay(const SendingPtr& sending, const KeptAnswer& answer);
+  void TellReplay(const SendingPtr& sending, const StoredResponse& answer);
   void TellRefusal(const SendingPtr& sending, Refusal refusal);
   void Steal(const SendingPtr& sending);
   void MisuseRecord(const ClaimVm& vm, const ClaimRecord& record);
@@ -585,7 +585,8 @@
   key.answer = answer;
 }
 
-void World::TellReplay(const SendingPtr& sending, const KeptAnswer& answer) {
+void World::TellReplay(const SendingPtr& sending,
+                       const StoredResponse& answer) {
   if (answer.whole) {
     return this->TellAnswer(sending, answer.body);
   }
--- a/packages/decision/test/claims_test.cc
+++ b/packages/decision/test/claims_test.cc
@@ -159,7 +159,7 @@
   }
 
   void End(size_t index, const std::string& key, ClaimAttempt attempt,
-           ClaimOutcome outcome, const KeptAnswer& answer = {}) {
+           ClaimOutcome outcome, const StoredResponse& answer = {}) {
     this->nodes[index].table->Finish(
         this->now, {KeyOf("team", key), DigestOfText("body"), attempt, outcome,
                     answer, 0});
@@ -268,7 +268,7 @@
   const std::string key = this->FreshKey();
   const ClaimAttempt first = this->Ask(0, key);
   CHECK(this->IsGranted(0, first));
-  const KeptAnswer answer{201, true, {{"location", "/p/7"}}, "credited"};
+  const StoredResponse answer{201, true, {{"location", "/p/7"}}, "credited"};
   this->End(0, key, first, ClaimOutcome::kDone, answer);
   for (size_t i = 0; i < kNodes; ++i) {
     const ClaimAction* verdict = this->VerdictOn(i, this->Ask(i, key));
@@ -280,12 +280,12 @@
 
 TEST(Claims, Resend_AnswerTooLongToKeep_ToldSoWithStatus) {
   const std::string key = this->FreshKey();
-  const KeptAnswer answer{
+  const StoredResponse answer{
       200, true, {}, std::string(limits::kMaxKeptAnswerBytes + 1, 'x')};
   this->End(0, key, this->Ask(0, key), ClaimOutcome::kDone, answer);
   const ClaimAction* verdict = this->VerdictOn(1, this->Ask(1, key));
   CHECK(verdict->kind == ClaimActionKind::kReplay);
-  CHECK(verdict->answer == (KeptAnswer{200, false, {}, ""}));
+  CHECK(verdict->answer == (StoredResponse{200, false, {}, ""}));
 }
 
 TEST(Claims, Resend_WithOtherBody_IsRefused) {
--- a/packages/decision/test/dispatch_failures_test.cc
+++ b/packages/decision/test/dispatch_failures_test.cc
@@ -417,7 +417,7 @@
 // A fleet-wide limit of one repeat for two requests, without slack.
 DispatcherOptions OptionsWithRatioOnly() {
   DispatcherOptions options;
-  options.repeats = basilsill::ShareRepeats({0.5, 0, 10s});
+  options.repeats = basilsill::SplitRepeatBudget({0.5, 0, 10s});
   options.retry_budget = {1, 1000, 1000, 1000};
   return options;
 }
--- a/packages/decision/test/repeat_world.cc
+++ b/packages/decision/test/repeat_world.cc
@@ -54,7 +54,7 @@
 
 void RepeatWorld::Boot(uint32_t number) {
   Vm& vm = this->vms[number];
-  const RepeatParts parts = ShareRepeats(this->options.bound);
+  const RepeatShares parts = SplitRepeatBudget(this->options.bound);
   DispatcherOptions dispatcher;
   dispatcher.repeats = parts;
   dispatcher.retry_budget = {1, 1000, 1000, 1000};
--- a/packages/node/src/claim_host.h
+++ b/packages/node/src/claim_host.h
@@ -27,7 +27,7 @@
   Kind kind = Kind::kCount;
   Refusal refusal = Refusal::kNone;
   Duration retry_after{0};
-  KeptAnswer answer;
+  StoredResponse answer;
 };
 
 /// Belongs to the control thread; `Ask` and `Finish` may be called on any
--- a/packages/node/src/once_exchange.cc
+++ b/packages/node/src/once_exchange.cc
@@ -45,7 +45,7 @@
   void Break() override { this->next.Break(); }
 
   bool whole_answer_came() const { return this->ended; }
-  KeptAnswer TakeKept() { return std::move(this->kept); }
+  StoredResponse TakeKept() { return std::move(this->kept); }
 
  private:
   void KeepHead(const AnswerHead& head) {
@@ -64,7 +64,7 @@
       return;
     }
     this->kept.body.append(piece.data(), piece.size());
-    if (KeptSizeOf(this->kept) > this->limit) {
+    if (StoredSizeOf(this->kept) > this->limit) {
       this->kept.whole = false;
       this->kept.headers.clear();
       this->kept.body.clear();
@@ -73,7 +73,7 @@
 
   AnswerSink& next;
   size_t limit;
-  KeptAnswer kept;
+  StoredResponse kept;
   bool ended = false;
   bool receiver_there = true;
 };
@@ -107,10 +107,10 @@
   return DigestOf(parts);
 }
 
-AnswerHead HeadOf(const KeptAnswer& answer) {
+AnswerHead HeadOf(const StoredResponse& answer) {
   AnswerHead head;
   head.status = answer.status;
-  for (const KeptHeader& field : answer.headers) {
+  for (const StoredHeader& field : answer.headers) {
     head.headers.insert(field.name, field.value);
   }
   head.headers.set(kReplayed, answer.whole ? "whole" : "status-only");
@@ -127,7 +127,7 @@
              : ClaimOutcome::kUnknown;
 }
 
-Task<ServeOutcome> Replay(const KeptAnswer& answer, AnswerSink& sink) {
+Task<ServeOutcome> Replay(const StoredResponse& answer, AnswerSink& sink) {
   const AnswerHead head = HeadOf(answer);
   const std::span<const char> body(answer.body);
   co_await sink.Start(head, body, true);
--- a/packages/node/src/worker.cc
+++ b/packages/node/src/worker.cc
@@ -76,7 +76,7 @@
   dispatcher.max_requests = installation.max_requests;
   dispatcher.features = installation.features.dispatcher;
   if (installation.repeats) {
-    dispatcher.repeats = ShareRepeats(*installation.repeats);
+    dispatcher.repeats = SplitRepeatBudget(*installation.repeats);
     dispatcher.retry_budget = kOpenBudget;
     dispatcher.hedge_budget = kOpenBudget;
     dispatcher.features.class_caps = false;
@@ -98,7 +98,7 @@
   entry.max_requests = installation.max_requests;
   entry.features = installation.features.entry;
   if (installation.repeats) {
-    entry.repeats = ShareRepeats(*installation.repeats).entries;
+    entry.repeats = SplitRepeatBudget(*installation.repeats).entries;
   }
   entry.seed = options.seed + 1;
   entry.quarantine = installation.features.quarantine ? quarantine : nullptr;
