--- a/packages/decision/include/basilsill/decision/claim_key.h
+++ b/packages/decision/include/basilsill/decision/claim_key.h
@@ -80,7 +80,7 @@
 /// @returns kKeyExpired for a key that was born before the window or too far
 /// in the future by this VM's clock, else kNone. Decides what is accepted;
 /// that a key runs once does not rest on it.
-Refusal CheckClaimBirth(const ClaimKey& key, WallTime wall_now);
+Refusal CheckClaimKeyAge(const ClaimKey& key, WallTime wall_now);
 
 /// Names a stream of claims: all keys of one partition born in one bucket of
 /// time.
--- a/packages/decision/src/claim_append.cc
+++ b/packages/decision/src/claim_append.cc
@@ -83,7 +83,7 @@
   action.call = id;
   action.stream = NameOf(pick.stream);
   size_t bytes = 0;
-  work.outbox.Take(pick.team, [&](const ClaimOutRecord& out) {
+  work.outbox.Take(pick.team, [&](const QueuedClaimRecord& out) {
     if (action.records.size() >= kMaxBatchRecords || bytes >= kMaxBatchBytes) {
       return false;
     }
@@ -104,7 +104,7 @@
 }
 
 void ClaimTableImpl::Carry(TimePoint now,
-                           const ClaimOutRecord& out,
+                           const QueuedClaimRecord& out,
                            uint64_t id,
                            AppendCall& call,
                            ClaimAction& action) {
@@ -112,7 +112,7 @@
     waiting->in_flight = id;
     action.records.push_back(this->EncodeClaim(now, *waiting));
     call.records.push_back(out);
-  } else if (const OpenEnd* open = this->open_ends.Find(out.end)) {
+  } else if (const UnrecordedEnd* open = this->open_ends.Find(out.end)) {
     action.records.push_back(this->EncodeEnd(*open));
     call.records.push_back(out);
   }
@@ -132,7 +132,7 @@
   return EncodeClaimRecord(record);
 }
 
-std::string ClaimTableImpl::EncodeEnd(const OpenEnd& open) const {
+std::string ClaimTableImpl::EncodeEnd(const UnrecordedEnd& open) const {
   ClaimRecord record;
   record.kind = KindOf(open.end.outcome);
   record.key = open.id;
@@ -174,7 +174,7 @@
 }
 
 void ClaimTableImpl::OnAppended(const AppendCall& call) {
-  for (const ClaimOutRecord& out : call.records) {
+  for (const QueuedClaimRecord& out : call.records) {
     WaitingClaim* waiting = this->waiting_claims.Find(out.claim);
     if (waiting == nullptr) {
       this->NoteReleased(out.end);
@@ -206,10 +206,10 @@
   }
 }
 
-void ClaimTableImpl::Requeue(StreamWork& work, const ClaimOutRecord& out) {
+void ClaimTableImpl::Requeue(StreamWork& work, const QueuedClaimRecord& out) {
   if (const WaitingClaim* waiting = this->waiting_claims.Find(out.claim)) {
     work.outbox.PushFront(waiting->id.team, out);
-  } else if (const OpenEnd* open = this->open_ends.Find(out.end)) {
+  } else if (const UnrecordedEnd* open = this->open_ends.Find(out.end)) {
     work.outbox.PushFront(open->id.team, out);
   }
 }
@@ -217,7 +217,7 @@
 // Until the release is read its claim still looks live; a resend waits for it
 // instead of being told `unknown`.
 void ClaimTableImpl::NoteReleased(ClaimEndHandle handle) {
-  const OpenEnd* open = this->open_ends.Find(handle);
+  const UnrecordedEnd* open = this->open_ends.Find(handle);
   if (open == nullptr || open->end.outcome != ClaimOutcome::kReleased) {
     return;
   }
@@ -228,7 +228,7 @@
 }
 
 void ClaimTableImpl::Recorded(ClaimEndHandle handle) {
-  const OpenEnd* open = this->open_ends.Find(handle);
+  const UnrecordedEnd* open = this->open_ends.Find(handle);
   if (open == nullptr) {
     return;
   }
@@ -244,7 +244,7 @@
 }
 
 void ClaimTableImpl::EraseEnd(ClaimEndHandle handle) {
-  if (const OpenEnd* open = this->open_ends.Find(handle)) {
+  if (const UnrecordedEnd* open = this->open_ends.Find(handle)) {
     this->end_of.erase(open->end.attempt);
     this->open_ends.Destroy(handle);
   }
--- a/packages/decision/src/claim_outbox.h
+++ b/packages/decision/src/claim_append_queue.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_DECISION_CLAIM_OUTBOX_H_
-#define BASILSILL_DECISION_CLAIM_OUTBOX_H_
+#ifndef BASILSILL_DECISION_CLAIM_APPEND_QUEUE_H_
+#define BASILSILL_DECISION_CLAIM_APPEND_QUEUE_H_
 
 #include <deque>
 #include <map>
@@ -19,7 +19,7 @@
 
 /// A record to come: the claim of a waiting request, or the end of an
 /// attempt. Encoded when its append is sent, skipped if it is gone by then.
-struct ClaimOutRecord {
+struct QueuedClaimRecord {
   ClaimHandle claim;
   ClaimEndHandle end;
   TimePoint due;        ///< When it is worth an append of its own.
@@ -30,13 +30,13 @@
 /// the order of due times.
 class ClaimTeamQueue {
  public:
-  void PushBack(const ClaimOutRecord& record) {
+  void PushBack(const QueuedClaimRecord& record) {
     this->QueueOf(record).push_back(record);
   }
-  void PushFront(const ClaimOutRecord& record) {
+  void PushFront(const QueuedClaimRecord& record) {
     this->QueueOf(record).push_front(record);
   }
-  const ClaimOutRecord& front() const {
+  const QueuedClaimRecord& front() const {
     return this->UrgentIsNext() ? this->urgent.front() : this->rest.front();
   }
   void PopFront() {
@@ -45,7 +45,7 @@
   bool empty() const { return this->urgent.empty() && this->rest.empty(); }
 
  private:
-  std::deque<ClaimOutRecord>& QueueOf(const ClaimOutRecord& record) {
+  std::deque<QueuedClaimRecord>& QueueOf(const QueuedClaimRecord& record) {
     return record.urgent ? this->urgent : this->rest;
   }
   bool UrgentIsNext() const {
@@ -54,16 +54,16 @@
             this->urgent.front().due <= this->rest.front().due);
   }
 
-  std::deque<ClaimOutRecord> urgent;
-  std::deque<ClaimOutRecord> rest;
+  std::deque<QueuedClaimRecord> urgent;
+  std::deque<QueuedClaimRecord> rest;
 };
 
-class ClaimOutbox {
+class ClaimAppendQueue {
  public:
-  void PushBack(TeamKey team, const ClaimOutRecord& record) {
+  void PushBack(TeamKey team, const QueuedClaimRecord& record) {
     this->queues[team].PushBack(record);
   }
-  void PushFront(TeamKey team, const ClaimOutRecord& record) {
+  void PushFront(TeamKey team, const QueuedClaimRecord& record) {
     this->queues[team].PushFront(record);
   }
 
@@ -97,4 +97,4 @@
 
 }  // namespace basilsill
 
-#endif  // BASILSILL_DECISION_CLAIM_OUTBOX_H_
+#endif  // BASILSILL_DECISION_CLAIM_APPEND_QUEUE_H_
--- a/packages/decision/src/claim_judge.cc
+++ b/packages/decision/src/claim_decision.cc
@@ -11,7 +11,7 @@
 /// When a caller may ask again about a request that is still running.
 constexpr Duration kRunningRetryAfter = std::chrono::seconds(1);
 
-ClaimJudgement RefuseWith(Refusal refusal) {
+ClaimEvaluation RefuseWith(Refusal refusal) {
   return {ClaimDecision::kRefuse, refusal};
 }
 
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-ClaimJudgement ClaimTableImpl::Judge(TimePoint now,
-                                     const WaitingClaim& waiting) const {
+ClaimEvaluation ClaimTableImpl::Judge(TimePoint now,
+                                      const WaitingClaim& waiting) const {
   const StreamWork& work = this->streams.at(waiting.stream);
   const ClaimKeyState* state = work.ledger.Find(waiting.id);
   if (state == nullptr || state->phase == ClaimPhase::kFree) {
@@ -40,9 +40,9 @@
   return {ClaimDecision::kFetch, Refusal::kNone, nullptr, state->answer_offset};
 }
 
-ClaimJudgement ClaimTableImpl::JudgeFree(const WaitingClaim& waiting,
-                                         const StreamWork& work,
-                                         const ClaimKeyState* state) const {
+ClaimEvaluation ClaimTableImpl::JudgeFree(const WaitingClaim& waiting,
+                                          const StreamWork& work,
+                                          const ClaimKeyState* state) const {
   if (work.ledger.IsBroken()) {
     return RefuseWith(work.ledger.broken_reason());
   }
@@ -58,18 +58,18 @@
         return this->waiting_claims.Find(entry.second)->queued;
       });
   return rival ? RefuseWith(Refusal::kClaimRunning)
-               : ClaimJudgement{ClaimDecision::kClaim};
+               : ClaimEvaluation{ClaimDecision::kClaim};
 }
 
-ClaimJudgement ClaimTableImpl::JudgeClaimed(TimePoint now,
-                                            const WaitingClaim& waiting,
-                                            const StreamWork& work,
-                                            const ClaimKeyState& state) const {
+ClaimEvaluation ClaimTableImpl::JudgeClaimed(TimePoint now,
+                                             const WaitingClaim& waiting,
+                                             const StreamWork& work,
+                                             const ClaimKeyState& state) const {
   if (state.holder == waiting.request.attempt) {
     // Failure: the stream has a gap, in which an older claim of this key may
     // have stood. Being first among the records seen proves nothing then.
     return work.ledger.IsBroken() ? RefuseWith(work.ledger.broken_reason())
-                                  : ClaimJudgement{ClaimDecision::kGrant};
+                                  : ClaimEvaluation{ClaimDecision::kGrant};
   }
   const auto ended = this->end_of.find(state.holder);
   if (ended != this->end_of.end()) {
@@ -91,8 +91,8 @@
   return RefuseWith(Refusal::kClaimOutcomeUnknown);
 }
 
-ClaimJudgement ClaimTableImpl::JudgeEnded(const WaitingClaim& waiting,
-                                          const ClaimEnd& end) const {
+ClaimEvaluation ClaimTableImpl::JudgeEnded(const WaitingClaim& waiting,
+                                           const ClaimEnd& end) const {
   if (end.outcome == ClaimOutcome::kReleased) {
     return {};
   }
@@ -154,7 +154,7 @@
   if (waiting == nullptr) {
     return;
   }
-  const ClaimJudgement judgement = this->Judge(now, *waiting);
+  const ClaimEvaluation judgement = this->Judge(now, *waiting);
   switch (judgement.decision) {
     case ClaimDecision::kWait:
     case ClaimDecision::kCount:
--- a/packages/decision/src/claim_key.cc
+++ b/packages/decision/src/claim_key.cc
@@ -106,7 +106,7 @@
   return {Refusal::kKeyMalformed, {}};
 }
 
-Refusal CheckClaimBirth(const ClaimKey& key, WallTime wall_now) {
+Refusal CheckClaimKeyAge(const ClaimKey& key, WallTime wall_now) {
   const bool too_old = key.birth < wall_now - limits::kClaimWindow;
   const bool too_new = key.birth > wall_now + limits::kMaxClaimFuture;
   return too_old || too_new ? Refusal::kKeyExpired : Refusal::kNone;
--- a/packages/decision/src/claim_pace.cc
+++ b/packages/decision/src/claim_log_throttle.cc
@@ -1,4 +1,4 @@
-#include "claim_pace.h"
+#include "claim_log_throttle.h"
 
 #include <algorithm>
 
--- a/packages/decision/src/claim_read.cc
+++ b/packages/decision/src/claim_read.cc
@@ -76,7 +76,7 @@
                                          work.waiting.end());
   for (const ClaimHandle handle : handles) {
     const WaitingClaim& waiting = *this->waiting_claims.Find(handle);
-    const ClaimJudgement judgement = this->Judge(now, waiting);
+    const ClaimEvaluation judgement = this->Judge(now, waiting);
     if (judgement.decision != ClaimDecision::kFetch ||
         judgement.offset != call.offset) {
       continue;
@@ -144,7 +144,7 @@
   const auto ended = this->end_of.find(record.attempt);
   if (ended != this->end_of.end()) {
     const ClaimEndHandle handle = ended->second;
-    const OpenEnd& open = *this->open_ends.Find(handle);
+    const UnrecordedEnd& open = *this->open_ends.Find(handle);
     if (KindOf(open.end.outcome) == record.kind) {
       this->Recorded(handle);
     } else if (open.end.outcome == ClaimOutcome::kReleased) {
--- a/packages/decision/src/claim_table.h
+++ b/packages/decision/src/claim_table.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "basilsill/decision/claims.h"
+#include "claim_append_queue.h"
 #include "claim_guards.h"
 #include "claim_ledger.h"
-#include "claim_outbox.h"
-#include "claim_pace.h"
+#include "claim_log_throttle.h"
 #include "claim_record.h"
 
 /// The state behind ClaimTable, its methods in four files: claims.cc (calls
@@ -35,7 +35,7 @@
 };
 
 /// The end of an attempt, until the log has it.
-struct OpenEnd {
+struct UnrecordedEnd {
   ClaimEnd end;
   ClaimKeyId id;
   ClaimStream stream;
@@ -47,7 +47,7 @@
   explicit StreamWork(const ClaimGuards& guards) : ledger(guards) {}
 
   ClaimLedger ledger;
-  ClaimOutbox outbox;
+  ClaimAppendQueue outbox;
   std::set<ClaimHandle> waiting;
   /// Attempts whose release is in the log, but was not read yet.
   std::set<ClaimAttempt> released;
@@ -63,7 +63,7 @@
 struct AppendCall {
   ClaimStream stream;
   TimePoint sent_at;
-  std::vector<ClaimOutRecord> records;
+  std::vector<QueuedClaimRecord> records;
   /// Releases of claims that only this append can have put into the log:
   /// needed unless the platform says that it had no effect.
   std::vector<ClaimEndHandle> releases;
@@ -86,7 +86,7 @@
   kCount
 };
 
-struct ClaimJudgement {
+struct ClaimEvaluation {
   ClaimDecision decision = ClaimDecision::kWait;
   Refusal refusal = Refusal::kNone;
   const StoredResponse* answer = nullptr;
@@ -126,16 +126,16 @@
   void RefuseOverdue(TimePoint now);
 
   // claim_judge.cc
-  ClaimJudgement Judge(TimePoint now, const WaitingClaim& waiting) const;
-  ClaimJudgement JudgeFree(const WaitingClaim& waiting,
-                           const StreamWork& work,
-                           const ClaimKeyState* state) const;
-  ClaimJudgement JudgeClaimed(TimePoint now,
-                              const WaitingClaim& waiting,
-                              const StreamWork& work,
-                              const ClaimKeyState& state) const;
-  ClaimJudgement JudgeEnded(const WaitingClaim& waiting,
-                            const ClaimEnd& end) const;
+  ClaimEvaluation Judge(TimePoint now, const WaitingClaim& waiting) const;
+  ClaimEvaluation JudgeFree(const WaitingClaim& waiting,
+                            const StreamWork& work,
+                            const ClaimKeyState* state) const;
+  ClaimEvaluation JudgeClaimed(TimePoint now,
+                               const WaitingClaim& waiting,
+                               const StreamWork& work,
+                               const ClaimKeyState& state) const;
+  ClaimEvaluation JudgeEnded(const WaitingClaim& waiting,
+                             const ClaimEnd& end) const;
   bool IsRunning(TimePoint now, const ClaimKeyState& state) const;
   bool IsLogDown(TimePoint now);
   bool IsOutpaced(TimePoint now, const WaitingClaim& waiting) const;
@@ -163,15 +163,15 @@
   std::optional<Pick> PickAppend(TimePoint now);
   bool Flush(TimePoint now, const Pick& pick);
   void Carry(TimePoint now,
-             const ClaimOutRecord& out,
+             const QueuedClaimRecord& out,
              uint64_t id,
              AppendCall& call,
              ClaimAction& action);
   std::string EncodeClaim(TimePoint now, const WaitingClaim& waiting) const;
-  std::string EncodeEnd(const OpenEnd& open) const;
+  std::string EncodeEnd(const UnrecordedEnd& open) const;
   void OnAppended(const AppendCall& call);
   void OnNotAppended(TimePoint now, const AppendCall& call, bool doubtful);
-  void Requeue(StreamWork& work, const ClaimOutRecord& out);
+  void Requeue(StreamWork& work, const QueuedClaimRecord& out);
   void NoteReleased(ClaimEndHandle handle);
   void Recorded(ClaimEndHandle handle);
   void EraseEnd(ClaimEndHandle handle);
@@ -197,7 +197,7 @@
 
   std::map<ClaimStream, StreamWork> streams;
   HandleTable<WaitingClaim, ClaimTag> waiting_claims;
-  HandleTable<OpenEnd, ClaimEndTag> open_ends;
+  HandleTable<UnrecordedEnd, ClaimEndTag> open_ends;
   std::unordered_map<ClaimAttempt, ClaimHandle, ClaimAttemptHash> by_attempt;
   std::unordered_multimap<ClaimKeyId, ClaimHandle, ClaimKeyIdHash> by_key;
   std::unordered_map<ClaimAttempt, ClaimEndHandle, ClaimAttemptHash> end_of;
--- a/packages/decision/src/claims.cc
+++ b/packages/decision/src/claims.cc
@@ -62,7 +62,7 @@
 ClaimHandle ClaimTableImpl::Request(TimePoint now,
                                     WallTime wall_now,
                                     const ClaimRequest& request) {
-  Refusal refusal = CheckClaimBirth(request.key, wall_now);
+  Refusal refusal = CheckClaimKeyAge(request.key, wall_now);
   if (refusal == Refusal::kNone) {
     refusal = this->CheckRoom(request.key.team);
   }
@@ -171,7 +171,7 @@
   if (this->end_of.contains(end.attempt)) {
     return false;
   }
-  OpenEnd open{end, IdOf(end.key), StreamOf(end.key), notify};
+  UnrecordedEnd open{end, IdOf(end.key), StreamOf(end.key), notify};
   if (StoredSizeOf(end.answer) > limits::kMaxKeptAnswerBytes) {
     open.end.answer = StoredResponse{end.answer.status, false, {}, {}};
   }
@@ -186,7 +186,7 @@
   // A release goes ahead of the claims queued behind it: a resend of the same
   // key may be among them, and would lose against the released claim.
   const bool release = end.outcome == ClaimOutcome::kReleased;
-  const ClaimOutRecord out{
+  const QueuedClaimRecord out{
       {}, handle, release ? now : now + kEndDelay, release};
   if (release) {
     work.outbox.PushFront(end.key.team, out);
--- a/packages/decision/test/claim_history_test.cc
+++ b/packages/decision/test/claim_history_test.cc
@@ -4,7 +4,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "claim_world.h"
+#include "claim_simulation.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/packages/decision/test/claim_world.cc
+++ b/packages/decision/test/claim_simulation.cc
@@ -1,4 +1,4 @@
-#include "claim_world.h"
+#include "claim_simulation.h"
 
 #include <cstdio>
 #include <memory>
@@ -118,9 +118,11 @@
 
 World::World(uint64_t seed, Mutation mutation, bool trace)
     : tracing(trace),
-      context{{}, {}, Chaos(seed), mutation, [this](const std::string& text) {
-                this->Note(text);
-              }} {
+      context{{},
+              {},
+              FaultInjector(seed),
+              mutation,
+              [this](const std::string& text) { this->Note(text); }} {
   for (size_t i = 0; i < kVms; ++i) {
     this->vms.push_back(std::make_unique<ClaimVm>(this->context, i));
     ClaimVm& vm = *this->vms.back();
@@ -191,7 +193,7 @@
 }
 
 void World::ScheduleFaults() {
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   VirtualTime& time = this->context.time;
   const auto sometime = [&chaos, &time](auto run) {
     time.After(chaos.Between(Duration::zero(), kFaultsFor), run);
@@ -223,7 +225,7 @@
 }
 
 void World::KillSome() {
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   ClaimVm& vm = *this->vms[chaos.Below(kVms)];
   if (!vm.alive) {
     return;
@@ -241,7 +243,7 @@
 }
 
 void World::ScheduleKeys() {
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   const size_t count = 1 + chaos.Below(3);
   for (size_t i = 0; i < count; ++i) {
     // Born within the second before the history or the one after, which are
@@ -264,7 +266,7 @@
 
 void World::Heal() {
   this->Note("no more faults");
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   chaos.healed = true;
   chaos.down_until = TimePoint();
   chaos.slow_until = TimePoint();
@@ -311,7 +313,7 @@
 }
 
 void World::Send(size_t key, int body, bool final_one) {
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   const auto sending = std::make_shared<Sending>();
   sending->id = this->sendings.size();
   sending->key = key;
@@ -343,7 +345,7 @@
 void World::ToVm(const SendingPtr& sending,
                  size_t target,
                  const std::function<void(ClaimVm&)>& step) {
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   const bool local = target == sending->holder;
   if (!local && chaos.Happens(chaos.lose_message)) {
     return;
@@ -361,7 +363,7 @@
   if (sending->closed) {
     return;
   }
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   ClaimVm& holder = *this->vms[sending->holder];
   const bool again = !sending->attempts.empty();
   const bool reuse =
@@ -439,7 +441,7 @@
     return;
   }
   const SendingPtr sending = asked->second;
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   ClaimVm& holder = *this->vms[sending->holder];
   const bool local = &vm == &holder;
   if (!local && chaos.Happens(chaos.lose_message)) {
@@ -478,7 +480,7 @@
 }
 
 void World::Dispatch(const SendingPtr& sending, ClaimAttempt attempt) {
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   sending->dispatched = true;
   Duration way = chaos.NetworkDelay();
   if (chaos.Happens(chaos.bad_upstream)) {
@@ -496,7 +498,7 @@
 }
 
 void World::RunUpstream(const SendingPtr& sending, ClaimAttempt attempt) {
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   CallerKey& key = this->keys[sending->key];
   ClaimOutcome outcome = ClaimOutcome::kDone;
   if (chaos.Happens(chaos.bad_upstream)) {
--- a/packages/decision/test/claim_world.h
+++ b/packages/decision/test/claim_simulation.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_DECISION_TEST_CLAIM_WORLD_H_
-#define BASILSILL_DECISION_TEST_CLAIM_WORLD_H_
+#ifndef BASILSILL_DECISION_TEST_CLAIM_SIMULATION_H_
+#define BASILSILL_DECISION_TEST_CLAIM_SIMULATION_H_
 
 #include <cstdint>
 #include <string>
@@ -44,4 +44,4 @@
 
 }  // namespace basilsill::test
 
-#endif  // BASILSILL_DECISION_TEST_CLAIM_WORLD_H_
+#endif  // BASILSILL_DECISION_TEST_CLAIM_SIMULATION_H_
--- a/packages/decision/test/claim_vm.cc
+++ b/packages/decision/test/claim_vm.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Chaos::Chaos(uint64_t seed) : random(seed) {
+FaultInjector::FaultInjector(uint64_t seed) : random(seed) {
   const auto draw = [this](double share, double most) {
     return this->Happens(share) ? most * this->Below(1000) / 1000.0 : 0.0;
   };
@@ -35,19 +35,19 @@
   this->wrong_clocks = this->Happens(0.1);
 }
 
-bool Chaos::Happens(double probability) {
+bool FaultInjector::Happens(double probability) {
   return !this->healed && this->random() < probability * 4294967296.0;
 }
 
-size_t Chaos::Below(size_t count) {
+size_t FaultInjector::Below(size_t count) {
   return this->random(static_cast<uint32_t>(count));
 }
 
-Duration Chaos::Between(Duration low, Duration high) {
+Duration FaultInjector::Between(Duration low, Duration high) {
   return low + (high - low) / kSteps * this->Below(kSteps);
 }
 
-Duration Chaos::NetworkDelay() {
+Duration FaultInjector::NetworkDelay() {
   return this->Between(std::chrono::microseconds(100), milliseconds(3));
 }
 
@@ -109,7 +109,7 @@
 // Each event and each action that follows is a step of its own, so that a
 // pause may fall between any two of them.
 void ClaimVm::RunStep() {
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   const TimePoint now = this->context.time.now();
   this->step_scheduled = false;
   if (now >= this->paused_until && chaos.Happens(chaos.pause)) {
@@ -207,7 +207,7 @@
     });
   };
   VirtualTime& time = this->context.time;
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   Duration effect = chaos.NetworkDelay();
   if (time.now() < chaos.slow_until) {
     effect += kSlowAppend;
@@ -248,7 +248,7 @@
   };
   const ClaimRead failed{ReadOutcome::kFailed, 0, 0, 0, {}};
   VirtualTime& time = this->context.time;
-  Chaos& chaos = this->context.chaos;
+  FaultInjector& chaos = this->context.chaos;
   time.After(chaos.NetworkDelay(), [=, this, &time, &chaos] {
     const auto reply = [=, &time, &chaos](const ClaimRead& read) {
       time.After(chaos.NetworkDelay(), [=] { answer(read); });
--- a/packages/decision/test/claim_vm.h
+++ b/packages/decision/test/claim_vm.h
@@ -13,7 +13,7 @@
 
 #include "basilsill/decision/claims.h"
 #include "claim_record.h"
-#include "claim_world.h"
+#include "claim_simulation.h"
 #include "model_log.h"
 
 /// A process with a ClaimTable in a history: it may be paused between any two
@@ -22,8 +22,8 @@
 namespace basilsill::test {
 
 /// The faults of one history, and its source of chance.
-struct Chaos {
-  explicit Chaos(uint64_t seed);
+struct FaultInjector {
+  explicit FaultInjector(uint64_t seed);
 
   bool Happens(double probability);
   size_t Below(size_t count);
@@ -50,7 +50,7 @@
 struct HistoryContext {
   VirtualTime time;
   ModelLog log;
-  Chaos chaos;
+  FaultInjector chaos;
   Mutation mutation;
   std::function<void(const std::string&)> note;
 };
--- a/packages/decision/test/claims_test.cc
+++ b/packages/decision/test/claims_test.cc
@@ -75,12 +75,12 @@
 TEST(ClaimKey, CheckBirth_OutsideOfWindow_IsExpired) {
   const ClaimKey key = KeyOf("team", "1700000000000-x");
   const WallTime birth = key.birth;
-  CHECK(CheckClaimBirth(key, birth) == Refusal::kNone);
-  CHECK(CheckClaimBirth(key, birth + limits::kClaimWindow) == Refusal::kNone);
-  CHECK(CheckClaimBirth(key, birth + limits::kClaimWindow + milliseconds(1)) ==
+  CHECK(CheckClaimKeyAge(key, birth) == Refusal::kNone);
+  CHECK(CheckClaimKeyAge(key, birth + limits::kClaimWindow) == Refusal::kNone);
+  CHECK(CheckClaimKeyAge(key, birth + limits::kClaimWindow + milliseconds(1)) ==
         Refusal::kKeyExpired);
-  CHECK(CheckClaimBirth(key, birth - limits::kMaxClaimFuture -
-                                 milliseconds(1)) == Refusal::kKeyExpired);
+  CHECK(CheckClaimKeyAge(key, birth - limits::kMaxClaimFuture -
+                                  milliseconds(1)) == Refusal::kKeyExpired);
 }
 
 TEST(ClaimKey, Record_AnyBytesInAnswer_SurviveTheLog) {
--- a/packages/decision/test/repeat_history_test.cc
+++ b/packages/decision/test/repeat_history_test.cc
@@ -1,13 +1,13 @@
 // Random histories of VMs that repeat: whatever happens to them, the fleet
 // stays within its bound.
 
-#include "repeat_world.h"
+#include "repeat_simulation.h"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace std::chrono_literals;
-using basilsill::RepeatWorld;
-using basilsill::RepeatWorldOptions;
+using basilsill::RepeatSimulation;
+using basilsill::RepeatSimulationOptions;
 
 namespace {
 
@@ -21,7 +21,7 @@
 // part of the fleet's slack, and several do within one window.
 TEST(RepeatHistory, Shards_ChangeHandsWhileAllShed_StayWithinTheBound) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    RepeatWorld world(seed, {});
+    RepeatSimulation world(seed, {});
     world.Run(11s);
     world.SetShedPercent(95);
     for (int i = 0; i < 12; ++i) {
@@ -38,7 +38,7 @@
 // anew.
 TEST(RepeatHistory, Shards_ChangeHandsWhileHalfIsShed_StayWithinTheBound) {
   for (uint64_t seed = 1; seed <= 4 * kSeeds; ++seed) {
-    RepeatWorld world(seed, {});
+    RepeatSimulation world(seed, {});
     world.Run(11s);
     world.SetShedPercent(50);
     for (int i = 0; i < 6; ++i) {
@@ -53,7 +53,7 @@
 // a request at both, so that its repeats pay for others.
 TEST(RepeatHistory, Requests_MoveWhileAllShed_CountOnce) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    RepeatWorld world(seed, {});
+    RepeatSimulation world(seed, {});
     world.SetShedPercent(90);
     world.Run(25s);
     CHECK(world.WorstExcess() <= 0);
@@ -64,7 +64,7 @@
 // first owner.
 TEST(RepeatHistory, Vms_DisagreeFreezeAndRestart_StayWithinTheBound) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    RepeatWorld world(seed, {});
+    RepeatSimulation world(seed, {});
     world.SetShedPercent(80);
     for (int i = 0; i < 30; ++i) {
       world.Run(std::chrono::milliseconds(300 + world.dice()(900)));
@@ -89,9 +89,9 @@
 
 // Failure: a bound that is kept by repeating nothing.
 TEST(RepeatHistory, OneUpstream_Refuses_ItsRequestsAreServedElsewhere) {
-  RepeatWorldOptions options;
+  RepeatSimulationOptions options;
   options.requests_per_second = 30;
-  RepeatWorld world(1, options);
+  RepeatSimulation world(1, options);
   world.Run(12s);
   const size_t before = world.requests();
   const size_t answered_before = world.answered();
--- a/packages/decision/test/repeat_world.cc
+++ b/packages/decision/test/repeat_simulation.cc
@@ -1,4 +1,4 @@
-#include "repeat_world.h"
+#include "repeat_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -28,7 +28,8 @@
 
 }  // namespace
 
-RepeatWorld::RepeatWorld(uint64_t seed, const RepeatWorldOptions& options)
+RepeatSimulation::RepeatSimulation(uint64_t seed,
+                                   const RepeatSimulationOptions& options)
     : options(options),
       random(seed),
       vms(options.vms),
@@ -52,7 +53,7 @@
   }
 }
 
-void RepeatWorld::Boot(uint32_t number) {
+void RepeatSimulation::Boot(uint32_t number) {
   Vm& vm = this->vms[number];
   const RepeatShares parts = SplitRepeatBudget(this->options.bound);
   DispatcherOptions dispatcher;
@@ -70,7 +71,7 @@
   this->Apply(number);
 }
 
-void RepeatWorld::Apply(uint32_t number) {
+void RepeatSimulation::Apply(uint32_t number) {
   Vm& vm = this->vms[number];
   const RoutingViewPtr view = vm.fixture.Build();
   vm.router->ApplyView(this->now, view);
@@ -78,11 +79,11 @@
   this->Take(number);
 }
 
-void RepeatWorld::SetBroken(uint32_t upstream, bool is_broken) {
+void RepeatSimulation::SetBroken(uint32_t upstream, bool is_broken) {
   this->broken.at(upstream) = is_broken;
 }
 
-void RepeatWorld::Restart(uint32_t number) {
+void RepeatSimulation::Restart(uint32_t number) {
   std::erase_if(this->attempts, [number](const Attempt& attempt) {
     return attempt.vm == number;
   });
@@ -93,7 +94,7 @@
   this->LoseWorkAt(number);
 }
 
-void RepeatWorld::LoseWorkAt(uint32_t number) {
+void RepeatSimulation::LoseWorkAt(uint32_t number) {
   for (uint32_t i = 0; i < this->vms.size(); ++i) {
     if (i != number) {
       this->vms[i].router->OnLink(this->now, {number, 0}, false);
@@ -115,11 +116,11 @@
   }
 }
 
-void RepeatWorld::Freeze(uint32_t number, Duration time) {
+void RepeatSimulation::Freeze(uint32_t number, Duration time) {
   this->vms.at(number).frozen_until = this->now + time;
 }
 
-void RepeatWorld::Disagree() {
+void RepeatSimulation::Disagree() {
   for (uint32_t i = 0; i < this->vms.size(); ++i) {
     for (VmRow& row : this->vms[i].fixture.view.vms) {
       const bool is_live = row.handle.index == i || this->random(3) != 0;
@@ -129,7 +130,7 @@
   }
 }
 
-void RepeatWorld::Agree() {
+void RepeatSimulation::Agree() {
   for (uint32_t i = 0; i < this->vms.size(); ++i) {
     for (VmRow& row : this->vms[i].fixture.view.vms) {
       row.state = VmState::kLive;
@@ -138,14 +139,14 @@
   }
 }
 
-void RepeatWorld::Run(Duration time) {
+void RepeatSimulation::Run(Duration time) {
   for (const TimePoint end = this->now + time; this->now < end;) {
     this->now += kStep;
     this->Step();
   }
 }
 
-void RepeatWorld::Step() {
+void RepeatSimulation::Step() {
   const double per_step = this->options.requests_per_second * 1e6 *
                           std::chrono::duration<double>(kStep).count();
   if (this->random(1'000'000) < static_cast<uint32_t>(per_step)) {
@@ -174,7 +175,7 @@
 }
 
 // A VM that starts again meanwhile gets nothing of what was sent before.
-void RepeatWorld::Post(uint32_t to, std::function<void()> task) {
+void RepeatSimulation::Post(uint32_t to, std::function<void()> task) {
   const uint32_t start = this->vms[to].start;
   auto guarded = [this, to, start, task = std::move(task)] {
     if (this->vms[to].start == start) {
@@ -184,7 +185,7 @@
   this->mail.emplace(this->now + kWay, std::pair{to, std::move(guarded)});
 }
 
-void RepeatWorld::Offer() {
+void RepeatSimulation::Offer() {
   const auto number =
       static_cast<uint32_t>(this->random(static_cast<uint32_t>(vms.size())));
   Vm& vm = this->vms[number];
@@ -207,7 +208,7 @@
   this->Go(id);
 }
 
-void RepeatWorld::Go(uint64_t id) {
+void RepeatSimulation::Go(uint64_t id) {
   Request& request = this->open.at(id);
   Vm& vm = this->vms[request.entry_vm];
   ++request.hops;
@@ -226,7 +227,7 @@
   }
 }
 
-void RepeatWorld::ToDispatcher(uint64_t id) {
+void RepeatSimulation::ToDispatcher(uint64_t id) {
   const Request& request = this->open.at(id);
   DispatchRequest offer;
   offer.shard = request.target.shard;
@@ -244,7 +245,7 @@
   });
 }
 
-void RepeatWorld::ToUpstream(uint64_t id) {
+void RepeatSimulation::ToUpstream(uint64_t id) {
   const Request& request = this->open.at(id);
   const AttemptEnd end = this->Arrive(id, request.target.upstream);
   if (end == AttemptEnd::kShed) {
@@ -254,7 +255,7 @@
   }
 }
 
-void RepeatWorld::Take(uint32_t number) {
+void RepeatSimulation::Take(uint32_t number) {
   Vm& vm = this->vms[number];
   while (!vm.dispatcher->actions().empty()) {
     const std::vector<DispatchAction> round = vm.dispatcher->actions();
@@ -273,7 +274,7 @@
   }
 }
 
-void RepeatWorld::Start(uint32_t number, const DispatchAction& action) {
+void RepeatSimulation::Start(uint32_t number, const DispatchAction& action) {
   const AttemptEnd end =
       this->Arrive(action.cookie >> kHopBits, action.upstream);
   const Duration time =
@@ -282,7 +283,7 @@
       {this->now + time, action.cookie, number, action.attempt, end});
 }
 
-AttemptEnd RepeatWorld::Arrive(uint64_t id, UpstreamHandle upstream) {
+AttemptEnd RepeatSimulation::Arrive(uint64_t id, UpstreamHandle upstream) {
   if (this->open.at(id).arrivals++ > 0) {
     this->extra.push_back(this->now);
   }
@@ -291,7 +292,7 @@
   return is_shed ? AttemptEnd::kShed : AttemptEnd::kAnswered;
 }
 
-void RepeatWorld::EndWork() {
+void RepeatSimulation::EndWork() {
   std::vector<Attempt> ended;
   std::erase_if(this->attempts, [&](const Attempt& attempt) {
     const bool is_over = attempt.ends <= this->now;
@@ -305,7 +306,7 @@
   }
 }
 
-void RepeatWorld::End(const Attempt& attempt) {
+void RepeatSimulation::End(const Attempt& attempt) {
   const AttemptReport report = DispatchHarness::Report(attempt.end);
   const bool goes_on = this->vms[attempt.vm].dispatcher->OnAttemptEnd(
       this->now, attempt.attempt, report);
@@ -317,10 +318,10 @@
 }
 
 // A dispatcher says how a request ended, and how loaded the shard is.
-void RepeatWorld::Answer(uint32_t from,
-                         uint64_t cookie,
-                         Refusal refusal,
-                         uint8_t sends) {
+void RepeatSimulation::Answer(uint32_t from,
+                              uint64_t cookie,
+                              Refusal refusal,
+                              uint8_t sends) {
   const uint64_t id = cookie >> kHopBits;
   const Request& request = this->open.at(id);
   const ShardSummary summary =
@@ -332,10 +333,10 @@
   this->Reply(id, cookie & kHopMask, refusal, sends);
 }
 
-void RepeatWorld::Reply(uint64_t id,
-                        uint32_t hop,
-                        Refusal refusal,
-                        uint8_t sends) {
+void RepeatSimulation::Reply(uint64_t id,
+                             uint32_t hop,
+                             Refusal refusal,
+                             uint8_t sends) {
   const Request& request = this->open.at(id);
   this->Post(request.entry_vm, [this, id, hop, refusal, sends] {
     const Request& now_at = this->open.at(id);
@@ -345,7 +346,7 @@
   });
 }
 
-void RepeatWorld::OnRefused(uint64_t id, Refusal refusal, uint8_t sends) {
+void RepeatSimulation::OnRefused(uint64_t id, Refusal refusal, uint8_t sends) {
   Request& request = this->open.at(id);
   EntryRouter& router = *this->vms[request.entry_vm].router;
   const bool goes_on =
@@ -361,7 +362,7 @@
 
 // The requests that count are those of the window, of the one before it, or of
 // the one half a window before it, whichever has most.
-double RepeatWorld::WorstExcess() const {
+double RepeatSimulation::WorstExcess() const {
   const Duration window = this->options.bound.window;
   double worst = -this->options.bound.slack;
   for (const TimePoint end : this->extra) {
--- a/packages/decision/test/repeat_world.h
+++ b/packages/decision/test/repeat_simulation.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_DECISION_TEST_REPEAT_WORLD_H_
-#define BASILSILL_DECISION_TEST_REPEAT_WORLD_H_
+#ifndef BASILSILL_DECISION_TEST_REPEAT_SIMULATION_H_
+#define BASILSILL_DECISION_TEST_REPEAT_SIMULATION_H_
 
 #include <cstdint>
 #include <deque>
@@ -20,7 +20,7 @@
 
 namespace basilsill {
 
-struct RepeatWorldOptions {
+struct RepeatSimulationOptions {
   uint32_t vms = 6;  ///< In turn in two data centres.
   uint32_t upstreams = 6;
   uint16_t slots = 2;
@@ -30,9 +30,9 @@
   RepeatBudgetOptions bound{0.2, 58, std::chrono::seconds(10)};
 };
 
-class RepeatWorld {
+class RepeatSimulation {
  public:
-  RepeatWorld(uint64_t seed, const RepeatWorldOptions& options);
+  RepeatSimulation(uint64_t seed, const RepeatSimulationOptions& options);
 
   void Run(Duration time);
 
@@ -103,7 +103,7 @@
   void OnRefused(uint64_t id, Refusal refusal, uint8_t sends);
   void LoseWorkAt(uint32_t vm);
 
-  RepeatWorldOptions options;
+  RepeatSimulationOptions options;
   pcg32 random;
   TimePoint now{std::chrono::seconds(100)};
   std::vector<Vm> vms;
@@ -119,4 +119,4 @@
 
 }  // namespace basilsill
 
-#endif  // BASILSILL_DECISION_TEST_REPEAT_WORLD_H_
+#endif  // BASILSILL_DECISION_TEST_REPEAT_SIMULATION_H_
