--- a/packages/decision/include/basilsill/decision/claim_key.h
+++ b/packages/decision/include/basilsill/decision/claim_key.h
@@ -12,28 +12,28 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/view.h"
 
-/// Keys of requests that must not repeat: what a caller sends as
-/// Idempotency-Key, and where in the log the records of a key stand.
+/// Idempotency keys of requests that must not run twice, and the mapping from
+/// a key to the log stream that holds its records.
 ///
-/// A key tells its own birth. The birth names the stream that holds every
-/// record of the key, so whether the history of a key is complete is seen
-/// from the log (the stream's first retained offset is 0) and not from a
-/// clock.
+/// A key contains its creation time, which determines the stream that holds
+/// every record of the key. Whether the history of a key is complete therefore
+/// follows from the log (the stream's first retained offset is 0) and does not
+/// depend on a clock.
 
 namespace basilsill {
 
 namespace limits {
 
-/// Span of births that share a stream. With kClaimPartitions it maps a key to
-/// its stream: two processes that differ in either would not see each
-/// other's claims, so neither is a setting and neither may ever change under
-/// the stream names in use.
+/// Span of creation times that share a stream. Together with kClaimPartitions
+/// it maps a key to its stream. Two processes with different values would not
+/// see each other's claims, so neither value is a setting, and neither may
+/// change as long as the stream names stay the same.
 inline constexpr milliseconds kClaimBucket = std::chrono::hours(1);
 
-/// How far ahead of this VM's clock a key may be born.
+/// How far the creation time of a key may be ahead of this VM's clock.
 inline constexpr milliseconds kMaxClaimFuture = std::chrono::minutes(2);
 
-/// Bytes of an Idempotency-Key.
+/// Maximum length of an Idempotency-Key in bytes.
 inline constexpr size_t kMaxClaimKeyBytes = 128;
 
 }  // namespace limits
@@ -46,44 +46,46 @@
   friend auto operator<=>(const Digest&, const Digest&) = default;
 };
 
-/// @returns the digest of `parts`; where one part ends and the next begins
-/// counts. For the body of a request: method, target and body.
+/// @returns the digest of `parts`, which also depends on the boundaries between
+/// the parts. The body digest of a request covers method, target and body.
 Digest DigestOf(std::span<const std::string_view> parts);
 
-/// Names a team on every VM alike: a hash of its name.
+/// Identifies a team by a hash of its name; the same on every VM.
 using TeamKey = uint64_t;
 
 TeamKey MakeTeamKey(std::string_view team);
 
-/// An Idempotency-Key in the scope of its team. Not of its rule: a rule that
-/// is renamed or split between a request and its resend must not make the
-/// resend a new request.
+/// An Idempotency-Key, scoped to its team. It is not scoped to the rule: if a
+/// rule is renamed or split between a request and its retry, the retry must not
+/// count as a new request.
 struct ClaimKey {
   TeamKey team = 0;
   Digest digest;
-  WallTime birth;
+  WallTime created_at;
 
   friend auto operator<=>(const ClaimKey&, const ClaimKey&) = default;
 };
 
-/// A key as read, or kKeyMissing or kKeyMalformed.
+/// A parsed key. `refusal` is kNone, kKeyMissing or kKeyMalformed; `key` is
+/// valid only with kNone.
 struct ParsedClaimKey {
   Refusal refusal = Refusal::kNone;
   ClaimKey key;
 };
 
-/// Reads an Idempotency-Key: a UUID of version 7, or 13 digits of Unix time
-/// in milliseconds, a dash and at least one more character. Quotes around it
-/// are allowed.
+/// Parses an Idempotency-Key: a UUID of version 7, or 13 digits of Unix time
+/// in milliseconds, a dash and at least one more character. The key may be
+/// enclosed in double quotes.
 ParsedClaimKey ParseClaimKey(TeamKey team, std::string_view text);
 
-/// @returns kKeyExpired for a key that was born before the window or too far
-/// in the future by this VM's clock, else kNone. Decides what is accepted;
-/// that a key runs once does not rest on it.
+/// @returns kKeyExpired if `key` was created before the claim window or too far
+/// in the future by this VM's clock, else kNone. This check only limits which
+/// keys are accepted; the guarantee that a request runs at most once does not
+/// depend on it.
 Refusal CheckClaimKeyAge(const ClaimKey& key, WallTime wall_now);
 
-/// Names a stream of claims: all keys of one partition born in one bucket of
-/// time.
+/// Identifies a log stream of claims. It holds all keys of one partition that
+/// were created in one time bucket.
 struct ClaimStream {
   uint32_t partition = 0;
   int64_t bucket = 0;
@@ -97,12 +99,14 @@
 /// @returns the stream's name in the platform's log.
 std::string NameOf(const ClaimStream& stream);
 
-/// @returns the bucket that `time` falls into.
+/// @returns the number of the time bucket that contains `time`.
 int64_t ClaimBucketAt(WallTime time);
 
-/// Ranks the VMs that append and read the claims of `partition`, best first,
-/// by rendezvous hash; VMs that are not live come last. Views may differ:
-/// two VMs working for a partition cost appends, never a promise.
+/// Ranks the VMs that append and read the claims of `partition` by rendezvous
+/// hash, best first; VMs that are not live come last. Two VMs with different
+/// views may both serve a partition: this costs extra appends, but correctness
+/// does not depend on a single owner.
+/// @returns at most `count` VMs.
 std::vector<VmHandle> RankClaimOwners(const RoutingView& view,
                                       uint32_t partition,
                                       size_t count = ShardRow::kOwners);
--- a/packages/decision/include/basilsill/decision/group_append.h
+++ b/packages/decision/include/basilsill/decision/group_append.h
@@ -9,44 +9,48 @@
 #include "basilsill/decision/topic_records.h"
 #include "basilsill/decision/view.h"
 
-/// Group commit of small records: a VM writes those of others with its own, one
-/// call at a time, and what comes while one is on its way goes with the next.
-/// Pure; the shell makes the calls.
+/// Group commit of small records. A VM writes the records of other VMs together
+/// with its own, with one append call in flight at a time; records that arrive
+/// during a call go into the next one. This class does no I/O: the host makes
+/// the calls.
 ///
-/// The platform takes one append of a topic after the other, some milliseconds
-/// each, and charges each. Of a fleet of 300 that starts the last one's own
-/// append would come after a second; in groups all are written in a few.
+/// The platform serialises the appends to a topic, takes some milliseconds for
+/// each and charges for each. When a fleet of 300 VMs starts, the last of 300
+/// separate appends would finish after a second; grouped, all records are
+/// written in a few appends.
 
 namespace basilsill {
 
-/// A record that somebody waits for.
+/// A record to append, and the VM that waits for the result.
 struct AppendRequest {
-  VmHandle from;        ///< Who is to be answered; invalid: this VM itself.
-  uint64_t number = 0;  ///< Of the request, as its sender counts.
+  VmHandle from;        ///< VM to answer; invalid: this VM itself.
+  uint64_t number = 0;  ///< Request number, counted by the sender.
   KeyedRecord record;
 };
 
 class GroupAppend {
  public:
-  /// @returns false if too much waits already: it is not written.
+  /// Queues a record.
+  /// @returns false if the queue is full; the record is then not written.
   bool Add(TimePoint now, AppendRequest request);
 
-  /// @returns when the next call is due; kNever while one is on its way, or if
-  /// nothing waits.
+  /// @returns when the next call is due; kNever while a call is in flight or if
+  /// the queue is empty.
   TimePoint due() const;
 
-  /// The call begins. @returns what it writes: one record a key, the last word
-  /// of each.
+  /// Starts a call.
+  /// @returns the records to write: the newest record of each key.
   std::vector<KeyedRecord> Begin();
 
-  /// The call has ended. @returns all requests that it was for.
+  /// Ends the call.
+  /// @returns all requests that the call covered.
   std::vector<AppendRequest> End();
 
  private:
   std::vector<AppendRequest> waiting;
-  std::vector<AppendRequest> on_the_way;
-  bool busy = false;
-  TimePoint first_at{};
+  std::vector<AppendRequest> in_flight;
+  bool call_in_flight = false;
+  TimePoint oldest_added_at{};
 };
 
 }  // namespace basilsill
--- a/packages/decision/include/basilsill/decision/ratio_budget.h
+++ b/packages/decision/include/basilsill/decision/ratio_budget.h
@@ -6,16 +6,16 @@
 
 #include "basilsill/base/time.h"
 
-/// A budget for extra work (retries, hedges) as a ratio of the requests that
-/// came lately, so that extra work can not amplify a failure.
+/// A token bucket for extra work (retries, hedges) that recent requests refill
+/// at a fixed ratio, so that extra work cannot amplify a failure.
 
 namespace basilsill {
 
 struct RatioBudgetOptions {
-  double ratio = 0.06;      ///< Extra work allowed a request.
-  double burst = 10;        ///< Most that can be saved up.
-  double floor = 3;         ///< What an idle service gets back with time.
-  double per_second = 0.1;  ///< How fast it gets that back.
+  double ratio = 0.06;      ///< Tokens that each request adds.
+  double burst = 10;        ///< Maximum number of tokens.
+  double floor = 3;         ///< Up to this, tokens also refill with time.
+  double per_second = 0.1;  ///< Tokens a second of that refill.
 };
 
 class RatioBudget {
@@ -26,7 +26,7 @@
     return budget;
   }
 
-  /// A request came, which pays for its share of extra work.
+  /// Adds the tokens of one request.
   void OnRequest(TimePoint now, const RatioBudgetOptions& options) {
     const std::chrono::duration<double> idle = now - this->last;
     this->last = now;
@@ -37,10 +37,10 @@
     this->tokens = std::min(options.burst, this->tokens + options.ratio);
   }
 
-  /// @param keep Tokens that must be left over, for more important work.
-  /// @returns true if one piece of extra work may be done; it is paid then.
-  bool Take(double keep = 0) {
-    if (this->tokens < 1 + keep) {
+  /// @param reserved Tokens that must remain for more important work.
+  /// @returns true if one retry or hedge may be made; its token is then spent.
+  bool Take(double reserved = 0) {
+    if (this->tokens < 1 + reserved) {
       return false;
     }
     this->tokens -= 1;
@@ -52,13 +52,15 @@
   TimePoint last{};
 };
 
-/// Budgets of a lane at a dispatcher. With the entry's own they allow less
-/// than a tenth of extra load on upstreams when everything fails.
+/// Budgets of a lane at a dispatcher. Together with the entry VMs' budgets they
+/// limit the extra load on upstreams to less than a tenth when every request
+/// fails.
 inline constexpr RatioBudgetOptions kRetryBudget{0.06, 10, 3, 0.1};
 inline constexpr RatioBudgetOptions kHedgeBudget{0.02, 5, 1, 0.01};
 
-/// Retries of an entry VM that may put load on upstreams a second time. The
-/// dispatchers' own budgets and this one multiply to less than 1.1.
+/// Budget of an entry VM for retries that may load the upstreams a second time.
+/// The load factors of this budget and the dispatchers' budgets multiply to
+/// less than 1.1.
 inline constexpr RatioBudgetOptions kEntryRetryBudget{0.015, 20, 10, 0.1};
 
 }  // namespace basilsill
--- a/packages/decision/include/basilsill/decision/repeat_budget.h
+++ b/packages/decision/include/basilsill/decision/repeat_budget.h
@@ -8,50 +8,56 @@
 
 #include "basilsill/base/time.h"
 
-/// A bound on repeats (retries, second copies) of the whole fleet: in no window
-/// more than a ratio of the requests in it plus a fixed slack. Each place that
-/// repeats gets a part of the slack and counts its own requests, so the sum
-/// holds without asking one another.
+/// Limits the repeats (retries and hedges) of the whole fleet: within any
+/// window their number is at most a ratio of the requests plus a fixed slack.
+/// Each dispatcher and entry VM gets a share of the slack and counts only its
+/// own requests, so the fleet-wide limit holds without coordination.
 
 namespace basilsill {
 
 struct RepeatBudgetOptions {
-  double ratio = 0.1;  ///< Repeats a request.
-  double slack = 20;   ///< Repeats beyond that in each window.
+  double ratio = 0.1;  ///< Repeats allowed for each request.
+  double slack = 20;   ///< Additional repeats allowed in each window.
   Duration window = std::chrono::seconds(10);
 };
 
-/// What the places that repeat have of the fleet's bound on one service. Their
-/// sum stays within it whatever VMs start, end, or do not see each other.
+/// The shares of a service's fleet-wide limit. Their sum stays within the limit
+/// even while VMs start, stop or are partitioned from each other. A dispatcher
+/// or entry VM is settled once it has had its role for a whole window; see
+/// IsSettled.
 struct RepeatShares {
-  RepeatBudgetOptions dispatchers;  ///< Of all shards together, if settled.
-  RepeatBudgetOptions unsettled;    ///< Of all VMs together, at other shards.
-  RepeatBudgetOptions entries;      ///< Of all entry VMs together, if settled.
+  RepeatBudgetOptions dispatchers;  ///< All settled shards together.
+  RepeatBudgetOptions unsettled;    ///< All VMs together, at other shards.
+  RepeatBudgetOptions entries;      ///< All settled entry VMs together.
 };
 
-/// @param fleet The bound of all VMs together, on one service.
+/// Splits a fleet-wide limit into shares.
+/// @param fleet The limit of all VMs together for one service.
 RepeatShares SplitRepeatBudget(const RepeatBudgetOptions& fleet);
 
-/// Until a place has been that place for a whole window, whoever was it before
-/// may have spent all that there was, and nobody is left to tell.
-/// @param since When it became that place; kNever: it is not.
+/// Within the first window after a VM takes over a role, the previous holder of
+/// the role may have spent the whole share, and there is no way to find out.
+/// @param since When the VM took over the role; kNever: it does not have it.
+/// @returns true if the VM has had the role for at least `window`.
 bool IsSettled(TimePoint now, TimePoint since, Duration window);
 
 class RepeatBudget {
  public:
   void OnRequest(TimePoint now, const RepeatBudgetOptions& options);
 
-  /// @param keep Repeats that must be left over, for more important ones.
-  /// @returns true if one repeat may be made; it is counted then.
-  bool Take(TimePoint now, const RepeatBudgetOptions& options, double keep = 0);
+  /// @param reserved Repeats that must remain for more important ones.
+  /// @returns true if one repeat may be made; it is then counted.
+  bool Take(TimePoint now,
+            const RepeatBudgetOptions& options,
+            double reserved = 0);
 
  private:
-  // The window slides: with a bucket more than it has, every span of its
-  // length is covered.
+  // Sliding window: with one bucket more than the window has, every span of the
+  // window's length is covered.
   static constexpr size_t kBuckets = 21;
 
   struct Bucket {
-    int64_t number = -1;  ///< Of its span of time since the clock's start.
+    int64_t number = -1;  ///< Index of its time span since the clock's epoch.
     uint32_t requests = 0;
     uint32_t repeats = 0;
   };
--- a/packages/decision/src/claim_append.cc
+++ b/packages/decision/src/claim_append.cc
@@ -2,7 +2,7 @@
 
 #include "claim_table.h"
 
-/// How records get into the log: group commit with fair shares among teams.
+/// Appends to the log: group commit, with fair shares among teams.
 
 namespace basilsill {
 namespace {
@@ -10,12 +10,13 @@
 constexpr size_t kMaxBatchRecords = 256;
 constexpr size_t kMaxBatchBytes = 128 * 1024;
 
-/// Beyond it a resend may be told `unknown` until the release is read.
+/// Limits StreamWork::released. Beyond it a retry may be refused as `unknown`
+/// until the release has been read.
 constexpr size_t kMaxReleasedUnread = 1024;
 
-/// After a lost answer, reading may yet show the records; only then are they
-/// appended again.
-constexpr Duration kSettleDelay = std::chrono::milliseconds(300);
+/// Delay before the records of an unanswered append are sent again. Reads may
+/// show in this time that the append took effect.
+constexpr Duration kUnresolvedRetryDelay = std::chrono::milliseconds(300);
 
 }  // namespace
 
@@ -27,38 +28,39 @@
 void ClaimTableImpl::PumpAppends(TimePoint now) {
   while (now >= this->append_health.next_try() && !this->IsProbing() &&
          this->budget.HasToken(now)) {
-    const std::optional<Pick> pick = this->PickAppend(now);
-    if (!pick) {
+    const std::optional<AppendTarget> target = this->ChooseAppend(now);
+    if (!target) {
       return;
     }
-    if (this->Flush(now, *pick)) {
+    if (this->SendAppend(now, *target)) {
       this->budget.TryTake(now);
     }
   }
 }
 
-// While the log fails, one append at a time finds out whether it still does.
+// While the log fails, one append at a time probes whether it has recovered.
 bool ClaimTableImpl::IsProbing() const {
   return this->append_health.IsFailing() && !this->append_calls.empty();
 }
 
-bool ClaimTableImpl::IsFlushable(TimePoint now, const StreamWork& work) const {
+bool ClaimTableImpl::CanAppend(TimePoint now, const StreamWork& work) const {
   return work.append_call == 0 && now >= work.append_after;
 }
 
-std::optional<ClaimTableImpl::Pick> ClaimTableImpl::PickAppend(TimePoint now) {
-  // Teams take turns for appends as they do for records: the next team after
-  // the last one, and of its streams the one that has waited longest.
-  const bool ample = this->budget.IsAmple(now);
-  std::optional<Pick> best;
+std::optional<ClaimTableImpl::AppendTarget> ClaimTableImpl::ChooseAppend(
+    TimePoint now) {
+  // Appends are also round-robin over teams: the next team after that of the
+  // last append, and of its streams the one whose first record is due earliest.
+  const bool half_full = this->budget.IsAtLeastHalfFull(now);
+  std::optional<AppendTarget> best;
   TimePoint best_due;
   for (const auto& [stream, work] : this->streams) {
-    if (!this->IsFlushable(now, work)) {
+    if (!this->CanAppend(now, work)) {
       continue;
     }
-    for (const auto& [team, queue] : work.outbox.teams()) {
+    for (const auto& [team, queue] : work.append_queue.teams()) {
       const TimePoint due = queue.front().due;
-      if (!ample && due > now) {
+      if (!half_full && due > now) {
         continue;
       }
       const auto turn = [this](TeamKey key) {
@@ -66,7 +68,7 @@
       };
       if (!best ||
           std::pair(turn(team), due) < std::pair(turn(best->team), best_due)) {
-        best = Pick{stream, team};
+        best = AppendTarget{stream, team};
         best_due = due;
       }
     }
@@ -74,24 +76,24 @@
   return best;
 }
 
-bool ClaimTableImpl::Flush(TimePoint now, const Pick& pick) {
-  StreamWork& work = this->streams.at(pick.stream);
+bool ClaimTableImpl::SendAppend(TimePoint now, const AppendTarget& target) {
+  StreamWork& work = this->streams.at(target.stream);
   const uint64_t id = ++this->last_call;
-  AppendCall call{pick.stream, now, {}, {}};
+  AppendCall call{target.stream, now, {}, {}};
   ClaimAction action;
   action.kind = ClaimActionKind::kAppend;
   action.call = id;
-  action.stream = NameOf(pick.stream);
+  action.stream = NameOf(target.stream);
   size_t bytes = 0;
-  work.outbox.Take(pick.team, [&](const QueuedClaimRecord& out) {
+  work.append_queue.Take(target.team, [&](const QueuedClaimRecord& out) {
     if (action.records.size() >= kMaxBatchRecords || bytes >= kMaxBatchBytes) {
       return false;
     }
-    this->Carry(now, out, id, call, action);
+    this->AddToAppend(now, out, id, call, action);
     bytes += action.records.empty() ? 0 : action.records.back().size();
     return true;
   });
-  this->last_team = pick.team;
+  this->last_team = target.team;
   if (action.records.empty()) {
     return false;
   }
@@ -103,16 +105,16 @@
   return true;
 }
 
-void ClaimTableImpl::Carry(TimePoint now,
-                           const QueuedClaimRecord& out,
-                           uint64_t id,
-                           AppendCall& call,
-                           ClaimAction& action) {
+void ClaimTableImpl::AddToAppend(TimePoint now,
+                                 const QueuedClaimRecord& out,
+                                 uint64_t id,
+                                 AppendCall& call,
+                                 ClaimAction& action) {
   if (WaitingClaim* waiting = this->waiting_claims.Find(out.claim)) {
     waiting->in_flight = id;
     action.records.push_back(this->EncodeClaim(now, *waiting));
     call.records.push_back(out);
-  } else if (const UnrecordedEnd* open = this->open_ends.Find(out.end)) {
+  } else if (const UnrecordedEnd* open = this->unrecorded_ends.Find(out.end)) {
     action.records.push_back(this->EncodeEnd(*open));
     call.records.push_back(out);
   }
@@ -177,8 +179,8 @@
   for (const QueuedClaimRecord& out : call.records) {
     WaitingClaim* waiting = this->waiting_claims.Find(out.claim);
     if (waiting == nullptr) {
-      this->NoteReleased(out.end);
-      this->Recorded(out.end);
+      this->TrackRelease(out.end);
+      this->OnRecorded(out.end);
       continue;
     }
     waiting->in_flight = 0;
@@ -188,10 +190,10 @@
 
 void ClaimTableImpl::OnNotAppended(TimePoint now,
                                    const AppendCall& call,
-                                   bool doubtful) {
+                                   bool may_have_landed) {
   StreamWork& work = this->streams.at(call.stream);
-  if (doubtful) {
-    work.append_after = now + kSettleDelay;
+  if (may_have_landed) {
+    work.append_after = now + kUnresolvedRetryDelay;
   } else {
     for (const ClaimEndHandle release : call.releases) {
       this->EraseEnd(release);
@@ -201,23 +203,23 @@
     this->Requeue(work, *out);
     if (WaitingClaim* waiting = this->waiting_claims.Find(out->claim)) {
       waiting->in_flight = 0;
-      waiting->may_be_in_log |= doubtful;
+      waiting->may_be_in_log |= may_have_landed;
     }
   }
 }
 
 void ClaimTableImpl::Requeue(StreamWork& work, const QueuedClaimRecord& out) {
   if (const WaitingClaim* waiting = this->waiting_claims.Find(out.claim)) {
-    work.outbox.PushFront(waiting->id.team, out);
-  } else if (const UnrecordedEnd* open = this->open_ends.Find(out.end)) {
-    work.outbox.PushFront(open->id.team, out);
+    work.append_queue.PushFront(waiting->id.team, out);
+  } else if (const UnrecordedEnd* open = this->unrecorded_ends.Find(out.end)) {
+    work.append_queue.PushFront(open->id.team, out);
   }
 }
 
-// Until the release is read its claim still looks live; a resend waits for it
-// instead of being told `unknown`.
-void ClaimTableImpl::NoteReleased(ClaimEndHandle handle) {
-  const UnrecordedEnd* open = this->open_ends.Find(handle);
+// The claim looks live until its release has been read. A retry waits for the
+// release instead of being refused as `unknown`.
+void ClaimTableImpl::TrackRelease(ClaimEndHandle handle) {
+  const UnrecordedEnd* open = this->unrecorded_ends.Find(handle);
   if (open == nullptr || open->end.outcome != ClaimOutcome::kReleased) {
     return;
   }
@@ -227,8 +229,8 @@
   }
 }
 
-void ClaimTableImpl::Recorded(ClaimEndHandle handle) {
-  const UnrecordedEnd* open = this->open_ends.Find(handle);
+void ClaimTableImpl::OnRecorded(ClaimEndHandle handle) {
+  const UnrecordedEnd* open = this->unrecorded_ends.Find(handle);
   if (open == nullptr) {
     return;
   }
@@ -244,9 +246,9 @@
 }
 
 void ClaimTableImpl::EraseEnd(ClaimEndHandle handle) {
-  if (const UnrecordedEnd* open = this->open_ends.Find(handle)) {
+  if (const UnrecordedEnd* open = this->unrecorded_ends.Find(handle)) {
     this->end_of.erase(open->end.attempt);
-    this->open_ends.Destroy(handle);
+    this->unrecorded_ends.Destroy(handle);
   }
 }
 
--- a/packages/decision/src/claim_append_queue.h
+++ b/packages/decision/src/claim_append_queue.h
@@ -8,26 +8,27 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/claims.h"
 
-/// Records of one stream that wait for their append, queued by team. Teams
-/// take turns record by record, so a team with thousands of claims delays
-/// another team's claim by no more than one record a turn.
+/// Records of one stream that wait to be appended, queued by team. Teams are
+/// served round-robin, one record a turn, so a team with thousands of claims
+/// delays another team's claim by no more than one record a turn.
 
 namespace basilsill {
 
 struct ClaimEndTag;
 using ClaimEndHandle = Handle<ClaimEndTag>;
 
-/// A record to come: the claim of a waiting request, or the end of an
-/// attempt. Encoded when its append is sent, skipped if it is gone by then.
+/// A record to append: the claim of a waiting request, or the end of an
+/// attempt. It is encoded when its append is sent, and skipped if the request
+/// or the end no longer exists by then.
 struct QueuedClaimRecord {
   ClaimHandle claim;
   ClaimEndHandle end;
-  TimePoint due;        ///< When it is worth an append of its own.
+  TimePoint due;        ///< From then on it justifies an append of its own.
   bool urgent = false;  ///< A caller waits for it.
 };
 
-/// Records of one team: what callers wait for apart from the rest, each in
-/// the order of due times.
+/// Records of one team. Records that callers wait for have a separate queue;
+/// each queue is ordered by due time.
 class ClaimTeamQueue {
  public:
   void PushBack(const QueuedClaimRecord& record) {
@@ -69,13 +70,14 @@
 
   bool empty() const { return this->queues.empty(); }
 
-  /// Queues by team, none of them empty.
+  /// Non-empty queues by team.
   const std::map<TeamKey, ClaimTeamQueue>& teams() const {
     return this->queues;
   }
 
-  /// Hands records to `visit` in turns of one a team, beginning with `team`,
-  /// until `visit` returns false: it has then not taken the record.
+  /// Passes records to `visit` round-robin over the teams, one a turn and
+  /// starting with `team`, and removes them. Stops when `visit` returns false;
+  /// that record stays in the queue.
   template <typename Visit>
   void Take(TeamKey team, Visit&& visit) {
     auto turn = this->queues.lower_bound(team);
--- a/packages/decision/src/claim_decision.cc
+++ b/packages/decision/src/claim_decision.cc
@@ -2,36 +2,35 @@
 
 #include "claim_table.h"
 
-/// What becomes of a request that waits for a grant, given what is known of
-/// its key.
+/// Decides requests that wait for a grant by the known state of their key.
 
 namespace basilsill {
 namespace {
 
-/// When a caller may ask again about a request that is still running.
+/// Retry delay for a caller whose request is still running.
 constexpr Duration kRunningRetryAfter = std::chrono::seconds(1);
 
 ClaimEvaluation RefuseWith(Refusal refusal) {
   return {ClaimDecision::kRefuse, refusal};
 }
 
-bool HasOtherBody(const WaitingClaim& waiting, const Digest& body) {
+bool HasDifferentBody(const WaitingClaim& waiting, const Digest& body) {
   return waiting.request.body != body;
 }
 
 }  // namespace
 
-ClaimEvaluation ClaimTableImpl::Judge(TimePoint now,
-                                      const WaitingClaim& waiting) const {
+ClaimEvaluation ClaimTableImpl::Evaluate(TimePoint now,
+                                         const WaitingClaim& waiting) const {
   const StreamWork& work = this->streams.at(waiting.stream);
   const ClaimKeyState* state = work.ledger.Find(waiting.id);
   if (state == nullptr || state->phase == ClaimPhase::kFree) {
-    return this->JudgeFree(waiting, work, state);
+    return this->EvaluateFree(waiting, work, state);
   }
   if (state->phase == ClaimPhase::kClaimed) {
-    return this->JudgeClaimed(now, waiting, work, *state);
+    return this->EvaluateClaimed(now, waiting, work, *state);
   }
-  if (HasOtherBody(waiting, state->body)) {
+  if (HasDifferentBody(waiting, state->body)) {
     return RefuseWith(Refusal::kKeyBodyMismatch);
   }
   if (state->phase == ClaimPhase::kUnknown) {
@@ -40,9 +39,9 @@
   return {ClaimDecision::kFetch, Refusal::kNone, nullptr, state->answer_offset};
 }
 
-ClaimEvaluation ClaimTableImpl::JudgeFree(const WaitingClaim& waiting,
-                                          const StreamWork& work,
-                                          const ClaimKeyState* state) const {
+ClaimEvaluation ClaimTableImpl::EvaluateFree(const WaitingClaim& waiting,
+                                             const StreamWork& work,
+                                             const ClaimKeyState* state) const {
   if (work.ledger.IsBroken()) {
     return RefuseWith(work.ledger.broken_reason());
   }
@@ -53,50 +52,52 @@
     return {};
   }
   const auto same_key = this->by_key.equal_range(waiting.id);
-  const bool rival =
+  const bool duplicate_queued =
       std::any_of(same_key.first, same_key.second, [this](const auto& entry) {
         return this->waiting_claims.Find(entry.second)->queued;
       });
-  return rival ? RefuseWith(Refusal::kClaimRunning)
-               : ClaimEvaluation{ClaimDecision::kClaim};
+  return duplicate_queued ? RefuseWith(Refusal::kClaimRunning)
+                          : ClaimEvaluation{ClaimDecision::kClaim};
 }
 
-ClaimEvaluation ClaimTableImpl::JudgeClaimed(TimePoint now,
-                                             const WaitingClaim& waiting,
-                                             const StreamWork& work,
-                                             const ClaimKeyState& state) const {
+ClaimEvaluation ClaimTableImpl::EvaluateClaimed(
+    TimePoint now,
+    const WaitingClaim& waiting,
+    const StreamWork& work,
+    const ClaimKeyState& state) const {
   if (state.holder == waiting.request.attempt) {
-    // Failure: the stream has a gap, in which an older claim of this key may
-    // have stood. Being first among the records seen proves nothing then.
+    // Failure: the stream has a gap that may hide an older claim of this key.
+    // The first claim among the records read need not be the first of the key.
     return work.ledger.IsBroken() ? RefuseWith(work.ledger.broken_reason())
                                   : ClaimEvaluation{ClaimDecision::kGrant};
   }
   const auto ended = this->end_of.find(state.holder);
   if (ended != this->end_of.end()) {
-    return this->JudgeEnded(waiting, this->open_ends.Find(ended->second)->end);
+    return this->EvaluateEnded(waiting,
+                               this->unrecorded_ends.Find(ended->second)->end);
   }
   const bool stale = !work.caught_up && !work.ledger.IsBroken();
   if (stale || work.released.contains(state.holder)) {
     return {};
   }
-  if (HasOtherBody(waiting, state.body)) {
+  if (HasDifferentBody(waiting, state.body)) {
     return RefuseWith(Refusal::kKeyBodyMismatch);
   }
   if (this->IsRunning(now, state)) {
     return RefuseWith(Refusal::kClaimRunning);
   }
-  // Failure: the holder is paused, not dead. Its deadline passed and its VM
-  // is gone from the list, yet it may go on and dispatch at any time; so the
-  // key never becomes free by waiting, only by the holder's own release.
+  // Failure: the holder is paused, not dead. Although its deadline has passed
+  // and its VM has left the membership list, it may resume and dispatch at any
+  // time. A claim therefore never expires; only the holder can release it.
   return RefuseWith(Refusal::kClaimOutcomeUnknown);
 }
 
-ClaimEvaluation ClaimTableImpl::JudgeEnded(const WaitingClaim& waiting,
-                                           const ClaimEnd& end) const {
+ClaimEvaluation ClaimTableImpl::EvaluateEnded(const WaitingClaim& waiting,
+                                              const ClaimEnd& end) const {
   if (end.outcome == ClaimOutcome::kReleased) {
     return {};
   }
-  if (HasOtherBody(waiting, end.body)) {
+  if (HasDifferentBody(waiting, end.body)) {
     return RefuseWith(Refusal::kKeyBodyMismatch);
   }
   if (end.outcome == ClaimOutcome::kUnknown) {
@@ -119,21 +120,22 @@
          !this->append_health.TakeProbe(now, this->options.retry_after);
 }
 
-// Whether a claim queued now would be in the log too late, as slow as the log
-// is. With nothing in flight the claim goes out and finds out.
-bool ClaimTableImpl::IsOutpaced(TimePoint now,
-                                const WaitingClaim& waiting) const {
+// Estimates from the log's latency whether a claim queued now would be appended
+// too late. With no append in flight the claim is sent in any case, which
+// updates the latency.
+bool ClaimTableImpl::WouldMissDeadline(TimePoint now,
+                                       const WaitingClaim& waiting) const {
   if (this->append_calls.empty()) {
     return false;
   }
-  // With an append of its stream in flight the claim goes out after it.
+  // The claim has to wait for an append of its stream that is in flight.
   const bool behind = this->streams.at(waiting.stream).append_call != 0;
   const Duration needed = this->append_health.latency() * (behind ? 2 : 1);
   return now + needed > waiting.decide_by;
 }
 
-Refusal ClaimTableImpl::LateRefusal(TimePoint now,
-                                    const WaitingClaim& waiting) const {
+Refusal ClaimTableImpl::RefusalIfUndecided(TimePoint now,
+                                           const WaitingClaim& waiting) const {
   const StreamWork& work = this->streams.at(waiting.stream);
   const ClaimKeyState* state = work.ledger.Find(waiting.id);
   if (state == nullptr || state->phase == ClaimPhase::kFree ||
@@ -154,23 +156,23 @@
   if (waiting == nullptr) {
     return;
   }
-  const ClaimEvaluation judgement = this->Judge(now, *waiting);
-  switch (judgement.decision) {
+  const ClaimEvaluation evaluation = this->Evaluate(now, *waiting);
+  switch (evaluation.decision) {
     case ClaimDecision::kWait:
     case ClaimDecision::kCount:
       return;
     case ClaimDecision::kClaim:
-      return this->IsOutpaced(now, *waiting)
+      return this->WouldMissDeadline(now, *waiting)
                  ? this->Refuse(now, handle, Refusal::kClaimUnavailable)
                  : this->QueueClaim(now, handle);
     case ClaimDecision::kGrant:
       return this->Grant(handle);
     case ClaimDecision::kRefuse:
-      return this->Refuse(now, handle, judgement.refusal);
+      return this->Refuse(now, handle, evaluation.refusal);
     case ClaimDecision::kReplay:
-      return this->Replay(handle, *judgement.answer);
+      return this->Replay(handle, *evaluation.answer);
     case ClaimDecision::kFetch:
-      return this->Fetch(waiting->stream, judgement.offset);
+      return this->Fetch(waiting->stream, evaluation.offset);
   }
 }
 
@@ -198,7 +200,7 @@
   WaitingClaim& waiting = *this->waiting_claims.Find(handle);
   waiting.queued = true;
   this->streams.at(waiting.stream)
-      .outbox.PushBack(waiting.id.team, {handle, {}, now, true});
+      .append_queue.PushBack(waiting.id.team, {handle, {}, now, true});
 }
 
 void ClaimTableImpl::Grant(ClaimHandle handle) {
@@ -218,7 +220,7 @@
   const WaitingClaim waiting = *this->waiting_claims.Find(handle);
   this->EraseWaiting(handle);
   this->RefuseAtOnce(waiting.request, refusal);
-  this->GiveUp(now, waiting);
+  this->AbandonClaim(now, waiting);
 }
 
 void ClaimTableImpl::RefuseAtOnce(const ClaimRequest& request,
@@ -268,7 +270,7 @@
   this->read_calls.emplace(this->last_call, ReadCall{stream, true, offset});
 }
 
-void ClaimTableImpl::GiveUp(TimePoint now, const WaitingClaim& waiting) {
+void ClaimTableImpl::AbandonClaim(TimePoint now, const WaitingClaim& waiting) {
   if (waiting.in_flight == 0 && !waiting.may_be_in_log) {
     return;
   }
@@ -279,9 +281,9 @@
     return;
   }
   ++this->counts.given_up;
-  // Failure: the append takes effect long after the caller was told
-  // `not-run`. The claim would then hold the key for ever though nobody runs
-  // it. Its release makes it dead, in whichever order the two land.
+  // Failure: the append takes effect long after the caller got `not-run`. The
+  // claim would then block the key permanently although nobody runs it. The
+  // release invalidates it, whichever of the two comes first in the log.
   ClaimEnd end;
   end.key = waiting.request.key;
   end.body = waiting.request.body;
--- a/packages/decision/src/claim_guards.h
+++ b/packages/decision/src/claim_guards.h
@@ -5,19 +5,20 @@
 
 #include "basilsill/decision/claims.h"
 
-/// Guards inside of the fold, each as a switch. Only fault tests switch one
-/// off, to show that the check of random histories would notice.
+/// Switches for the safety checks that are applied to records from the log.
+/// Only fault tests switch a check off, to show that the test of random
+/// histories detects its absence.
 
 namespace basilsill {
 
 struct ClaimGuards {
-  /// No grant in a stream whose history has a gap.
-  bool whole_history = true;
-  /// A release that lands before its claim still counts.
+  /// Grants nothing in a stream whose history has a gap.
+  bool complete_history = true;
+  /// Remembers a release that precedes its claim in the log.
   bool tombstones = true;
 };
 
-/// Makes a table with some guards switched off.
+/// Creates a table with the given guards; for fault tests.
 std::unique_ptr<ClaimTable> CreateClaimTable(const ClaimOptions& options,
                                              const ClaimGuards& guards);
 
--- a/packages/decision/src/claim_key.cc
+++ b/packages/decision/src/claim_key.cc
@@ -29,7 +29,7 @@
   return i == 8 || i == 13 || i == 18 || i == 23;
 }
 
-std::string_view Unquoted(std::string_view text) {
+std::string_view WithoutQuotes(std::string_view text) {
   const bool quoted =
       text.size() >= 2 && text.front() == '"' && text.back() == '"';
   return quoted ? text.substr(1, text.size() - 2) : text;
@@ -54,13 +54,16 @@
                      [](char c) { return c >= '0' && c <= '9'; });
 }
 
-ParsedClaimKey MakeKey(TeamKey team, std::string_view text, int64_t birth) {
+ParsedClaimKey MakeKey(TeamKey team,
+                       std::string_view text,
+                       int64_t created_at) {
   const std::string_view parts[] = {text};
-  return {Refusal::kNone,
-          {team, DigestOf(parts), WallTime(std::chrono::milliseconds(birth))}};
+  return {
+      Refusal::kNone,
+      {team, DigestOf(parts), WallTime(std::chrono::milliseconds(created_at))}};
 }
 
-// Largest quotient that is not above the exact one, also below zero.
+// Divides and rounds towards negative infinity.
 int64_t FloorDivide(int64_t value, int64_t divisor) {
   const int64_t quotient = value / divisor;
   return value % divisor < 0 ? quotient - 1 : quotient;
@@ -69,8 +72,8 @@
 }  // namespace
 
 Digest DigestOf(std::span<const std::string_view> parts) {
-  // Each part is hashed by itself and the hashes are chained, so that moving
-  // a byte from one part to the next gives another digest.
+  // Hashes each part separately and chains the hashes, so that moving a byte
+  // from one part to the next changes the digest.
   XXH128_hash_t chained = {};
   for (const std::string_view part : parts) {
     const XXH128_hash_t own = XXH3_128bits(part.data(), part.size());
@@ -86,7 +89,7 @@
 }
 
 ParsedClaimKey ParseClaimKey(TeamKey team, std::string_view text) {
-  const std::string_view bare = Unquoted(text);
+  const std::string_view bare = WithoutQuotes(text);
   if (bare.empty()) {
     return {Refusal::kKeyMissing, {}};
   }
@@ -96,8 +99,8 @@
   }
   const std::string lower = ToLowerAscii(bare);
   if (IsUuidV7(lower)) {
-    const std::string birth = lower.substr(0, 8) + lower.substr(9, 4);
-    return MakeKey(team, lower, *ParseNumber<int64_t>(birth, kHexBase));
+    const std::string created_at = lower.substr(0, 8) + lower.substr(9, 4);
+    return MakeKey(team, lower, *ParseNumber<int64_t>(created_at, kHexBase));
   }
   if (HasUnixMsPrefix(bare)) {
     return MakeKey(team, bare,
@@ -107,8 +110,8 @@
 }
 
 Refusal CheckClaimKeyAge(const ClaimKey& key, WallTime wall_now) {
-  const bool too_old = key.birth < wall_now - limits::kClaimWindow;
-  const bool too_new = key.birth > wall_now + limits::kMaxClaimFuture;
+  const bool too_old = key.created_at < wall_now - limits::kClaimWindow;
+  const bool too_new = key.created_at > wall_now + limits::kMaxClaimFuture;
   return too_old || too_new ? Refusal::kKeyExpired : Refusal::kNone;
 }
 
@@ -120,7 +123,7 @@
 ClaimStream StreamOf(const ClaimKey& key) {
   const uint64_t mixed = key.digest.low ^ key.team;
   return {static_cast<uint32_t>(mixed % limits::kClaimPartitions),
-          ClaimBucketAt(key.birth)};
+          ClaimBucketAt(key.created_at)};
 }
 
 std::string NameOf(const ClaimStream& stream) {
--- a/packages/decision/src/claim_ledger.cc
+++ b/packages/decision/src/claim_ledger.cc
@@ -33,10 +33,10 @@
 
 void ClaimLedger::BeginRead(const ClaimRead& read) {
   // Failure: records were trimmed before this VM read them, or the stream is
-  // shorter than it was. A claim may have stood there that nobody will see
-  // again; granting its key to another attempt would run the request twice.
-  // The gap shows as a first offset above the cursor, also in a stream that
-  // is empty by now, so the guard needs no clock and no trust in retention.
+  // shorter than before. The missing records may include a claim; granting its
+  // key to another attempt would run the request twice. A gap shows as a first
+  // offset above the cursor, even if the stream is empty now, so this check
+  // depends neither on a clock nor on the retention time.
   if (read.first > this->next_offset) {
     this->Break(Refusal::kKeyExpired);
     this->next_offset = read.first;
@@ -55,19 +55,19 @@
   return offset == this->next_offset;
 }
 
-void ClaimLedger::Fold(TimePoint now,
-                       uint64_t offset,
-                       const ClaimRecord& record) {
+void ClaimLedger::Apply(TimePoint now,
+                        uint64_t offset,
+                        const ClaimRecord& record) {
   this->next_offset = offset + 1;
   switch (record.kind) {
     case ClaimRecordKind::kClaim:
-      return this->FoldClaim(now, record);
+      return this->ApplyClaim(now, record);
     case ClaimRecordKind::kDone:
-      return this->FoldDone(offset, record);
+      return this->ApplyDone(offset, record);
     case ClaimRecordKind::kUnknown:
-      return this->FoldUnknown(record);
+      return this->ApplyUnknown(record);
     case ClaimRecordKind::kReleased:
-      return this->FoldReleased(record);
+      return this->ApplyReleased(record);
     case ClaimRecordKind::kCount:
       return;
   }
@@ -79,25 +79,25 @@
 }
 
 void ClaimLedger::Break(Refusal reason) {
-  if (this->guards.whole_history && !this->IsBroken()) {
+  if (this->guards.complete_history && !this->IsBroken()) {
     this->broken = reason;
   }
 }
 
-void ClaimLedger::Forget() {
+void ClaimLedger::DropKeys() {
   this->keys.clear();
   this->Break(Refusal::kMemoryLimit);
 }
 
-void ClaimLedger::FoldClaim(TimePoint now, const ClaimRecord& record) {
+void ClaimLedger::ApplyClaim(TimePoint now, const ClaimRecord& record) {
   ClaimKeyState& state = this->keys[record.key];
   if (state.IsDead(record.attempt) || IsHeldBy(state, record.attempt)) {
     return;
   }
   if (state.phase != ClaimPhase::kFree) {
-    // A claim that lost stays lost. Failure: its record lands a second time,
-    // since the answer to its first append was lost, after the winner was
-    // released. Nobody waits for it any more and it would block the key.
+    // A claim that lost stays dead. Failure: the answer to its append was lost,
+    // so its record is appended again, after the winner was released. Nobody
+    // waits for the claim any more, and it would block the key.
     AddDead(state, record.attempt);
     return;
   }
@@ -107,7 +107,7 @@
   state.running_until = now + record.left;
 }
 
-void ClaimLedger::FoldDone(uint64_t offset, const ClaimRecord& record) {
+void ClaimLedger::ApplyDone(uint64_t offset, const ClaimRecord& record) {
   ClaimKeyState& state = this->keys[record.key];
   if (state.phase == ClaimPhase::kDone) {
     return;
@@ -120,7 +120,7 @@
   state.answer_offset = offset;
 }
 
-void ClaimLedger::FoldUnknown(const ClaimRecord& record) {
+void ClaimLedger::ApplyUnknown(const ClaimRecord& record) {
   ClaimKeyState& state = this->keys[record.key];
   if (state.phase == ClaimPhase::kFree || IsHeldBy(state, record.attempt)) {
     state.phase = ClaimPhase::kUnknown;
@@ -129,16 +129,16 @@
   }
 }
 
-void ClaimLedger::FoldReleased(const ClaimRecord& record) {
+void ClaimLedger::ApplyReleased(const ClaimRecord& record) {
   ClaimKeyState& state = this->keys[record.key];
   if (IsHeldBy(state, record.attempt)) {
     state.phase = ClaimPhase::kFree;
   } else if (!this->guards.tombstones) {
     return;
   }
-  // Failure: an append that nobody waits for any more takes effect after the
-  // release of its claim. The claim would then be live for ever and block the
-  // key; the release is kept so that the claim is dead when it lands.
+  // Failure: the append of an abandoned claim takes effect after the release of
+  // the claim. The claim would then stay live and block the key permanently, so
+  // the release is remembered and the claim is dead when it is read.
   AddDead(state, record.attempt);
 }
 
--- a/packages/decision/src/claim_ledger.h
+++ b/packages/decision/src/claim_ledger.h
@@ -10,30 +10,30 @@
 #include "claim_guards.h"
 #include "claim_record.h"
 
-/// The fold of one claim stream: what the records read so far say of each
-/// key. All VMs that read a stream from offset 0 without a gap have the same
-/// fold at the same offset.
+/// The state of each key of one claim stream, computed by applying the records
+/// of the stream in order. All VMs that read a stream from offset 0 without a
+/// gap have the same state at the same offset.
 
 namespace basilsill {
 
 enum class ClaimPhase : uint8_t {
   kFree,     ///< No live claim.
-  kClaimed,  ///< `holder` has it and may be running.
-  kDone,     ///< Ran; the answer stands at `answer_offset`.
-  kUnknown,  ///< May have run.
+  kClaimed,  ///< `holder` has the claim and may be running the request.
+  kDone,     ///< The request ran; its response is at `answer_offset`.
+  kUnknown,  ///< The request may have run.
   kCount
 };
 
 struct ClaimKeyState {
   ClaimPhase phase = ClaimPhase::kFree;
-  bool whole = false;   ///< Of the kept answer.
-  uint16_t status = 0;  ///< Of the kept answer.
+  bool whole = false;   ///< kDone: the log has the complete response.
+  uint16_t status = 0;  ///< kDone: status of the response.
   ClaimAttempt holder;
   Digest body;
   TimePoint running_until;  ///< kClaimed: deadline of the holder's request.
   uint64_t answer_offset = 0;
-  /// Attempts that can't win any more: lost, or released (perhaps before the
-  /// claim itself landed).
+  /// Attempts that can no longer be granted, because another claim came first
+  /// or because they were released (possibly before their claim was read).
   std::vector<ClaimAttempt> dead;
 
   bool IsDead(const ClaimAttempt& attempt) const;
@@ -41,36 +41,37 @@
 
 class ClaimLedger {
  public:
-  /// Dead attempts remembered for a key. Beyond it the oldest may come back
-  /// to life if its claim lands then; it blocks the key, and runs nothing.
+  /// Maximum number of dead attempts remembered for a key. If the oldest is
+  /// dropped and its claim is read later, that claim counts as live: it blocks
+  /// the key, but is never granted.
   static constexpr size_t kMaxDead = 8;
 
   explicit ClaimLedger(const ClaimGuards& guards) : guards(guards) {}
 
-  /// @returns what is known of `key`, or nullptr if no record names it.
+  /// @returns the state of `key`, or nullptr if no record read so far names it.
   const ClaimKeyState* Find(const ClaimKeyId& key) const;
 
-  /// Checks that a read goes on where the last one ended, before its records
-  /// are folded.
+  /// Checks that a read continues where the last one ended. Must be called
+  /// before the records of the read are applied.
   void BeginRead(const ClaimRead& read);
 
-  /// Adopts the record at `offset`; the caller has seen that `Expects` it.
-  void Fold(TimePoint now, uint64_t offset, const ClaimRecord& record);
+  /// Applies the record at `offset`, for which `Expects` must have been true.
+  void Apply(TimePoint now, uint64_t offset, const ClaimRecord& record);
 
-  /// Passes over a record that this version does not understand. It might
-  /// have been a claim, so nothing more is granted in this stream.
+  /// Skips a record that this version does not understand. It may be a claim,
+  /// so this breaks the stream.
   void Skip(uint64_t offset);
 
-  /// @returns true if the record at `offset` is the next one. An older one
-  /// was folded already; a newer one shows a gap.
+  /// @returns true if the record at `offset` is the next one. An older record
+  /// has been applied already; a newer one reveals a gap and breaks the stream.
   bool Expects(uint64_t offset);
 
-  /// The history can't be known any more: keys that no record names are
-  /// refused with `reason` from now on.
+  /// Marks the history as incomplete: from now on, requests that could
+  /// otherwise be granted are refused with `reason`.
   void Break(Refusal reason);
 
-  /// Forgets all keys to free memory; breaks the stream.
-  void Forget();
+  /// Drops all keys to free memory, and breaks the stream.
+  void DropKeys();
 
   bool IsBroken() const { return this->broken != Refusal::kNone; }
   Refusal broken_reason() const { return this->broken; }
@@ -78,10 +79,10 @@
   size_t size() const { return this->keys.size(); }
 
  private:
-  void FoldClaim(TimePoint now, const ClaimRecord& record);
-  void FoldDone(uint64_t offset, const ClaimRecord& record);
-  void FoldUnknown(const ClaimRecord& record);
-  void FoldReleased(const ClaimRecord& record);
+  void ApplyClaim(TimePoint now, const ClaimRecord& record);
+  void ApplyDone(uint64_t offset, const ClaimRecord& record);
+  void ApplyUnknown(const ClaimRecord& record);
+  void ApplyReleased(const ClaimRecord& record);
 
   ClaimGuards guards;
   std::unordered_map<ClaimKeyId, ClaimKeyState, ClaimKeyIdHash> keys;
--- a/packages/decision/src/claim_log_throttle.cc
+++ b/packages/decision/src/claim_log_throttle.cc
@@ -7,11 +7,11 @@
 
 constexpr double kMinBurst = 4;
 constexpr double kMinRate = 0.1;
-constexpr uint32_t kFailuresToFail = 3;
+constexpr uint32_t kFailureThreshold = 3;
 constexpr Duration kBackoffMin = std::chrono::milliseconds(50);
 constexpr Duration kBackoffMax = std::chrono::seconds(1);
 constexpr uint32_t kMaxDoublings = 5;
-constexpr int kSmoothing = 4;
+constexpr int kLatencySmoothing = 4;
 
 double SecondsOf(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -39,7 +39,7 @@
   return this->tokens >= 1;
 }
 
-bool AppendBudget::IsAmple(TimePoint now) {
+bool AppendBudget::IsAtLeastHalfFull(TimePoint now) {
   this->Refill(now);
   return this->tokens >= this->capacity / 2;
 }
@@ -49,8 +49,8 @@
     return now;
   }
   const std::chrono::duration<double> missing((1 - this->tokens) / this->rate);
-  // One step of the clock later, so that rounding never asks for a wake-up at
-  // which the token is still short by a fraction.
+  // One clock step later, so that rounding never yields a time at which the
+  // token is not quite complete.
   return now + std::chrono::ceil<std::chrono::microseconds>(missing) +
          std::chrono::microseconds(1);
 }
@@ -66,7 +66,7 @@
 void LogHealth::OnSuccess(Duration latency) {
   this->failures = 0;
   this->retry_at = TimePoint();
-  this->smoothed += (latency - this->smoothed) / kSmoothing;
+  this->smoothed += (latency - this->smoothed) / kLatencySmoothing;
 }
 
 void LogHealth::OnFailure(TimePoint now) {
@@ -76,7 +76,7 @@
 }
 
 bool LogHealth::IsFailing() const {
-  return this->failures >= kFailuresToFail;
+  return this->failures >= kFailureThreshold;
 }
 
 bool LogHealth::TakeProbe(TimePoint now, Duration interval) {
--- a/packages/decision/src/claim_log_throttle.h
+++ b/packages/decision/src/claim_log_throttle.h
@@ -5,24 +5,24 @@
 
 #include "basilsill/base/time.h"
 
-/// How fast this VM may call the log, and how well the log answers.
+/// Rate limit for appends to the log, and back-off while the log fails.
 
 namespace basilsill {
 
-/// Token bucket of appends: this VM's part of the fleet's budget.
+/// Token bucket for appends: this VM's share of the fleet-wide budget.
 class AppendBudget {
  public:
-  /// @param per_second Appends a second on average.
-  /// @param burst Span whose appends may be used at once.
+  /// @param per_second Average number of appends a second.
+  /// @param burst Time span whose tokens the bucket can hold.
   void SetRate(TimePoint now, double per_second, Duration burst);
 
   bool TryTake(TimePoint now);
   bool HasToken(TimePoint now);
 
-  /// @returns true if at least half of the burst is unused.
-  bool IsAmple(TimePoint now);
+  /// @returns true if the bucket is at least half full.
+  bool IsAtLeastHalfFull(TimePoint now);
 
-  /// @returns when there will be a token.
+  /// @returns when the next token is available; `now` if there is one.
   TimePoint NextToken(TimePoint now);
 
  private:
@@ -34,23 +34,23 @@
   TimePoint refilled;
 };
 
-/// What the last calls say about the log.
+/// Availability and latency of the log, derived from the most recent calls.
 class LogHealth {
  public:
   void OnSuccess(Duration latency);
   void OnFailure(TimePoint now);
 
-  /// @returns true if the last calls failed one after the other.
+  /// @returns true if the last few calls all failed.
   bool IsFailing() const;
 
-  /// @returns when the next call may be tried.
+  /// @returns the earliest time of the next call, by exponential back-off.
   TimePoint next_try() const { return this->retry_at; }
 
-  /// @returns true once each `interval` while the log fails: that request may
-  /// find out whether it still does, all others are refused at once.
+  /// @returns true once each `interval`. While the log fails, that request
+  /// serves as a probe and all other requests are refused immediately.
   bool TakeProbe(TimePoint now, Duration interval);
 
-  /// Smoothed time from a call to its answer.
+  /// Moving average of the time from a call to its answer.
   Duration latency() const { return this->smoothed; }
 
  private:
--- a/packages/decision/src/claim_read.cc
+++ b/packages/decision/src/claim_read.cc
@@ -2,8 +2,8 @@
 
 #include "claim_table.h"
 
-/// How records come back from the log: reading on in each stream that is
-/// worked for, and fetching the kept answer of one key.
+/// Reads from the log: the next records of each stream in use, and the stored
+/// response of a single key.
 
 namespace basilsill {
 namespace {
@@ -76,9 +76,9 @@
                                          work.waiting.end());
   for (const ClaimHandle handle : handles) {
     const WaitingClaim& waiting = *this->waiting_claims.Find(handle);
-    const ClaimEvaluation judgement = this->Judge(now, waiting);
-    if (judgement.decision != ClaimDecision::kFetch ||
-        judgement.offset != call.offset) {
+    const ClaimEvaluation evaluation = this->Evaluate(now, waiting);
+    if (evaluation.decision != ClaimDecision::kFetch ||
+        evaluation.offset != call.offset) {
       continue;
     }
     if (record && record->key == waiting.id) {
@@ -102,13 +102,13 @@
   }
   const bool was_broken = work.ledger.IsBroken();
   const bool was_caught_up = work.caught_up;
-  // While records are folded more are to come: a claim may be released by the
-  // next of them, so nobody is refused for what an earlier one says.
+  // Prevents refusals while the records are applied: a claim may be released by
+  // a later record of the same read.
   work.caught_up = false;
   work.ledger.BeginRead(read);
-  this->FoldRecords(now, work, read);
+  this->ApplyRecords(now, work, read);
   work.caught_up = work.ledger.cursor() >= read.end;
-  this->BoundMemory(work);
+  this->EnforceKeyLimit(work);
   const bool broke = work.ledger.IsBroken() && !was_broken;
   if (broke) {
     ++this->counts.broken_streams;
@@ -118,9 +118,9 @@
   }
 }
 
-void ClaimTableImpl::FoldRecords(TimePoint now,
-                                 StreamWork& work,
-                                 const ClaimRead& read) {
+void ClaimTableImpl::ApplyRecords(TimePoint now,
+                                  StreamWork& work,
+                                  const ClaimRead& read) {
   for (const LogRecord& entry : read.records) {
     if (!work.ledger.Expects(entry.offset)) {
       continue;
@@ -132,21 +132,21 @@
       work.ledger.Skip(entry.offset);
       continue;
     }
-    work.ledger.Fold(now, entry.offset, *record);
+    work.ledger.Apply(now, entry.offset, *record);
     if (record->kind == ClaimRecordKind::kReleased) {
       work.released.erase(record->attempt);
     }
-    this->AfterFold(now, *record);
+    this->OnRecordApplied(now, *record);
   }
 }
 
-void ClaimTableImpl::AfterFold(TimePoint now, const ClaimRecord& record) {
+void ClaimTableImpl::OnRecordApplied(TimePoint now, const ClaimRecord& record) {
   const auto ended = this->end_of.find(record.attempt);
   if (ended != this->end_of.end()) {
     const ClaimEndHandle handle = ended->second;
-    const UnrecordedEnd& open = *this->open_ends.Find(handle);
+    const UnrecordedEnd& open = *this->unrecorded_ends.Find(handle);
     if (KindOf(open.end.outcome) == record.kind) {
-      this->Recorded(handle);
+      this->OnRecorded(handle);
     } else if (open.end.outcome == ClaimOutcome::kReleased) {
       ++this->counts.landed_late;
     }
@@ -154,7 +154,7 @@
   this->DecideKey(now, record.key);
 }
 
-void ClaimTableImpl::BoundMemory(StreamWork& work) {
+void ClaimTableImpl::EnforceKeyLimit(StreamWork& work) {
   size_t keys = 0;
   for (const auto& [stream, other] : this->streams) {
     keys += other.ledger.size();
@@ -164,13 +164,13 @@
   }
   std::erase_if(this->streams, [&](const auto& entry) {
     const StreamWork& other = entry.second;
-    const bool idle = other.waiting.empty() && other.outbox.empty() &&
+    const bool idle = other.waiting.empty() && other.append_queue.empty() &&
                       !other.pinned && other.append_call == 0;
     keys -= idle ? other.ledger.size() : 0;
     return idle && &other != &work;
   });
   if (keys > this->options.max_keys) {
-    work.ledger.Forget();
+    work.ledger.DropKeys();
   }
 }
 
--- a/packages/decision/src/claim_record.cc
+++ b/packages/decision/src/claim_record.cc
@@ -20,9 +20,9 @@
                      static_cast<size_t>(ClaimRecordKind::kCount)>
     kKindNames = {"claim", "done", "unknown", "released"};
 
-// Bytes above 0x7f are written as the code points U+0080 to U+00FF, so that
-// any answer is a valid JSON string and plain text stays readable in the log.
-std::string Widened(std::string_view bytes) {
+// Encodes bytes above 0x7f as the code points U+0080 to U+00FF, so that any
+// response is a valid JSON string and plain text stays readable in the log.
+std::string EncodeBytes(std::string_view bytes) {
   std::string text;
   text.reserve(bytes.size());
   for (const char c : bytes) {
@@ -37,7 +37,7 @@
   return text;
 }
 
-std::string Narrowed(std::string_view text) {
+std::string DecodeBytes(std::string_view text) {
   std::string bytes;
   bytes.reserve(text.size());
   for (size_t i = 0; i < text.size(); ++i) {
@@ -71,7 +71,7 @@
   return *value;
 }
 
-std::string_view Part(std::string_view text, size_t number, size_t parts) {
+std::string_view HexField(std::string_view text, size_t number, size_t parts) {
   if (text.size() != parts * kHexDigits) {
     throw std::invalid_argument("wrong length");
   }
@@ -84,7 +84,7 @@
 }
 
 Digest ParseDigest(std::string_view text) {
-  return {ParseHex(Part(text, 0, 2)), ParseHex(Part(text, 1, 2))};
+  return {ParseHex(HexField(text, 0, 2)), ParseHex(HexField(text, 1, 2))};
 }
 
 ClaimRecordKind ParseKind(std::string_view name) {
@@ -98,25 +98,25 @@
 void WriteAnswer(const StoredResponse& answer, json::object& object) {
   json::array headers;
   for (const StoredHeader& header : answer.headers) {
-    headers.push_back(json::array{header.name, Widened(header.value)});
+    headers.push_back(json::array{header.name, EncodeBytes(header.value)});
   }
   object["status"] = answer.status;
   object["whole"] = answer.whole;
   object["headers"] = std::move(headers);
-  object["answer"] = Widened(answer.body);
+  object["answer"] = EncodeBytes(answer.body);
 }
 
 StoredResponse ReadAnswer(const json::object& object) {
   StoredResponse answer;
   answer.status = object.at("status").to_number<uint16_t>();
   answer.whole = object.at("whole").as_bool();
-  answer.body = Narrowed(TextAt(object, "answer"));
+  answer.body = DecodeBytes(TextAt(object, "answer"));
   for (const json::value& header : object.at("headers").as_array()) {
     const json::string& name = header.as_array().at(0).as_string();
     const json::string& value = header.as_array().at(1).as_string();
     answer.headers.push_back(
         {std::string(name.data(), name.size()),
-         Narrowed(std::string_view(value.data(), value.size()))});
+         DecodeBytes(std::string_view(value.data(), value.size()))});
   }
   return answer;
 }
@@ -125,11 +125,12 @@
   ClaimRecord record;
   record.kind = ParseKind(TextAt(object, "kind"));
   const std::string_view key = TextAt(object, "key");
-  record.key.team = ParseHex(Part(key, 0, 3));
-  record.key.digest = {ParseHex(Part(key, 1, 3)), ParseHex(Part(key, 2, 3))};
+  record.key.team = ParseHex(HexField(key, 0, 3));
+  record.key.digest = {ParseHex(HexField(key, 1, 3)),
+                       ParseHex(HexField(key, 2, 3))};
   const std::string_view attempt = TextAt(object, "attempt");
-  record.attempt = {ParseHex(Part(attempt, 0, 2)),
-                    ParseHex(Part(attempt, 1, 2))};
+  record.attempt = {ParseHex(HexField(attempt, 0, 2)),
+                    ParseHex(HexField(attempt, 1, 2))};
   record.vm = TextAt(object, "vm");
   if (record.kind != ClaimRecordKind::kReleased) {
     record.body = ParseDigest(TextAt(object, "body"));
@@ -182,8 +183,8 @@
   try {
     return Decode(json::parse(text).as_object());
   } catch (const std::exception&) {
-    // Whatever is wrong with it, the reader treats the record the same way:
-    // as one that it does not know the meaning of.
+    // Readers treat every malformed record alike, as one of unknown meaning, so
+    // the cause is not reported.
     return std::nullopt;
   }
 }
--- a/packages/decision/src/claim_record.h
+++ b/packages/decision/src/claim_record.h
@@ -9,12 +9,12 @@
 #include "basilsill/decision/claim_key.h"
 #include "basilsill/decision/claims.h"
 
-/// Records of the claim streams, one JSON object each.
+/// Records of the claim streams. Each is one JSON object.
 
 namespace basilsill {
 
-/// A key within its stream. The birth is left out: it is part of the text
-/// that the digest was made of.
+/// A key within its stream. It omits the creation time, which is part of the
+/// text that the digest covers.
 struct ClaimKeyId {
   TeamKey team = 0;
   Digest digest;
@@ -30,17 +30,17 @@
 
 struct ClaimAttemptHash {
   size_t operator()(const ClaimAttempt& attempt) const {
-    // Attempts of one origin are numbered one by one: spread them.
+    // Spreads the attempts of one origin, whose numbers are consecutive.
     return static_cast<size_t>((attempt.origin ^ attempt.sequence) *
                                0x9e3779b97f4a7c15);
   }
 };
 
 enum class ClaimRecordKind : uint8_t {
-  kClaim,     ///< The attempt wants to run.
-  kDone,      ///< It ran, with `answer`.
-  kUnknown,   ///< It may have run; nobody will find out.
-  kReleased,  ///< It did not run and never will.
+  kClaim,     ///< The attempt claims the key.
+  kDone,      ///< The request ran, with the response `answer`.
+  kUnknown,   ///< The request may have run; the outcome stays unknown.
+  kReleased,  ///< The attempt did not run and never will.
   kCount
 };
 
@@ -49,19 +49,19 @@
   ClaimKeyId key;
   ClaimAttempt attempt;
   Digest body;                        ///< Not in kReleased.
-  std::string vm;                     ///< Who wrote it; for people.
-  std::chrono::milliseconds left{0};  ///< kClaim: until its deadline.
+  std::string vm;                     ///< VM that wrote it; for operators.
+  std::chrono::milliseconds left{0};  ///< kClaim: time left to its deadline.
   StoredResponse answer;              ///< kDone.
 
   friend bool operator==(const ClaimRecord&, const ClaimRecord&) = default;
 };
 
-/// @returns the kind of record that tells of `outcome`.
+/// @returns the kind of the record that reports `outcome`.
 ClaimRecordKind KindOf(ClaimOutcome outcome);
 
 std::string EncodeClaimRecord(const ClaimRecord& record);
 
-/// @returns nothing if `text` is no claim record that this version knows.
+/// @returns nullopt if `text` is not a claim record that this version knows.
 std::optional<ClaimRecord> DecodeClaimRecord(std::string_view text);
 
 }  // namespace basilsill
--- a/packages/decision/src/claim_table.h
+++ b/packages/decision/src/claim_table.h
@@ -17,9 +17,9 @@
 #include "claim_log_throttle.h"
 #include "claim_record.h"
 
-/// The state behind ClaimTable, its methods in four files: claims.cc (calls
-/// of the shell), claim_judge.cc (what becomes of a request),
-/// claim_append.cc and claim_read.cc (the log).
+/// Implementation of ClaimTable. Its methods are in four files: claims.cc
+/// (calls of the host), claim_decision.cc (decisions on waiting requests),
+/// claim_append.cc (appends to the log) and claim_read.cc (reads of the log).
 
 namespace basilsill {
 
@@ -29,12 +29,12 @@
   ClaimKeyId id;
   ClaimStream stream;
   TimePoint decide_by;
-  bool queued = false;         ///< Its claim is in the outbox or beyond.
-  uint64_t in_flight = 0;      ///< The append that carries its claim.
+  bool queued = false;         ///< Its claim has been queued for an append.
+  uint64_t in_flight = 0;      ///< The append that carries its claim, or 0.
   bool may_be_in_log = false;  ///< An append of its claim may take effect.
 };
 
-/// The end of an attempt, until the log has it.
+/// The end of an attempt that is not yet in the log.
 struct UnrecordedEnd {
   ClaimEnd end;
   ClaimKeyId id;
@@ -42,20 +42,20 @@
   bool notify = false;  ///< The holder waits for kRecorded.
 };
 
-/// All that concerns one stream.
+/// State of one stream.
 struct StreamWork {
   explicit StreamWork(const ClaimGuards& guards) : ledger(guards) {}
 
   ClaimLedger ledger;
-  ClaimAppendQueue outbox;
+  ClaimAppendQueue append_queue;
   std::set<ClaimHandle> waiting;
-  /// Attempts whose release is in the log, but was not read yet.
+  /// Attempts whose release is in the log but has not been read yet.
   std::set<ClaimAttempt> released;
-  uint64_t append_call = 0;  ///< At most one append in flight.
+  uint64_t append_call = 0;  ///< The one append in flight, or 0.
   TimePoint append_after;
-  uint64_t read_call = 0;  ///< At most one read in flight.
-  bool caught_up = false;  ///< The last read came to the end.
-  bool pinned = false;     ///< Read all the time: this VM owns it.
+  uint64_t read_call = 0;  ///< The one read in flight, or 0.
+  bool caught_up = false;  ///< The last read reached the end.
+  bool pinned = false;     ///< This VM owns it and reads it continuously.
   TimePoint last_used;
 };
 
@@ -64,16 +64,16 @@
   ClaimStream stream;
   TimePoint sent_at;
   std::vector<QueuedClaimRecord> records;
-  /// Releases of claims that only this append can have put into the log:
-  /// needed unless the platform says that it had no effect.
+  /// Releases of claims that no other append can have written to the log. They
+  /// are dropped if the platform confirms that this append had no effect.
   std::vector<ClaimEndHandle> releases;
 };
 
-/// A read in flight: the next records of a stream, or the answer of a key.
+/// A read in flight: the next records of a stream, or the response of a key.
 struct ReadCall {
   ClaimStream stream;
-  bool fetch = false;
-  uint64_t offset = 0;  ///< For a fetch.
+  bool fetch = false;   ///< Reads the response of a key.
+  uint64_t offset = 0;  ///< Of the response.
 };
 
 enum class ClaimDecision : uint8_t {
@@ -82,7 +82,7 @@
   kGrant,   ///< Its claim is the first live one.
   kRefuse,  ///< With `refusal`.
   kReplay,  ///< With `answer`.
-  kFetch,   ///< Read the answer at `offset` first.
+  kFetch,   ///< Read the response at `offset` first.
   kCount
 };
 
@@ -116,7 +116,7 @@
 
  private:
   // claims.cc
-  Refusal CheckRoom(TeamKey team) const;
+  Refusal CheckCapacity(TeamKey team) const;
   ClaimHandle AddWaiting(TimePoint now, const ClaimRequest& request);
   void EraseWaiting(ClaimHandle handle);
   bool AddEnd(TimePoint now, const ClaimEnd& end, bool notify);
@@ -125,21 +125,21 @@
   void DropIdle(TimePoint now);
   void RefuseOverdue(TimePoint now);
 
-  // claim_judge.cc
-  ClaimEvaluation Judge(TimePoint now, const WaitingClaim& waiting) const;
-  ClaimEvaluation JudgeFree(const WaitingClaim& waiting,
-                            const StreamWork& work,
-                            const ClaimKeyState* state) const;
-  ClaimEvaluation JudgeClaimed(TimePoint now,
-                               const WaitingClaim& waiting,
+  // claim_decision.cc
+  ClaimEvaluation Evaluate(TimePoint now, const WaitingClaim& waiting) const;
+  ClaimEvaluation EvaluateFree(const WaitingClaim& waiting,
                                const StreamWork& work,
-                               const ClaimKeyState& state) const;
-  ClaimEvaluation JudgeEnded(const WaitingClaim& waiting,
-                             const ClaimEnd& end) const;
+                               const ClaimKeyState* state) const;
+  ClaimEvaluation EvaluateClaimed(TimePoint now,
+                                  const WaitingClaim& waiting,
+                                  const StreamWork& work,
+                                  const ClaimKeyState& state) const;
+  ClaimEvaluation EvaluateEnded(const WaitingClaim& waiting,
+                                const ClaimEnd& end) const;
   bool IsRunning(TimePoint now, const ClaimKeyState& state) const;
   bool IsLogDown(TimePoint now);
-  bool IsOutpaced(TimePoint now, const WaitingClaim& waiting) const;
-  Refusal LateRefusal(TimePoint now, const WaitingClaim& waiting) const;
+  bool WouldMissDeadline(TimePoint now, const WaitingClaim& waiting) const;
+  Refusal RefusalIfUndecided(TimePoint now, const WaitingClaim& waiting) const;
   void Decide(TimePoint now, ClaimHandle handle);
   void DecideKey(TimePoint now, const ClaimKeyId& key);
   void DecideStream(TimePoint now, const StreamWork& work);
@@ -149,40 +149,42 @@
   void RefuseAtOnce(const ClaimRequest& request, Refusal refusal);
   void Replay(ClaimHandle handle, const StoredResponse& answer);
   void Fetch(const ClaimStream& stream, uint64_t offset);
-  void GiveUp(TimePoint now, const WaitingClaim& waiting);
+  void AbandonClaim(TimePoint now, const WaitingClaim& waiting);
 
   // claim_append.cc
-  struct Pick {
+  struct AppendTarget {
     ClaimStream stream;
     TeamKey team = 0;
   };
   void Pump(TimePoint now);
   void PumpAppends(TimePoint now);
   bool IsProbing() const;
-  bool IsFlushable(TimePoint now, const StreamWork& work) const;
-  std::optional<Pick> PickAppend(TimePoint now);
-  bool Flush(TimePoint now, const Pick& pick);
-  void Carry(TimePoint now,
-             const QueuedClaimRecord& out,
-             uint64_t id,
-             AppendCall& call,
-             ClaimAction& action);
+  bool CanAppend(TimePoint now, const StreamWork& work) const;
+  std::optional<AppendTarget> ChooseAppend(TimePoint now);
+  bool SendAppend(TimePoint now, const AppendTarget& target);
+  void AddToAppend(TimePoint now,
+                   const QueuedClaimRecord& out,
+                   uint64_t id,
+                   AppendCall& call,
+                   ClaimAction& action);
   std::string EncodeClaim(TimePoint now, const WaitingClaim& waiting) const;
   std::string EncodeEnd(const UnrecordedEnd& open) const;
   void OnAppended(const AppendCall& call);
-  void OnNotAppended(TimePoint now, const AppendCall& call, bool doubtful);
+  void OnNotAppended(TimePoint now,
+                     const AppendCall& call,
+                     bool may_have_landed);
   void Requeue(StreamWork& work, const QueuedClaimRecord& out);
-  void NoteReleased(ClaimEndHandle handle);
-  void Recorded(ClaimEndHandle handle);
+  void TrackRelease(ClaimEndHandle handle);
+  void OnRecorded(ClaimEndHandle handle);
   void EraseEnd(ClaimEndHandle handle);
 
   // claim_read.cc
   void PumpReads(TimePoint now);
   void OnFetched(TimePoint now, const ReadCall& call, const ClaimRead& read);
   void OnStreamRead(TimePoint now, StreamWork& work, const ClaimRead& read);
-  void FoldRecords(TimePoint now, StreamWork& work, const ClaimRead& read);
-  void AfterFold(TimePoint now, const ClaimRecord& record);
-  void BoundMemory(StreamWork& work);
+  void ApplyRecords(TimePoint now, StreamWork& work, const ClaimRead& read);
+  void OnRecordApplied(TimePoint now, const ClaimRecord& record);
+  void EnforceKeyLimit(StreamWork& work);
 
   ClaimOptions options;
   ClaimGuards guards;
@@ -197,7 +199,7 @@
 
   std::map<ClaimStream, StreamWork> streams;
   HandleTable<WaitingClaim, ClaimTag> waiting_claims;
-  HandleTable<UnrecordedEnd, ClaimEndTag> open_ends;
+  HandleTable<UnrecordedEnd, ClaimEndTag> unrecorded_ends;
   std::unordered_map<ClaimAttempt, ClaimHandle, ClaimAttemptHash> by_attempt;
   std::unordered_multimap<ClaimKeyId, ClaimHandle, ClaimKeyIdHash> by_key;
   std::unordered_map<ClaimAttempt, ClaimEndHandle, ClaimAttemptHash> end_of;
--- a/packages/decision/src/claims.cc
+++ b/packages/decision/src/claims.cc
@@ -8,13 +8,15 @@
 namespace basilsill {
 namespace {
 
-/// Read ahead of its first key, so that nobody waits for it.
-constexpr std::chrono::milliseconds kOpenBefore = std::chrono::minutes(1);
+/// How early an owner opens the stream of the next bucket, so that the first
+/// request in it does not have to wait for a read.
+constexpr std::chrono::milliseconds kOpenAhead = std::chrono::minutes(1);
 
-/// A stream that nobody asked for in this time is forgotten.
-constexpr Duration kIdleKeep = std::chrono::minutes(10);
+/// A stream that has not been used for this long is dropped.
+constexpr Duration kIdleRetention = std::chrono::minutes(10);
 
-/// How long an end waits for company if appends are scarce.
+/// How long an end waits for other records to share its append while the append
+/// budget is low.
 constexpr Duration kEndDelay = std::chrono::milliseconds(500);
 
 ClaimKeyId IdOf(const ClaimKey& key) {
@@ -24,8 +26,8 @@
 }  // namespace
 
 uint64_t MakeClaimOrigin(std::string_view vm, uint64_t incarnation) {
-  // Not with the incarnation as the seed of the hash: for names of a few bytes
-  // XXH3 only adds the seed in, and two VMs could get one origin.
+  // The incarnation is not used as the seed of the hash: for inputs of a few
+  // bytes XXH3 merely adds the seed, and two VMs could get the same origin.
   const std::string number = std::to_string(incarnation);
   const std::string_view parts[] = {vm, number};
   return DigestOf(parts).low;
@@ -54,7 +56,7 @@
       guards(guards),
       origin(MakeClaimOrigin(options.vm, options.incarnation)),
       waiting_claims(options.max_waiting),
-      open_ends(options.max_open_ends) {
+      unrecorded_ends(options.max_open_ends) {
   this->budget.SetRate(TimePoint(), options.appends_per_second,
                        options.append_burst);
 }
@@ -64,7 +66,7 @@
                                     const ClaimRequest& request) {
   Refusal refusal = CheckClaimKeyAge(request.key, wall_now);
   if (refusal == Refusal::kNone) {
-    refusal = this->CheckRoom(request.key.team);
+    refusal = this->CheckCapacity(request.key.team);
   }
   if (refusal == Refusal::kNone && this->by_attempt.contains(request.attempt)) {
     refusal = Refusal::kClaimRunning;
@@ -85,23 +87,24 @@
   this->Decide(now, handle);
   const WaitingClaim* waiting = this->waiting_claims.Find(handle);
   if (waiting != nullptr && this->IsLogDown(now)) {
-    this->Refuse(now, handle, this->LateRefusal(now, *waiting));
+    this->Refuse(now, handle, this->RefusalIfUndecided(now, *waiting));
   }
   this->Pump(now);
   return this->waiting_claims.Contains(handle) ? handle : ClaimHandle{};
 }
 
-Refusal ClaimTableImpl::CheckRoom(TeamKey team) const {
-  // Dynamic threshold: a team may have as many waiting as places are free, so
-  // a flood of one team always leaves room for the others.
+Refusal ClaimTableImpl::CheckCapacity(TeamKey team) const {
+  // Dynamic threshold: a team may have as many waiting requests as there are
+  // free entries, so a flood from one team always leaves room for the others.
   const size_t free =
       this->waiting_claims.capacity() - this->waiting_claims.size();
   if (free == 0) {
     return Refusal::kMemoryLimit;
   }
   const auto own = this->team_waiting.find(team);
-  const bool greedy = own != this->team_waiting.end() && own->second >= free;
-  return greedy ? Refusal::kTeamQueueLimit : Refusal::kNone;
+  const bool over_share =
+      own != this->team_waiting.end() && own->second >= free;
+  return over_share ? Refusal::kTeamQueueLimit : Refusal::kNone;
 }
 
 ClaimHandle ClaimTableImpl::AddWaiting(TimePoint now,
@@ -119,8 +122,8 @@
   StreamWork& work = this->Open(now, waiting.stream);
   work.waiting.insert(handle);
   if (work.read_call == 0) {
-    // Nobody read the stream for a while: what is known of the key may have
-    // ended since.
+    // The stream has not been read for a while, so the known state of the key
+    // may be out of date.
     work.caught_up = false;
   }
   return handle;
@@ -152,7 +155,7 @@
   }
   const WaitingClaim given_up = *waiting;
   this->EraseWaiting(claim);
-  this->GiveUp(now, given_up);
+  this->AbandonClaim(now, given_up);
   this->Pump(now);
 }
 
@@ -176,22 +179,22 @@
     open.end.answer = StoredResponse{end.answer.status, false, {}, {}};
   }
   StreamWork& work = this->Open(now, open.stream);
-  const ClaimEndHandle handle = this->open_ends.Create(std::move(open));
+  const ClaimEndHandle handle = this->unrecorded_ends.Create(std::move(open));
   if (!IsValid(handle)) {
-    // The key stays claimed in the log, so resends are told `unknown`.
+    // The key stays claimed in the log, so retries are refused as `unknown`.
     ++this->counts.ends_dropped;
     return false;
   }
   this->end_of.emplace(end.attempt, handle);
-  // A release goes ahead of the claims queued behind it: a resend of the same
-  // key may be among them, and would lose against the released claim.
+  // A release goes to the front of the queue: the claim of a retry with the
+  // same key may be queued already, and would lose to the released claim.
   const bool release = end.outcome == ClaimOutcome::kReleased;
   const QueuedClaimRecord out{
       {}, handle, release ? now : now + kEndDelay, release};
   if (release) {
-    work.outbox.PushFront(end.key.team, out);
+    work.append_queue.PushFront(end.key.team, out);
   } else {
-    work.outbox.PushBack(end.key.team, out);
+    work.append_queue.PushBack(end.key.team, out);
   }
   return true;
 }
@@ -225,7 +228,7 @@
   while (!this->deadlines.empty() && this->deadlines.begin()->first <= now) {
     const ClaimHandle handle = this->deadlines.begin()->second;
     const WaitingClaim& waiting = *this->waiting_claims.Find(handle);
-    this->Refuse(now, handle, this->LateRefusal(now, waiting));
+    this->Refuse(now, handle, this->RefusalIfUndecided(now, waiting));
   }
 }
 
@@ -236,7 +239,7 @@
   for (uint32_t i = 0; i < limits::kClaimPartitions; ++i) {
     if (this->fleet.owned.test(i)) {
       this->Open(now, {i, ClaimBucketAt(wall_now)}).pinned = true;
-      this->Open(now, {i, ClaimBucketAt(wall_now + kOpenBefore)}).pinned = true;
+      this->Open(now, {i, ClaimBucketAt(wall_now + kOpenAhead)}).pinned = true;
     }
   }
 }
@@ -244,13 +247,13 @@
 void ClaimTableImpl::DropIdle(TimePoint now) {
   std::erase_if(this->streams, [now](const auto& entry) {
     const StreamWork& work = entry.second;
-    return work.waiting.empty() && work.outbox.empty() && !work.pinned &&
-           work.append_call == 0 && now - work.last_used > kIdleKeep;
+    return work.waiting.empty() && work.append_queue.empty() && !work.pinned &&
+           work.append_call == 0 && now - work.last_used > kIdleRetention;
   });
 }
 
 bool ClaimTableImpl::IsIdle() const {
-  return this->waiting_claims.size() == 0 && this->open_ends.size() == 0;
+  return this->waiting_claims.size() == 0 && this->unrecorded_ends.size() == 0;
 }
 
 TimePoint ClaimTableImpl::NextTick(TimePoint now) {
@@ -264,7 +267,7 @@
     if (work.append_call != 0 || this->IsProbing()) {
       continue;
     }
-    for (const auto& [team, queue] : work.outbox.teams()) {
+    for (const auto& [team, queue] : work.append_queue.teams()) {
       const TimePoint due = std::max({queue.front().due, work.append_after,
                                       this->append_health.next_try(),
                                       this->budget.NextToken(now)});
--- a/packages/decision/src/fair_queue.cc
+++ b/packages/decision/src/fair_queue.cc
@@ -6,17 +6,17 @@
 namespace basilsill {
 namespace {
 
-// Where a ring keeps the positions of its lanes.
-auto PositionsIn(std::vector<LaneRow>& lanes, RingKind ring) {
+// @returns a function that maps a lane to its position in the heap of `ring`.
+auto HeapPositionsIn(std::vector<LaneRow>& lanes, RingKind ring) {
   return [&lanes, ring](uint32_t row) -> uint32_t& {
     return lanes[row].shares[static_cast<size_t>(ring)].place;
   };
 }
 
 // Odd multiplier of Fibonacci hashing.
-constexpr uint64_t kMix = 0x9E3779B97F4A7C15;
+constexpr uint64_t kHashMultiplier = 0x9E3779B97F4A7C15;
 
-// Requests in a lane's moving mean of slot times.
+// Length, in requests, of a lane's moving average of slot times.
 constexpr int kSlotTimeWeight = 16;
 
 Ring& RingAt(ShardState& shard, RingKind ring) {
@@ -40,7 +40,7 @@
 
 uint32_t& FairQueue::Bucket(uint32_t shard, TeamHandle team) {
   const uint64_t key = uint64_t{shard} << 32 | team.index;
-  const uint64_t hash = key * kMix;
+  const uint64_t hash = key * kHashMultiplier;
   return this->buckets[(hash >> 32) & (this->buckets.size() - 1)];
 }
 
@@ -49,12 +49,13 @@
   for (uint32_t row = bucket; row != kNoRow; row = this->lanes[row].chained) {
     LaneRow& lane = this->lanes[row];
     if (lane.shard == shard && lane.team == team) {
-      // Only while it stands in no ring, whose sum of weights would go wrong.
+      // The weight changes only while the lane is in no ring; otherwise the
+      // ring's sum of weights would become wrong.
       lane.weight = lane.requests == 0 ? weight : lane.weight;
       return row;
     }
   }
-  const uint32_t row = this->Recycle();
+  const uint32_t row = this->AllocateLane();
   LaneRow& lane = this->lanes[row];
   lane.shard = shard;
   lane.team = team;
@@ -65,18 +66,18 @@
   return row;
 }
 
-uint32_t FairQueue::Recycle() {
-  if (this->unused < this->lanes.size()) {
-    return this->unused++;
+uint32_t FairQueue::AllocateLane() {
+  if (this->first_unused < this->lanes.size()) {
+    return this->first_unused++;
   }
   const uint32_t row = this->idle.first;
   this->UnlinkIdle(row);
-  this->Unhash(row);
+  this->RemoveFromBucket(row);
   this->lanes[row] = LaneRow();
   return row;
 }
 
-void FairQueue::Unhash(uint32_t row) {
+void FairQueue::RemoveFromBucket(uint32_t row) {
   const LaneRow& lane = this->lanes[row];
   uint32_t* place = &this->Bucket(lane.shard, lane.team);
   while (*place != row) {
@@ -148,9 +149,9 @@
 void FairQueue::Remove(ShardState& shard, uint32_t request) {
   const RequestRow& row = this->Request(request);
   const RingKind ring = RingOf(row.queue);
-  this->Unchain(shard, request);
+  this->RemoveFromChain(shard, request);
   if (this->FrontOfLane(this->lanes[row.lane], ring) == kNoRow) {
-    this->TakeOut(shard, row.lane, ring);
+    this->RemoveLane(shard, row.lane, ring);
   }
 }
 
@@ -172,9 +173,9 @@
       share.slot_time > Duration(0) ? share.slot_time : waiting.slot_time;
   waiting.virtual_time = std::max(waiting.virtual_time, start);
   share.finish_tag = start + static_cast<double>(cost.count()) / lane.weight;
-  this->Unchain(shard, front);
+  this->RemoveFromChain(shard, front);
   if (this->FrontOfLane(lane, ring) == kNoRow) {
-    this->TakeOut(shard, row, ring);
+    this->RemoveLane(shard, row, ring);
   } else {
     this->PlaceLane(shard, row, ring);
   }
@@ -248,7 +249,7 @@
              : lane.waiting[static_cast<size_t>(TrafficClass::kOrdinary)].first;
 }
 
-void FairQueue::Unchain(ShardState& shard, uint32_t request) {
+void FairQueue::RemoveFromChain(ShardState& shard, uint32_t request) {
   const RequestRow& row = this->Request(request);
   LaneRow& lane = this->lanes[row.lane];
   Chain& chain = lane.waiting[static_cast<size_t>(row.queue)];
@@ -271,13 +272,13 @@
   }
   const RingKey key{std::max(share.finish_tag, waiting.virtual_time),
                     this->sequence++};
-  waiting.lanes.Set(row, key, PositionsIn(this->lanes, ring));
+  waiting.lanes.Set(row, key, HeapPositionsIn(this->lanes, ring));
 }
 
-void FairQueue::TakeOut(ShardState& shard, uint32_t row, RingKind ring) {
+void FairQueue::RemoveLane(ShardState& shard, uint32_t row, RingKind ring) {
   Ring& waiting = RingAt(shard, ring);
   waiting.weights -= this->lanes[row].weight;
-  waiting.lanes.Remove(row, PositionsIn(this->lanes, ring));
+  waiting.lanes.Remove(row, HeapPositionsIn(this->lanes, ring));
 }
 
 }  // namespace basilsill
--- a/packages/decision/src/group_append.cc
+++ b/packages/decision/src/group_append.cc
@@ -9,13 +9,13 @@
 namespace basilsill {
 namespace {
 
-// The first record waits this long for others. VMs of a fleet that starts come
-// within some hundred milliseconds; none of them needs to be known sooner than
-// it serves.
-constexpr Duration kGatherTime = std::chrono::milliseconds(20);
+// How long the first record of a group waits for more. The VMs of a starting
+// fleet send their records within some hundred milliseconds, and a record is
+// not needed before its VM serves requests.
+constexpr Duration kGroupDelay = std::chrono::milliseconds(20);
 
-// Far below what the platform takes in a call; more than wait in a start of a
-// large fleet with few that help.
+// Far below the platform's limit for one call, but more than the records that
+// wait when a large fleet starts and only few VMs append for the others.
 constexpr size_t kMaxWaiting = 1024;
 
 }  // namespace
@@ -25,35 +25,36 @@
     return false;
   }
   if (this->waiting.empty()) {
-    this->first_at = now;
+    this->oldest_added_at = now;
   }
   this->waiting.push_back(std::move(request));
   return true;
 }
 
 TimePoint GroupAppend::due() const {
-  return this->busy || this->waiting.empty() ? kNever
-                                             : this->first_at + kGatherTime;
+  return this->call_in_flight || this->waiting.empty()
+             ? kNever
+             : this->oldest_added_at + kGroupDelay;
 }
 
 std::vector<KeyedRecord> GroupAppend::Begin() {
-  this->busy = true;
-  this->on_the_way = std::exchange(this->waiting, {});
-  std::map<std::string_view, size_t> last;
-  for (size_t i = 0; i < this->on_the_way.size(); ++i) {
-    last[this->on_the_way[i].record.key] = i;
+  this->call_in_flight = true;
+  this->in_flight = std::exchange(this->waiting, {});
+  std::map<std::string_view, size_t> newest_by_key;
+  for (size_t i = 0; i < this->in_flight.size(); ++i) {
+    newest_by_key[this->in_flight[i].record.key] = i;
   }
   std::vector<KeyedRecord> records;
-  records.reserve(last.size());
-  for (const auto& [key, index] : last) {
-    records.push_back(this->on_the_way[index].record);
+  records.reserve(newest_by_key.size());
+  for (const auto& [key, index] : newest_by_key) {
+    records.push_back(this->in_flight[index].record);
   }
   return records;
 }
 
 std::vector<AppendRequest> GroupAppend::End() {
-  this->busy = false;
-  return std::exchange(this->on_the_way, {});
+  this->call_in_flight = false;
+  return std::exchange(this->in_flight, {});
 }
 
 }  // namespace basilsill
--- a/packages/decision/src/indexed_heap.h
+++ b/packages/decision/src/indexed_heap.h
@@ -6,17 +6,18 @@
 #include <utility>
 #include <vector>
 
-/// A binary heap of rows of a table, least key first, in which a row can be
-/// moved or removed. Each row stores its own position, so the heap needs no
-/// index and allocates nothing beyond its reserve.
+/// Binary min-heap of table rows in which any row can be moved or removed. Each
+/// row stores its own position in the heap, so the heap needs no index and does
+/// not allocate beyond its reserved capacity.
 
 namespace basilsill {
 
 inline constexpr uint32_t kNotInHeap = UINT32_MAX;
 
 /// @tparam Key Ordered by `<`.
-/// @tparam Positions Callable: `uint32_t& operator()(uint32_t row)`, the
-/// place where `row` keeps its position.
+/// The parameter `positions` of the methods is a callable
+/// `uint32_t& operator()(uint32_t row)` that returns the stored position of
+/// `row`; kNotInHeap if it is not in the heap.
 template <typename Key>
 class IndexedHeap {
  public:
@@ -31,66 +32,66 @@
   const Item& top() const { return this->items.front(); }
   const std::vector<Item>& all() const { return this->items; }
 
-  /// Inserts `row`, or moves it to its new key.
+  /// Inserts `row`, or changes its key if it is already in the heap.
   template <typename Positions>
   void Set(uint32_t row, Key key, Positions&& positions) {
-    uint32_t place = positions(row);
-    if (place == kNotInHeap) {
-      place = static_cast<uint32_t>(this->items.size());
+    uint32_t position = positions(row);
+    if (position == kNotInHeap) {
+      position = static_cast<uint32_t>(this->items.size());
       this->items.push_back({key, row});
-      positions(row) = place;
+      positions(row) = position;
     }
-    this->items[place].key = key;
-    this->Down(this->Up(place, positions), positions);
+    this->items[position].key = key;
+    this->SiftDown(this->SiftUp(position, positions), positions);
   }
 
-  /// Removes `row`; a row that is not in the heap is ignored.
+  /// Removes `row`; has no effect if `row` is not in the heap.
   template <typename Positions>
   void Remove(uint32_t row, Positions&& positions) {
-    const uint32_t place = positions(row);
-    if (place == kNotInHeap) {
+    const uint32_t position = positions(row);
+    if (position == kNotInHeap) {
       return;
     }
     positions(row) = kNotInHeap;
     const Item last = this->items.back();
     this->items.pop_back();
-    if (place < this->items.size()) {
-      this->items[place] = last;
-      positions(last.row) = place;
-      this->Down(this->Up(place, positions), positions);
+    if (position < this->items.size()) {
+      this->items[position] = last;
+      positions(last.row) = position;
+      this->SiftDown(this->SiftUp(position, positions), positions);
     }
   }
 
  private:
   template <typename Positions>
-  uint32_t Up(uint32_t place, Positions& positions) {
-    while (place > 0) {
-      const uint32_t parent = (place - 1) / 2;
-      if (!(this->items[place].key < this->items[parent].key)) {
+  uint32_t SiftUp(uint32_t position, Positions& positions) {
+    while (position > 0) {
+      const uint32_t parent = (position - 1) / 2;
+      if (!(this->items[position].key < this->items[parent].key)) {
         break;
       }
-      this->Swap(place, parent, positions);
-      place = parent;
+      this->Swap(position, parent, positions);
+      position = parent;
     }
-    return place;
+    return position;
   }
 
   template <typename Positions>
-  void Down(uint32_t place, Positions& positions) {
+  void SiftDown(uint32_t position, Positions& positions) {
     const auto size = static_cast<uint32_t>(this->items.size());
     for (;;) {
-      uint32_t least = place;
-      for (uint32_t child = 2 * place + 1;
-           child < size && child <= 2 * place + 2; ++child) {
+      uint32_t least = position;
+      for (uint32_t child = 2 * position + 1;
+           child < size && child <= 2 * position + 2; ++child) {
         if (this->items[child].key < this->items[least].key) {
           least = child;
         }
       }
-      if (least == place) {
+      if (least == position) {
         return;
       }
-      this->Swap(place, least, positions);
-      place = least;
+      this->Swap(position, least, positions);
+      position = least;
     }
   }
 
--- a/packages/decision/src/quarantine.cc
+++ b/packages/decision/src/quarantine.cc
@@ -16,10 +16,10 @@
   TimePoint at;
 };
 
-/// What is concluded of a request that was in flight at a crash.
+/// State of a request that was in flight at a crash.
 struct Suspect {
   TimePoint last_crash{};
-  TimePoint judged_crash{};  ///< Condemned for the crashes up to this one.
+  TimePoint condemned_crash{};  ///< Latest crash that it was condemned for.
   TimePoint refused_until{};
   uint32_t condemnations = 0;
 };
@@ -28,14 +28,14 @@
   return {report.suspects.data(), report.suspect_count};
 }
 
-bool Names(const CrashReport& report, Fingerprint fingerprint) {
+bool HasSuspect(const CrashReport& report, Fingerprint fingerprint) {
   const auto suspects = SuspectsOf(report);
   return std::find(suspects.begin(), suspects.end(), fingerprint) !=
          suspects.end();
 }
 
 bool AddSuspect(CrashReport& report, Fingerprint fingerprint) {
-  if (fingerprint == 0 || Names(report, fingerprint) ||
+  if (fingerprint == 0 || HasSuspect(report, fingerprint) ||
       report.suspect_count == CrashReport::kMaxSuspects) {
     return false;
   }
@@ -70,12 +70,12 @@
   void Import(TimePoint now, const CrashReport& report) override;
 
  private:
-  void Forget(TimePoint now);
+  void RemoveExpired(TimePoint now);
   void Add(TimePoint now, const Crash& crash);
-  void Narrow(TimePoint now, Crash& known, const CrashReport& report);
-  void Clear(TimePoint now, Crash& crash, Fingerprint fingerprint);
-  bool IsNamed(Fingerprint fingerprint) const;
-  void Judge(Fingerprint fingerprint);
+  void MergeReport(TimePoint now, Crash& known, const CrashReport& report);
+  void ClearSuspect(TimePoint now, Crash& crash, Fingerprint fingerprint);
+  bool IsInAnyReport(Fingerprint fingerprint) const;
+  void CondemnIfProven(Fingerprint fingerprint);
   bool IsProven(Fingerprint fingerprint) const;
 
   QuarantineOptions options;
@@ -109,7 +109,7 @@
 }
 
 void QuarantineTable::Add(TimePoint now, const Crash& crash) {
-  this->Forget(now);
+  this->RemoveExpired(now);
   if (this->crashes.size() == this->options.max_crashes) {
     this->crashes.erase(this->crashes.begin());
   }
@@ -119,11 +119,11 @@
     suspect.last_crash = std::max(suspect.last_crash, crash.at);
   }
   for (const Fingerprint fingerprint : SuspectsOf(crash.report)) {
-    this->Judge(fingerprint);
+    this->CondemnIfProven(fingerprint);
   }
 }
 
-void QuarantineTable::Forget(TimePoint now) {
+void QuarantineTable::RemoveExpired(TimePoint now) {
   std::erase_if(this->crashes, [&](const Crash& crash) {
     return now - crash.at > this->options.suspicion;
   });
@@ -138,54 +138,57 @@
     return;
   }
   for (Crash& crash : this->crashes) {
-    this->Clear(now, crash, fingerprint);
+    this->ClearSuspect(now, crash, fingerprint);
   }
   this->suspects.erase(fingerprint);
 }
 
-// Who is cleared leaves the others of that crash the more suspect.
-void QuarantineTable::Clear(TimePoint, Crash& crash, Fingerprint fingerprint) {
+// Removes a cleared request from the suspects of a crash. With fewer suspects,
+// the rule may now condemn one of the others, so they are evaluated again.
+void QuarantineTable::ClearSuspect(TimePoint,
+                                   Crash& crash,
+                                   Fingerprint fingerprint) {
   if (!RemoveSuspect(crash.report, fingerprint)) {
     return;
   }
   this->changed.push_back(crash.report.id);
   for (const Fingerprint other : SuspectsOf(crash.report)) {
-    this->Judge(other);
+    this->CondemnIfProven(other);
   }
 }
 
-bool QuarantineTable::IsNamed(Fingerprint fingerprint) const {
+bool QuarantineTable::IsInAnyReport(Fingerprint fingerprint) const {
   return std::any_of(this->crashes.begin(), this->crashes.end(),
                      [fingerprint](const Crash& crash) {
-                       return Names(crash.report, fingerprint);
+                       return HasSuspect(crash.report, fingerprint);
                      });
 }
 
-void QuarantineTable::Judge(Fingerprint fingerprint) {
+void QuarantineTable::CondemnIfProven(Fingerprint fingerprint) {
   const auto found = this->suspects.find(fingerprint);
   if (found == this->suspects.end()) {
     return;
   }
   Suspect& suspect = found->second;
-  if (suspect.judged_crash == suspect.last_crash ||
+  if (suspect.condemned_crash == suspect.last_crash ||
       !this->IsProven(fingerprint)) {
     return;
   }
   const uint32_t doublings = std::min(suspect.condemnations, kMaxDoublings);
-  suspect.judged_crash = suspect.last_crash;
+  suspect.condemned_crash = suspect.last_crash;
   suspect.refused_until =
       suspect.last_crash + this->options.quarantine * (1 << doublings);
   ++suspect.condemnations;
 }
 
-// See the rule in quarantine.h.
+// Implements the rule described in quarantine.h.
 bool QuarantineTable::IsProven(Fingerprint fingerprint) const {
   const Crash* first = nullptr;
   bool distinct = false;
   bool alone = false;
   std::vector<Fingerprint> beside;
   for (const Crash& crash : this->crashes) {
-    if (!Names(crash.report, fingerprint)) {
+    if (!HasSuspect(crash.report, fingerprint)) {
       continue;
     }
     alone |= crash.report.suspect_count == 1;
@@ -197,7 +200,7 @@
     }
     distinct |= crash.report.upstream != first->report.upstream;
     std::erase_if(beside, [&crash](Fingerprint other) {
-      return !Names(crash.report, other);
+      return !HasSuspect(crash.report, other);
     });
   }
   return distinct && (alone || beside.size() == 1);
@@ -249,7 +252,7 @@
       this->crashes.begin(), this->crashes.end(),
       [&report](const Crash& crash) { return crash.report.id == report.id; });
   if (known != this->crashes.end()) {
-    this->Narrow(now, *known, report);
+    this->MergeReport(now, *known, report);
     return;
   }
   const bool valid = report.suspect_count <= CrashReport::kMaxSuspects &&
@@ -260,16 +263,16 @@
   }
 }
 
-void QuarantineTable::Narrow(TimePoint now,
-                             Crash& known,
-                             const CrashReport& report) {
+void QuarantineTable::MergeReport(TimePoint now,
+                                  Crash& known,
+                                  const CrashReport& report) {
   const CrashReport before = known.report;
   for (const Fingerprint fingerprint : SuspectsOf(before)) {
-    if (Names(report, fingerprint)) {
+    if (HasSuspect(report, fingerprint)) {
       continue;
     }
-    this->Clear(now, known, fingerprint);
-    if (!this->IsNamed(fingerprint)) {
+    this->ClearSuspect(now, known, fingerprint);
+    if (!this->IsInAnyReport(fingerprint)) {
       this->suspects.erase(fingerprint);
     }
   }
--- a/packages/decision/src/repeat_budget.cc
+++ b/packages/decision/src/repeat_budget.cc
@@ -5,33 +5,35 @@
 namespace basilsill {
 namespace {
 
-// Parts of the slack. That of dispatchers is there twice: two VMs that are cut
-// off from each other both hold themselves for a shard's first dispatcher.
-constexpr double kDispatcherPart = 0.3;
-constexpr double kEntryPart = 0.25;
-constexpr double kUnsettledPart = 1 - 2 * kDispatcherPart - kEntryPart;
-// Of the ratio, in places that are settled. One that spends all that it has
-// saved and ends leaves the other tenth to those that come after it.
-constexpr double kRatioPart = 0.9;
-constexpr double kUnsettledRatio = 1 - kRatioPart;
-// A VM starts no more often than this within a window.
+// Shares of the slack. The dispatchers' share counts twice: two VMs that are
+// partitioned from each other may both act as the first dispatcher of a shard.
+constexpr double kDispatcherSlackShare = 0.3;
+constexpr double kEntrySlackShare = 0.25;
+constexpr double kUnsettledSlackShare =
+    1 - 2 * kDispatcherSlackShare - kEntrySlackShare;
+// Share of the ratio for settled VMs. If a settled VM spends all repeats that
+// it has accumulated and then stops, its successors still have the other tenth.
+constexpr double kSettledRatioShare = 0.9;
+constexpr double kUnsettledRatioShare = 1 - kSettledRatioShare;
+// Assumed maximum number of starts of a VM within a window.
 constexpr double kStartsInWindow = 3;
 
-RepeatBudgetOptions PartOf(const RepeatBudgetOptions& fleet,
-                           double ratio_part,
-                           double slack_part) {
+RepeatBudgetOptions ScaledBudget(const RepeatBudgetOptions& fleet,
+                                 double ratio_share,
+                                 double slack_share) {
   RepeatBudgetOptions part = fleet;
-  part.ratio *= ratio_part;
-  part.slack *= slack_part;
+  part.ratio *= ratio_share;
+  part.slack *= slack_share;
   return part;
 }
 
 }  // namespace
 
 RepeatShares SplitRepeatBudget(const RepeatBudgetOptions& fleet) {
-  return {PartOf(fleet, kRatioPart, kDispatcherPart),
-          PartOf(fleet, kUnsettledRatio, kUnsettledPart / kStartsInWindow),
-          PartOf(fleet, 0, kEntryPart)};
+  return {ScaledBudget(fleet, kSettledRatioShare, kDispatcherSlackShare),
+          ScaledBudget(fleet, kUnsettledRatioShare,
+                       kUnsettledSlackShare / kStartsInWindow),
+          ScaledBudget(fleet, 0, kEntrySlackShare)};
 }
 
 bool IsSettled(TimePoint now, TimePoint since, Duration window) {
@@ -61,7 +63,7 @@
 
 bool RepeatBudget::Take(TimePoint now,
                         const RepeatBudgetOptions& options,
-                        double keep) {
+                        double reserved) {
   const int64_t number = NumberAt(now, options);
   Bucket& current = this->BucketAt(number);
   double requests = 0;
@@ -74,7 +76,7 @@
     requests += bucket.requests;
     repeats += bucket.repeats;
   }
-  if (repeats + 1 + keep > options.ratio * requests + options.slack) {
+  if (repeats + 1 + reserved > options.ratio * requests + options.slack) {
     return false;
   }
   ++current.repeats;
--- a/packages/decision/test/claim_history_test.cc
+++ b/packages/decision/test/claim_history_test.cc
@@ -1,5 +1,5 @@
-// Random histories of requests that must not repeat: what must hold in every
-// one of them, and that the check would notice if a guard were missing.
+// Tests of claims with random histories: the invariants hold in every history,
+// and the check of the invariants detects each missing safety rule.
 
 #include <cstdlib>
 #include <string>
@@ -15,17 +15,17 @@
 using basilsill::test::RunClaimHistory;
 
 constexpr uint64_t kHistories = 3000;
-constexpr uint64_t kMostToFindMutation = 3000;
+constexpr uint64_t kMaxSeedsPerMutation = 3000;
 
-// A longer run by hand: BASILSILL_HISTORIES=200000.
+// For a longer manual run, set BASILSILL_HISTORIES=200000.
 uint64_t HistoriesToRun() {
   const char* wanted = std::getenv("BASILSILL_HISTORIES");
   return wanted == nullptr ? kHistories : std::strtoull(wanted, nullptr, 10);
 }
 
-// @returns the first seed whose history breaks an invariant, 0 if none does.
-uint64_t FindViolation(Mutation mutation, uint64_t most) {
-  for (uint64_t seed = 1; seed <= most; ++seed) {
+// @returns the first seed whose history violates an invariant, or 0.
+uint64_t FindViolation(Mutation mutation, uint64_t max_seeds) {
+  for (uint64_t seed = 1; seed <= max_seeds; ++seed) {
     if (!RunClaimHistory(seed, mutation, false).violation.empty()) {
       return seed;
     }
@@ -33,28 +33,28 @@
   return 0;
 }
 
-void CheckIsNoticed(Mutation mutation) {
-  CHECK(FindViolation(mutation, kMostToFindMutation) != 0);
+void CheckIsDetected(Mutation mutation) {
+  CHECK(FindViolation(mutation, kMaxSeedsPerMutation) != 0);
 }
 
 }  // namespace
 
 TEST_GROUP(ClaimHistory){};
 
-// Callers send confirmations and send them again through other VMs while VMs
-// pause between any two steps, die, ask each other and lose the messages, and
-// the log is down, slow, trimmed, loses answers and takes appends late.
-// Whatever the order: at most one run a key, not-run means not run, one
-// answer, and no key that nobody ran is lost for good.
+// Callers retry requests through other VMs. Meanwhile VMs pause between any two
+// steps, die and lose messages to each other, and the log is down, slow or
+// trimmed, loses answers and applies appends late. In every order of events, a
+// key runs at most once and has one response, a request reported as not-run did
+// not run, and a key that was never granted does not stay blocked.
 TEST(ClaimHistory, RandomFaults_ManySeeds_EveryInvariantHolds) {
   HistoryResult total;
   for (uint64_t seed = 1; seed <= HistoriesToRun(); ++seed) {
     const HistoryResult result = RunClaimHistory(seed, Mutation::kNone, false);
     if (!result.violation.empty()) {
       const HistoryResult again = RunClaimHistory(seed, Mutation::kNone, true);
-      const std::string story = "seed " + std::to_string(seed) + ": " +
-                                again.violation + "\n" + again.trace;
-      FAIL(story.c_str());
+      const std::string failure = "seed " + std::to_string(seed) + ": " +
+                                  again.violation + "\n" + again.trace;
+      FAIL(failure.c_str());
     }
     total.runs += result.runs;
     total.told_not_run += result.told_not_run;
@@ -63,7 +63,7 @@
     total.landed_late += result.landed_late;
     total.broken_streams += result.broken_streams;
   }
-  // The histories reach what they are meant for.
+  // The histories cover every kind of outcome.
   CHECK(total.runs > 0);
   CHECK(total.told_not_run > 0);
   CHECK(total.told_unknown > 0);
@@ -72,46 +72,46 @@
   CHECK(total.broken_streams > 0);
 }
 
-TEST(ClaimHistory, Check_DispatchOnAppendAnswer_IsNoticed) {
-  CheckIsNoticed(Mutation::kDispatchOnAppend);
+TEST(ClaimHistory, Check_DispatchOnAppendAnswer_IsDetected) {
+  CheckIsDetected(Mutation::kDispatchOnAppend);
 }
 
-TEST(ClaimHistory, Check_DispatchOnOwnRecord_IsNoticed) {
-  CheckIsNoticed(Mutation::kDispatchOnOwnRecord);
+TEST(ClaimHistory, Check_DispatchOnOwnRecord_IsDetected) {
+  CheckIsDetected(Mutation::kDispatchOnOwnRecord);
 }
 
-TEST(ClaimHistory, Check_DispatchAfterRefusal_IsNoticed) {
-  CheckIsNoticed(Mutation::kDispatchAfterRefusal);
+TEST(ClaimHistory, Check_DispatchAfterRefusal_IsDetected) {
+  CheckIsDetected(Mutation::kDispatchAfterRefusal);
 }
 
-TEST(ClaimHistory, Check_ClaimsOfSilentVmsStolen_IsNoticed) {
-  CheckIsNoticed(Mutation::kStealClaims);
+TEST(ClaimHistory, Check_ClaimOfUnresponsiveVmReleased_IsDetected) {
+  CheckIsDetected(Mutation::kStealClaims);
 }
 
-TEST(ClaimHistory, Check_RunningRequestReleased_IsNoticed) {
-  CheckIsNoticed(Mutation::kReleaseRunning);
+TEST(ClaimHistory, Check_RunningRequestReleased_IsDetected) {
+  CheckIsDetected(Mutation::kReleaseRunning);
 }
 
-TEST(ClaimHistory, Check_AttemptUsedAtTwoVms_IsNoticed) {
-  CheckIsNoticed(Mutation::kReuseAttempts);
+TEST(ClaimHistory, Check_AttemptUsedAtTwoVms_IsDetected) {
+  CheckIsDetected(Mutation::kReuseAttempts);
 }
 
-TEST(ClaimHistory, Check_GapInHistoryIgnored_IsNoticed) {
-  CheckIsNoticed(Mutation::kIgnoreGaps);
+TEST(ClaimHistory, Check_GapInHistoryIgnored_IsDetected) {
+  CheckIsDetected(Mutation::kIgnoreGaps);
 }
 
-TEST(ClaimHistory, Check_BodiesNotCompared_IsNoticed) {
-  CheckIsNoticed(Mutation::kIgnoreBodies);
+TEST(ClaimHistory, Check_BodiesNotCompared_IsDetected) {
+  CheckIsDetected(Mutation::kIgnoreBodies);
 }
 
-TEST(ClaimHistory, Check_ReleaseBeforeClaimForgotten_IsNoticed) {
-  CheckIsNoticed(Mutation::kNoTombstones);
+TEST(ClaimHistory, Check_ReleaseBeforeClaimIgnored_IsDetected) {
+  CheckIsDetected(Mutation::kNoTombstones);
 }
 
-TEST(ClaimHistory, Check_LateClaimsKept_IsNoticed) {
-  CheckIsNoticed(Mutation::kKeepLateClaims);
+TEST(ClaimHistory, Check_AbandonedClaimsNotReleased_IsDetected) {
+  CheckIsDetected(Mutation::kKeepLateClaims);
 }
 
-TEST(ClaimHistory, Check_LostAnswersTrusted_IsNoticed) {
-  CheckIsNoticed(Mutation::kTrustLostAnswers);
+TEST(ClaimHistory, Check_LostAnswersTreatedAsRejected_IsDetected) {
+  CheckIsDetected(Mutation::kRejectLostAnswers);
 }
--- a/packages/decision/test/claim_simulation.cc
+++ b/packages/decision/test/claim_simulation.cc
@@ -13,26 +13,26 @@
 using std::chrono::seconds;
 
 constexpr size_t kVms = 4;
-constexpr size_t kMaxAsks = 3;
-constexpr Duration kFaultsFor = seconds(40);
-constexpr Duration kSettling = seconds(30);
-constexpr Duration kFinalEvery = seconds(12);
-constexpr int kFinalSends = 3;
+constexpr size_t kMaxAttempts = 3;
+constexpr Duration kFaultPeriod = seconds(40);
+constexpr Duration kSettleTime = seconds(30);
+constexpr Duration kFinalInterval = seconds(12);
+constexpr int kFinalSubmissions = 3;
 constexpr uint16_t kAnswerStatus = 201;
 
-/// One sending of a key by its caller, at the VM that holds it.
-struct Sending {
+/// One request of a caller for a key. The VM that received it is the holder.
+struct Submission {
   uint64_t id = 0;
   size_t key = 0;
   int body = 0;
   size_t holder = 0;
-  uint64_t holder_life = 0;
+  uint64_t holder_incarnation = 0;
   TimePoint deadline;
   std::vector<ClaimAttempt> attempts;
-  bool closed = false;      ///< The caller has its outcome, or left.
-  bool dispatched = false;  ///< Bytes may be on the way to an upstream.
+  bool closed = false;      ///< The caller has the outcome or disconnected.
+  bool dispatched = false;  ///< Bytes may have been sent to an upstream.
   bool told_not_run = false;
-  bool final_one = false;
+  bool is_final = false;
 };
 
 /// A key as its callers see it.
@@ -41,7 +41,7 @@
   int runs = 0;
   bool granted = false;
   std::string answer;
-  bool settled = false;  ///< A sending after the faults got its outcome.
+  bool resolved = false;  ///< A final submission got its outcome.
   Refusal last_refusal = Refusal::kNone;
 };
 
@@ -53,61 +53,64 @@
   return text;
 }
 
-class World {
+class ClaimSimulation {
  public:
-  World(uint64_t seed, Mutation mutation, bool trace);
+  ClaimSimulation(uint64_t seed, Mutation mutation, bool trace);
 
   HistoryResult Run();
 
  private:
-  using SendingPtr = std::shared_ptr<Sending>;
+  using SubmissionPtr = std::shared_ptr<Submission>;
 
   void Note(const std::string& text);
-  void Violate(const std::string& text);
+  void ReportViolation(const std::string& text);
   void ScheduleFaults();
   void ScheduleKeys();
-  void KillSome();
-  void Heal();
-  void SendFinal(size_t key, int left);
+  void KillRandomVm();
+  void StopFaults();
+  void SubmitFinal(size_t key, int left);
   void CheckEnd();
 
-  void Send(size_t key, int body, bool final_one);
-  bool IsHeld(const SendingPtr& sending) const;
-  void Ask(const SendingPtr& sending);
-  void AskElsewhere(const SendingPtr& sending, ClaimAttempt asked);
-  void LoseCaller(const SendingPtr& sending);
+  void Submit(size_t key, int body, bool is_final);
+  bool IsHolderRunning(const SubmissionPtr& submission) const;
+  void RequestClaim(const SubmissionPtr& submission);
+  void RetryElsewhere(const SubmissionPtr& submission, ClaimAttempt unanswered);
+  void DisconnectCaller(const SubmissionPtr& submission);
   void OnVerdict(const ClaimVm& vm, const ClaimAction& action);
-  void HearVerdict(const SendingPtr& sending, const ClaimAction& action);
-  void Dispatch(const SendingPtr& sending, ClaimAttempt attempt);
-  void RunUpstream(const SendingPtr& sending, ClaimAttempt attempt);
-  void OnUpstream(const SendingPtr& sending,
+  void HandleVerdict(const SubmissionPtr& submission,
+                     const ClaimAction& action);
+  void Dispatch(const SubmissionPtr& submission, ClaimAttempt attempt);
+  void RunUpstream(const SubmissionPtr& submission, ClaimAttempt attempt);
+  void OnUpstream(const SubmissionPtr& submission,
                   ClaimAttempt attempt,
                   ClaimOutcome outcome,
                   const std::string& answer);
-  void End(const SendingPtr& sending,
+  void End(const SubmissionPtr& submission,
            ClaimAttempt attempt,
            ClaimOutcome outcome,
            const std::string& answer);
-  void TellEnd(const SendingPtr& sending, const ClaimEnd& end);
-  void TellAnswer(const SendingPtr& sending, const std::string& answer);
-  void TellReplay(const SendingPtr& sending, const StoredResponse& answer);
-  void TellRefusal(const SendingPtr& sending, Refusal refusal);
-  void Steal(const SendingPtr& sending);
-  void MisuseRecord(const ClaimVm& vm, const ClaimRecord& record);
-
-  ClaimKey KeyOf(const Sending& sending) const;
-  Digest BodyOf(const Sending& sending) const;
-  void ToVm(const SendingPtr& sending,
-            size_t target,
-            const std::function<void(ClaimVm&)>& step);
+  void ReportEnd(const SubmissionPtr& submission, const ClaimEnd& end);
+  void DeliverAnswer(const SubmissionPtr& submission,
+                     const std::string& answer);
+  void DeliverReplay(const SubmissionPtr& submission,
+                     const StoredResponse& answer);
+  void DeliverRefusal(const SubmissionPtr& submission, Refusal refusal);
+  void StealClaim(const SubmissionPtr& submission);
+  void ApplyRecordMutation(const ClaimVm& vm, const ClaimRecord& record);
+
+  ClaimKey KeyOf(const Submission& submission) const;
+  Digest BodyOf(const Submission& submission) const;
+  void SendToVm(const SubmissionPtr& submission,
+                size_t target,
+                const std::function<void(ClaimVm&)>& step);
 
   HistoryResult result;
   bool tracing;
   HistoryContext context;
   std::vector<std::unique_ptr<ClaimVm>> vms;
   std::vector<CallerKey> keys;
-  std::vector<SendingPtr> sendings;
-  std::map<ClaimAttempt, SendingPtr> by_attempt;
+  std::vector<SubmissionPtr> submissions;
+  std::map<ClaimAttempt, SubmissionPtr> by_attempt;
   std::set<ClaimAttempt> refused;
   std::set<ClaimAttempt> ran;
   std::set<ClaimAttempt> recorded;
@@ -116,7 +119,7 @@
   bool any_trim = false;
 };
 
-World::World(uint64_t seed, Mutation mutation, bool trace)
+ClaimSimulation::ClaimSimulation(uint64_t seed, Mutation mutation, bool trace)
     : tracing(trace),
       context{{},
               {},
@@ -130,7 +133,7 @@
       this->OnVerdict(vm, action);
     };
     vm.on_read = [this, &vm](const ClaimRecord& record) {
-      this->MisuseRecord(vm, record);
+      this->ApplyRecordMutation(vm, record);
     };
     vm.on_appended = [this](const ClaimRecord& record) {
       const auto own = this->by_attempt.find(record.attempt);
@@ -140,14 +143,15 @@
         this->Dispatch(own->second, record.attempt);
       }
     };
-    if (this->context.chaos.wrong_clocks && this->context.chaos.Happens(0.5)) {
-      vm.clock_error = milliseconds(this->context.chaos.Below(7'200'000)) -
+    if (this->context.faults.wrong_clocks &&
+        this->context.faults.Happens(0.5)) {
+      vm.clock_error = milliseconds(this->context.faults.Below(7'200'000)) -
                        std::chrono::hours(1);
     }
   }
 }
 
-void World::Note(const std::string& text) {
+void ClaimSimulation::Note(const std::string& text) {
   if (!this->tracing) {
     return;
   }
@@ -158,14 +162,14 @@
   this->result.trace += stamp + text + "\n";
 }
 
-void World::Violate(const std::string& text) {
+void ClaimSimulation::ReportViolation(const std::string& text) {
   this->Note("VIOLATION " + text);
   if (this->result.violation.empty()) {
     this->result.violation = text;
   }
 }
 
-HistoryResult World::Run() {
+HistoryResult ClaimSimulation::Run() {
   std::vector<uint64_t> origins;
   for (const auto& vm : this->vms) {
     origins.push_back(vm->origin());
@@ -176,13 +180,13 @@
   this->ScheduleFaults();
   this->ScheduleKeys();
   VirtualTime& time = this->context.time;
-  time.RunUntil(VirtualTime::kStart + kFaultsFor);
-  this->Heal();
-  time.RunUntil(time.now() + kSettling);
+  time.RunUntil(VirtualTime::kStart + kFaultPeriod);
+  this->StopFaults();
+  time.RunUntil(time.now() + kSettleTime);
   for (size_t i = 0; i < this->keys.size(); ++i) {
-    this->SendFinal(i, kFinalSends);
+    this->SubmitFinal(i, kFinalSubmissions);
   }
-  time.RunUntil(time.now() + kFinalEvery * (kFinalSends + 1));
+  time.RunUntil(time.now() + kFinalInterval * (kFinalSubmissions + 1));
   this->CheckEnd();
   for (const auto& vm : this->vms) {
     this->result.replayed += vm->table->counters().replayed;
@@ -192,47 +196,47 @@
   return this->result;
 }
 
-void World::ScheduleFaults() {
-  FaultInjector& chaos = this->context.chaos;
+void ClaimSimulation::ScheduleFaults() {
+  FaultInjector& faults = this->context.faults;
   VirtualTime& time = this->context.time;
-  const auto sometime = [&chaos, &time](auto run) {
-    time.After(chaos.Between(Duration::zero(), kFaultsFor), run);
+  const auto at_random_time = [&faults, &time](auto run) {
+    time.After(faults.Between(Duration::zero(), kFaultPeriod), run);
   };
-  if (chaos.outage) {
-    sometime([this, &chaos, &time] {
+  if (faults.outage) {
+    at_random_time([this, &faults, &time] {
       this->Note("log down");
-      chaos.down_until = time.now() + chaos.Between(seconds(0), seconds(15));
+      faults.down_until = time.now() + faults.Between(seconds(0), seconds(15));
     });
   }
-  if (chaos.slow) {
-    sometime([this, &chaos, &time] {
+  if (faults.slow) {
+    at_random_time([this, &faults, &time] {
       this->Note("log slow");
-      chaos.slow_until = time.now() + seconds(10);
+      faults.slow_until = time.now() + seconds(10);
     });
   }
   for (int i = 0; i < 3; ++i) {
-    if (chaos.trims) {
-      sometime([this, &chaos] {
+    if (faults.trims) {
+      at_random_time([this, &faults] {
         this->Note("log trimmed");
         this->any_trim = true;
-        this->context.log.Trim(chaos.Below(4));
+        this->context.log.Trim(faults.Below(4));
       });
     }
-    if (chaos.kills) {
-      sometime([this] { this->KillSome(); });
+    if (faults.kills) {
+      at_random_time([this] { this->KillRandomVm(); });
     }
   }
 }
 
-void World::KillSome() {
-  FaultInjector& chaos = this->context.chaos;
-  ClaimVm& vm = *this->vms[chaos.Below(kVms)];
+void ClaimSimulation::KillRandomVm() {
+  FaultInjector& faults = this->context.faults;
+  ClaimVm& vm = *this->vms[faults.Below(kVms)];
   if (!vm.alive) {
     return;
   }
   this->any_kill = true;
   vm.Kill();
-  this->context.time.After(chaos.Between(milliseconds(50), seconds(5)),
+  this->context.time.After(faults.Between(milliseconds(50), seconds(5)),
                            [this, &vm] {
                              std::vector<uint64_t> origins;
                              for (const auto& other : this->vms) {
@@ -242,392 +246,416 @@
                            });
 }
 
-void World::ScheduleKeys() {
-  FaultInjector& chaos = this->context.chaos;
-  const size_t count = 1 + chaos.Below(3);
+void ClaimSimulation::ScheduleKeys() {
+  FaultInjector& faults = this->context.faults;
+  const size_t count = 1 + faults.Below(3);
   for (size_t i = 0; i < count; ++i) {
-    // Born within the second before the history or the one after, which are
-    // of two buckets.
-    const int64_t birth =
+    // Created within half a second before or after a bucket boundary, so that
+    // keys fall into two buckets.
+    const int64_t created_at =
         std::chrono::milliseconds(std::chrono::hours(480'000)).count() +
-        static_cast<int64_t>(chaos.Below(1000)) - 500;
+        static_cast<int64_t>(faults.Below(1000)) - 500;
     CallerKey key;
-    key.text = std::to_string(birth) + "-" + std::to_string(i);
+    key.text = std::to_string(created_at) + "-" + std::to_string(i);
     this->keys.push_back(key);
-    const size_t sends = 1 + chaos.Below(4);
+    const size_t sends = 1 + faults.Below(4);
     for (size_t j = 0; j < sends; ++j) {
-      const int body = chaos.Happens(0.1) ? 1 : 0;
-      const Duration longest = chaos.Happens(0.4) ? seconds(1) : kFaultsFor;
-      this->context.time.After(chaos.Between(Duration::zero(), longest),
-                               [this, i, body] { this->Send(i, body, false); });
+      const int body = faults.Happens(0.1) ? 1 : 0;
+      const Duration longest = faults.Happens(0.4) ? seconds(1) : kFaultPeriod;
+      this->context.time.After(
+          faults.Between(Duration::zero(), longest),
+          [this, i, body] { this->Submit(i, body, false); });
     }
   }
 }
 
-void World::Heal() {
+void ClaimSimulation::StopFaults() {
   this->Note("no more faults");
-  FaultInjector& chaos = this->context.chaos;
-  chaos.healed = true;
-  chaos.down_until = TimePoint();
-  chaos.slow_until = TimePoint();
+  FaultInjector& faults = this->context.faults;
+  faults.stopped = true;
+  faults.down_until = TimePoint();
+  faults.slow_until = TimePoint();
   for (const auto& vm : this->vms) {
     vm->clock_error = milliseconds(0);
     vm->Resume();
   }
 }
 
-void World::SendFinal(size_t key, int left) {
-  if (this->keys[key].settled || left == 0) {
+void ClaimSimulation::SubmitFinal(size_t key, int left) {
+  if (this->keys[key].resolved || left == 0) {
     return;
   }
-  this->Send(key, 0, true);
+  this->Submit(key, 0, true);
   this->context.time.After(
-      kFinalEvery, [this, key, left] { this->SendFinal(key, left - 1); });
+      kFinalInterval, [this, key, left] { this->SubmitFinal(key, left - 1); });
 }
 
-void World::CheckEnd() {
-  for (const SendingPtr& sending : this->sendings) {
-    if (!sending->closed && this->IsHeld(sending)) {
-      this->Violate("sending " + std::to_string(sending->id) +
-                    " never got an outcome");
+void ClaimSimulation::CheckEnd() {
+  for (const SubmissionPtr& submission : this->submissions) {
+    if (!submission->closed && this->IsHolderRunning(submission)) {
+      this->ReportViolation("submission " + std::to_string(submission->id) +
+                            " never got an outcome");
     }
   }
   for (const CallerKey& key : this->keys) {
-    // A key that nobody ever got the right to run, and of which no record is
-    // lost, must be free after all faults.
-    if (!key.settled && !key.granted && !this->any_kill && !this->any_trim) {
-      this->Violate("key " + key.text +
-                    " is stuck: " + std::string(InfoOf(key.last_refusal).name));
+    // A key that was never granted, and whose records are all retained, must be
+    // free once the faults have stopped.
+    if (!key.resolved && !key.granted && !this->any_kill && !this->any_trim) {
+      this->ReportViolation("key " + key.text + " is still blocked: " +
+                            std::string(InfoOf(key.last_refusal).name));
     }
   }
 }
 
-ClaimKey World::KeyOf(const Sending& sending) const {
-  return ParseClaimKey(MakeTeamKey("team"), this->keys[sending.key].text).key;
+ClaimKey ClaimSimulation::KeyOf(const Submission& submission) const {
+  return ParseClaimKey(MakeTeamKey("team"), this->keys[submission.key].text)
+      .key;
 }
 
-Digest World::BodyOf(const Sending& sending) const {
+Digest ClaimSimulation::BodyOf(const Submission& submission) const {
   const bool alike = this->context.mutation == Mutation::kIgnoreBodies;
-  const std::string_view parts[] = {sending.body == 0 || alike ? "a" : "b"};
+  const std::string_view parts[] = {submission.body == 0 || alike ? "a" : "b"};
   return DigestOf(parts);
 }
 
-void World::Send(size_t key, int body, bool final_one) {
-  FaultInjector& chaos = this->context.chaos;
-  const auto sending = std::make_shared<Sending>();
-  sending->id = this->sendings.size();
-  sending->key = key;
-  sending->body = body;
-  sending->final_one = final_one;
-  sending->holder = chaos.Below(kVms);
-  ClaimVm& holder = *this->vms[sending->holder];
+void ClaimSimulation::Submit(size_t key, int body, bool is_final) {
+  FaultInjector& faults = this->context.faults;
+  const auto submission = std::make_shared<Submission>();
+  submission->id = this->submissions.size();
+  submission->key = key;
+  submission->body = body;
+  submission->is_final = is_final;
+  submission->holder = faults.Below(kVms);
+  ClaimVm& holder = *this->vms[submission->holder];
   if (!holder.alive) {
     return;
   }
-  sending->holder_life = holder.life;
-  sending->deadline =
+  submission->holder_incarnation = holder.incarnation;
+  submission->deadline =
       this->context.time.now() +
-      (final_one ? seconds(8) : chaos.Between(milliseconds(50), seconds(8)));
-  this->sendings.push_back(sending);
-  holder.Post([this, sending] { this->Ask(sending); });
-  if (chaos.Happens(0.1)) {
-    this->context.time.After(chaos.Between(seconds(0), seconds(1)),
-                             [this, sending] { this->LoseCaller(sending); });
+      (is_final ? seconds(8) : faults.Between(milliseconds(50), seconds(8)));
+  this->submissions.push_back(submission);
+  holder.Post([this, submission] { this->RequestClaim(submission); });
+  if (faults.Happens(0.1)) {
+    this->context.time.After(
+        faults.Between(seconds(0), seconds(1)),
+        [this, submission] { this->DisconnectCaller(submission); });
   }
 }
 
-bool World::IsHeld(const SendingPtr& sending) const {
-  const ClaimVm& holder = *this->vms[sending->holder];
-  return holder.alive && holder.life == sending->holder_life;
+bool ClaimSimulation::IsHolderRunning(const SubmissionPtr& submission) const {
+  const ClaimVm& holder = *this->vms[submission->holder];
+  return holder.alive && holder.incarnation == submission->holder_incarnation;
 }
 
-// Carries a message from the holder to VM `target`.
-void World::ToVm(const SendingPtr& sending,
-                 size_t target,
-                 const std::function<void(ClaimVm&)>& step) {
-  FaultInjector& chaos = this->context.chaos;
-  const bool local = target == sending->holder;
-  if (!local && chaos.Happens(chaos.lose_message)) {
+// Delivers a message from the holder to VM `target`, unless it is lost.
+void ClaimSimulation::SendToVm(const SubmissionPtr& submission,
+                               size_t target,
+                               const std::function<void(ClaimVm&)>& step) {
+  FaultInjector& faults = this->context.faults;
+  const bool local = target == submission->holder;
+  if (!local && faults.Happens(faults.lose_message)) {
     return;
   }
-  this->context.time.After(local ? Duration::zero() : chaos.NetworkDelay(),
-                           [this, target, step, local, sending] {
-                             ClaimVm& vm = *this->vms[target];
-                             if (!local || vm.life == sending->holder_life) {
-                               vm.Post([&vm, step] { step(vm); });
-                             }
-                           });
+  this->context.time.After(
+      local ? Duration::zero() : faults.NetworkDelay(),
+      [this, target, step, local, submission] {
+        ClaimVm& vm = *this->vms[target];
+        if (!local || vm.incarnation == submission->holder_incarnation) {
+          vm.Post([&vm, step] { step(vm); });
+        }
+      });
 }
 
-void World::Ask(const SendingPtr& sending) {
-  if (sending->closed) {
+void ClaimSimulation::RequestClaim(const SubmissionPtr& submission) {
+  if (submission->closed) {
     return;
   }
-  FaultInjector& chaos = this->context.chaos;
-  ClaimVm& holder = *this->vms[sending->holder];
-  const bool again = !sending->attempts.empty();
+  FaultInjector& faults = this->context.faults;
+  ClaimVm& holder = *this->vms[submission->holder];
+  const bool again = !submission->attempts.empty();
   const bool reuse =
       again && this->context.mutation == Mutation::kReuseAttempts;
   ClaimRequest request;
-  request.key = this->KeyOf(*sending);
-  request.body = this->BodyOf(*sending);
+  request.key = this->KeyOf(*submission);
+  request.body = this->BodyOf(*submission);
   if (again && !reuse) {
-    request.supersedes = sending->attempts.back();
+    request.supersedes = submission->attempts.back();
   }
   if (!reuse) {
-    sending->attempts.push_back({holder.origin(), ++holder.sequence});
+    submission->attempts.push_back({holder.origin(), ++holder.sequence});
   }
-  request.attempt = sending->attempts.back();
-  this->by_attempt[request.attempt] = sending;
+  request.attempt = submission->attempts.back();
+  this->by_attempt[request.attempt] = submission;
   const size_t target =
-      again || chaos.Below(2) == 0 ? chaos.Below(kVms) : sending->holder;
-  this->Note("sending " + std::to_string(sending->id) + " of key " +
-             std::to_string(sending->key) + ": " + holder.name + " asks vm" +
-             std::to_string(target) + " as " + Name(request.attempt));
-  const Duration left = sending->deadline - this->context.time.now();
-  this->ToVm(sending, target,
-             [request, left](ClaimVm& vm) { vm.Request(request, left); });
-  this->context.time.After(chaos.Between(milliseconds(200), seconds(6)),
-                           [this, sending, attempt = request.attempt] {
-                             this->AskElsewhere(sending, attempt);
+      again || faults.Below(2) == 0 ? faults.Below(kVms) : submission->holder;
+  this->Note("submission " + std::to_string(submission->id) + " of key " +
+             std::to_string(submission->key) + ": " + holder.name +
+             " sends it to vm" + std::to_string(target) + " as " +
+             Name(request.attempt));
+  const Duration left = submission->deadline - this->context.time.now();
+  this->SendToVm(submission, target,
+                 [request, left](ClaimVm& vm) { vm.Request(request, left); });
+  this->context.time.After(faults.Between(milliseconds(200), seconds(6)),
+                           [this, submission, attempt = request.attempt] {
+                             this->RetryElsewhere(submission, attempt);
                            });
 }
 
-// The holder heard nothing from the VM it asked.
-void World::AskElsewhere(const SendingPtr& sending, ClaimAttempt asked) {
-  if (!this->IsHeld(sending)) {
+// The VM that received the attempt did not answer in time: the holder releases
+// the attempt and sends a new one to another VM.
+void ClaimSimulation::RetryElsewhere(const SubmissionPtr& submission,
+                                     ClaimAttempt unanswered) {
+  if (!this->IsHolderRunning(submission)) {
     return;
   }
-  this->vms[sending->holder]->Post([this, sending, asked] {
-    if (sending->closed || sending->dispatched ||
-        sending->attempts.back() != asked) {
+  this->vms[submission->holder]->Post([this, submission, unanswered] {
+    if (submission->closed || submission->dispatched ||
+        submission->attempts.back() != unanswered) {
       return;
     }
     if (this->context.mutation != Mutation::kReuseAttempts) {
-      this->End(sending, asked, ClaimOutcome::kReleased, "");
+      this->End(submission, unanswered, ClaimOutcome::kReleased, "");
     }
-    const bool late = this->context.time.now() >= sending->deadline;
-    if (late || sending->attempts.size() >= kMaxAsks) {
-      this->TellRefusal(sending, Refusal::kClaimUnavailable);
+    const bool late = this->context.time.now() >= submission->deadline;
+    if (late || submission->attempts.size() >= kMaxAttempts) {
+      this->DeliverRefusal(submission, Refusal::kClaimUnavailable);
     } else {
-      this->Ask(sending);
+      this->RequestClaim(submission);
     }
   });
 }
 
-void World::LoseCaller(const SendingPtr& sending) {
-  if (!this->IsHeld(sending)) {
+void ClaimSimulation::DisconnectCaller(const SubmissionPtr& submission) {
+  if (!this->IsHolderRunning(submission)) {
     return;
   }
-  this->vms[sending->holder]->Post([this, sending] {
-    if (sending->closed || sending->dispatched || sending->attempts.empty()) {
+  this->vms[submission->holder]->Post([this, submission] {
+    if (submission->closed || submission->dispatched ||
+        submission->attempts.empty()) {
       return;
     }
-    this->Note("caller of sending " + std::to_string(sending->id) + " left");
-    sending->closed = true;
-    this->End(sending, sending->attempts.back(), ClaimOutcome::kReleased, "");
+    this->Note("caller of submission " + std::to_string(submission->id) +
+               " disconnected");
+    submission->closed = true;
+    this->End(submission, submission->attempts.back(), ClaimOutcome::kReleased,
+              "");
   });
 }
 
-void World::OnVerdict(const ClaimVm& vm, const ClaimAction& action) {
+void ClaimSimulation::OnVerdict(const ClaimVm& vm, const ClaimAction& action) {
   if (action.kind == ClaimActionKind::kRefuse) {
     this->refused.insert(action.attempt);
   }
   if (action.kind == ClaimActionKind::kRecorded) {
     this->recorded.insert(action.attempt);
   }
-  const auto asked = this->by_attempt.find(action.attempt);
-  if (asked == this->by_attempt.end()) {
+  const auto found = this->by_attempt.find(action.attempt);
+  if (found == this->by_attempt.end()) {
     return;
   }
-  const SendingPtr sending = asked->second;
-  FaultInjector& chaos = this->context.chaos;
-  ClaimVm& holder = *this->vms[sending->holder];
+  const SubmissionPtr submission = found->second;
+  FaultInjector& faults = this->context.faults;
+  ClaimVm& holder = *this->vms[submission->holder];
   const bool local = &vm == &holder;
-  if (!local && chaos.Happens(chaos.lose_message)) {
+  if (!local && faults.Happens(faults.lose_message)) {
     return;
   }
-  this->context.time.After(local ? Duration::zero() : chaos.NetworkDelay(),
-                           [this, sending, action, &holder] {
-                             if (this->IsHeld(sending)) {
-                               holder.Post([this, sending, action] {
-                                 this->HearVerdict(sending, action);
+  this->context.time.After(local ? Duration::zero() : faults.NetworkDelay(),
+                           [this, submission, action, &holder] {
+                             if (this->IsHolderRunning(submission)) {
+                               holder.Post([this, submission, action] {
+                                 this->HandleVerdict(submission, action);
                                });
                              }
                            });
 }
 
-void World::HearVerdict(const SendingPtr& sending, const ClaimAction& action) {
-  if (sending->closed || sending->dispatched ||
-      sending->attempts.back() != action.attempt) {
-    return;  // Superseded, or its caller left: it was released already.
+void ClaimSimulation::HandleVerdict(const SubmissionPtr& submission,
+                                    const ClaimAction& action) {
+  if (submission->closed || submission->dispatched ||
+      submission->attempts.back() != action.attempt) {
+    return;  // Superseded, or the caller disconnected: already released.
   }
   if (action.kind == ClaimActionKind::kGrant) {
     this->Note("granted " + Name(action.attempt));
-    this->keys[sending->key].granted = true;
-    sending->dispatched = true;
-    this->vms[sending->holder]->Post(
-        [this, sending, action] { this->Dispatch(sending, action.attempt); });
+    this->keys[submission->key].granted = true;
+    submission->dispatched = true;
+    this->vms[submission->holder]->Post([this, submission, action] {
+      this->Dispatch(submission, action.attempt);
+    });
   } else if (action.kind == ClaimActionKind::kReplay) {
-    this->TellReplay(sending, action.answer);
+    this->DeliverReplay(submission, action.answer);
   } else if (action.kind == ClaimActionKind::kRefuse) {
     if (this->context.mutation == Mutation::kStealClaims &&
         action.refusal == Refusal::kClaimOutcomeUnknown) {
-      return this->Steal(sending);
+      return this->StealClaim(submission);
     }
-    this->TellRefusal(sending, action.refusal);
+    this->DeliverRefusal(submission, action.refusal);
   }
 }
 
-void World::Dispatch(const SendingPtr& sending, ClaimAttempt attempt) {
-  FaultInjector& chaos = this->context.chaos;
-  sending->dispatched = true;
-  Duration way = chaos.NetworkDelay();
-  if (chaos.Happens(chaos.bad_upstream)) {
-    way += chaos.Between(Duration::zero(), seconds(10));
+void ClaimSimulation::Dispatch(const SubmissionPtr& submission,
+                               ClaimAttempt attempt) {
+  FaultInjector& faults = this->context.faults;
+  submission->dispatched = true;
+  Duration delay = faults.NetworkDelay();
+  if (faults.Happens(faults.bad_upstream)) {
+    delay += faults.Between(Duration::zero(), seconds(10));
   }
-  this->context.time.After(
-      way, [this, sending, attempt] { this->RunUpstream(sending, attempt); });
+  this->context.time.After(delay, [this, submission, attempt] {
+    this->RunUpstream(submission, attempt);
+  });
   if (this->context.mutation == Mutation::kReleaseRunning) {
-    this->context.time.At(sending->deadline, [this, sending, attempt] {
-      if (!sending->closed && this->IsHeld(sending)) {
-        this->OnUpstream(sending, attempt, ClaimOutcome::kReleased, "");
+    this->context.time.At(submission->deadline, [this, submission, attempt] {
+      if (!submission->closed && this->IsHolderRunning(submission)) {
+        this->OnUpstream(submission, attempt, ClaimOutcome::kReleased, "");
       }
     });
   }
 }
 
-void World::RunUpstream(const SendingPtr& sending, ClaimAttempt attempt) {
-  FaultInjector& chaos = this->context.chaos;
-  CallerKey& key = this->keys[sending->key];
+void ClaimSimulation::RunUpstream(const SubmissionPtr& submission,
+                                  ClaimAttempt attempt) {
+  FaultInjector& faults = this->context.faults;
+  CallerKey& key = this->keys[submission->key];
   ClaimOutcome outcome = ClaimOutcome::kDone;
-  if (chaos.Happens(chaos.bad_upstream)) {
+  if (faults.Happens(faults.bad_upstream)) {
     outcome =
-        chaos.Happens(0.5) ? ClaimOutcome::kReleased : ClaimOutcome::kUnknown;
+        faults.Happens(0.5) ? ClaimOutcome::kReleased : ClaimOutcome::kUnknown;
   }
   if (outcome != ClaimOutcome::kReleased) {
     this->Note("upstream runs " + Name(attempt));
     this->ran.insert(attempt);
     ++this->result.runs;
     if (++key.runs > 1) {
-      this->Violate("key " + key.text + " ran twice");
+      this->ReportViolation("key " + key.text + " ran twice");
     }
-    if (sending->told_not_run) {
-      this->Violate(Name(attempt) + " ran after its caller was told not-run");
+    if (submission->told_not_run) {
+      this->ReportViolation(Name(attempt) +
+                            " ran after its caller got not-run");
     }
   }
   const std::string answer =
-      std::to_string(sending->body) + " by " + Name(attempt);
-  this->context.time.After(chaos.Between(milliseconds(1), milliseconds(50)),
-                           [this, sending, attempt, outcome, answer] {
-                             if (this->IsHeld(sending)) {
-                               this->vms[sending->holder]->Post(
-                                   [this, sending, attempt, outcome, answer] {
-                                     this->OnUpstream(sending, attempt, outcome,
-                                                      answer);
-                                   });
-                             }
-                           });
+      std::to_string(submission->body) + " by " + Name(attempt);
+  this->context.time.After(
+      faults.Between(milliseconds(1), milliseconds(50)),
+      [this, submission, attempt, outcome, answer] {
+        if (this->IsHolderRunning(submission)) {
+          this->vms[submission->holder]->Post(
+              [this, submission, attempt, outcome, answer] {
+                this->OnUpstream(submission, attempt, outcome, answer);
+              });
+        }
+      });
 }
 
-void World::OnUpstream(const SendingPtr& sending,
-                       ClaimAttempt attempt,
-                       ClaimOutcome outcome,
-                       const std::string& answer) {
-  this->End(sending, attempt, outcome, answer);
+void ClaimSimulation::OnUpstream(const SubmissionPtr& submission,
+                                 ClaimAttempt attempt,
+                                 ClaimOutcome outcome,
+                                 const std::string& answer) {
+  this->End(submission, attempt, outcome, answer);
   if (outcome == ClaimOutcome::kDone) {
-    this->TellAnswer(sending, answer);
+    this->DeliverAnswer(submission, answer);
   } else {
-    this->TellRefusal(sending, outcome == ClaimOutcome::kReleased
-                                   ? Refusal::kUpstreamShed
-                                   : Refusal::kUpstreamDied);
+    this->DeliverRefusal(submission, outcome == ClaimOutcome::kReleased
+                                         ? Refusal::kUpstreamShed
+                                         : Refusal::kUpstreamDied);
   }
 }
 
-void World::End(const SendingPtr& sending,
-                ClaimAttempt attempt,
-                ClaimOutcome outcome,
-                const std::string& answer) {
+void ClaimSimulation::End(const SubmissionPtr& submission,
+                          ClaimAttempt attempt,
+                          ClaimOutcome outcome,
+                          const std::string& answer) {
   ClaimEnd end;
-  end.key = this->KeyOf(*sending);
-  end.body = this->BodyOf(*sending);
+  end.key = this->KeyOf(*submission);
+  end.body = this->BodyOf(*submission);
   end.attempt = attempt;
   end.outcome = outcome;
-  if (outcome == ClaimOutcome::kReleased && sending->dispatched) {
-    this->keys[sending->key].granted = false;
+  if (outcome == ClaimOutcome::kReleased && submission->dispatched) {
+    this->keys[submission->key].granted = false;
   }
   end.answer = {kAnswerStatus, true, {{"content-type", "text/plain"}}, answer};
-  this->TellEnd(sending, end);
+  this->ReportEnd(submission, end);
 }
 
-// The holder tells the end to some VM until one says that the log has it.
-void World::TellEnd(const SendingPtr& sending, const ClaimEnd& end) {
-  if (!this->IsHeld(sending) || this->recorded.contains(end.attempt)) {
+// The holder reports the end to random VMs until it is in the log.
+void ClaimSimulation::ReportEnd(const SubmissionPtr& submission,
+                                const ClaimEnd& end) {
+  if (!this->IsHolderRunning(submission) ||
+      this->recorded.contains(end.attempt)) {
     return;
   }
-  this->ToVm(sending, this->context.chaos.Below(kVms),
-             [end](ClaimVm& vm) { vm.Finish(end); });
-  this->context.time.After(
-      seconds(5), [this, sending, end] { this->TellEnd(sending, end); });
+  this->SendToVm(submission, this->context.faults.Below(kVms),
+                 [end](ClaimVm& vm) { vm.Finish(end); });
+  this->context.time.After(seconds(5), [this, submission, end] {
+    this->ReportEnd(submission, end);
+  });
 }
 
-void World::TellAnswer(const SendingPtr& sending, const std::string& answer) {
-  if (std::exchange(sending->closed, true)) {
+void ClaimSimulation::DeliverAnswer(const SubmissionPtr& submission,
+                                    const std::string& answer) {
+  if (std::exchange(submission->closed, true)) {
     return;
   }
-  this->Note("sending " + std::to_string(sending->id) + " told " + answer);
-  CallerKey& key = this->keys[sending->key];
-  key.settled |= sending->final_one;
+  this->Note("submission " + std::to_string(submission->id) + " got " + answer);
+  CallerKey& key = this->keys[submission->key];
+  key.resolved |= submission->is_final;
   if (!key.answer.empty() && key.answer != answer) {
-    this->Violate("key " + key.text + " has two answers");
+    this->ReportViolation("key " + key.text + " has two answers");
   }
-  if (answer.substr(0, 1) != std::to_string(sending->body)) {
-    this->Violate("an answer to another body was told");
+  if (answer.substr(0, 1) != std::to_string(submission->body)) {
+    this->ReportViolation("caller got the answer to another body");
   }
   key.answer = answer;
 }
 
-void World::TellReplay(const SendingPtr& sending,
-                       const StoredResponse& answer) {
+void ClaimSimulation::DeliverReplay(const SubmissionPtr& submission,
+                                    const StoredResponse& answer) {
   if (answer.whole) {
-    return this->TellAnswer(sending, answer.body);
+    return this->DeliverAnswer(submission, answer.body);
   }
-  // The record of the answer is past retention; only the status is left.
-  sending->closed = true;
-  this->keys[sending->key].settled |= sending->final_one;
+  // The record of the response is past retention; only the status is known.
+  submission->closed = true;
+  this->keys[submission->key].resolved |= submission->is_final;
   if (!this->any_trim || answer.status != kAnswerStatus) {
-    this->Violate("an answer in the log was not told whole");
+    this->ReportViolation("caller got only the status of an answer in the log");
   }
 }
 
-void World::TellRefusal(const SendingPtr& sending, Refusal refusal) {
-  if (std::exchange(sending->closed, true)) {
+void ClaimSimulation::DeliverRefusal(const SubmissionPtr& submission,
+                                     Refusal refusal) {
+  if (std::exchange(submission->closed, true)) {
     return;
   }
-  this->Note("sending " + std::to_string(sending->id) + " told " +
+  this->Note("submission " + std::to_string(submission->id) + " got " +
              std::string(InfoOf(refusal).name));
-  this->keys[sending->key].last_refusal = refusal;
-  sending->told_not_run = InfoOf(refusal).promise == Promise::kNotRun;
-  ++(sending->told_not_run ? this->result.told_not_run
-                           : this->result.told_unknown);
-  for (const ClaimAttempt& attempt : sending->attempts) {
-    if (sending->told_not_run && this->ran.contains(attempt)) {
-      this->Violate(Name(attempt) + " had run when told not-run");
+  this->keys[submission->key].last_refusal = refusal;
+  submission->told_not_run = InfoOf(refusal).promise == Promise::kNotRun;
+  ++(submission->told_not_run ? this->result.told_not_run
+                              : this->result.told_unknown);
+  for (const ClaimAttempt& attempt : submission->attempts) {
+    if (submission->told_not_run && this->ran.contains(attempt)) {
+      this->ReportViolation(Name(attempt) +
+                            " had run when its caller got not-run");
     }
   }
 }
 
-// A lease that lapses: the claim of another looks dead, so it is released.
-void World::Steal(const SendingPtr& sending) {
-  const ClaimKey key = this->KeyOf(*sending);
+// Models claims that expire like leases: releases the claim of another holder
+// that seems dead.
+void ClaimSimulation::StealClaim(const SubmissionPtr& submission) {
+  const ClaimKey key = this->KeyOf(*submission);
   const auto last = this->last_claim.find({key.team, key.digest});
   if (last != this->last_claim.end()) {
-    this->End(sending, last->second, ClaimOutcome::kReleased, "");
+    this->End(submission, last->second, ClaimOutcome::kReleased, "");
   }
-  this->Ask(sending);
+  this->RequestClaim(submission);
 }
 
-void World::MisuseRecord(const ClaimVm& vm, const ClaimRecord& record) {
+void ClaimSimulation::ApplyRecordMutation(const ClaimVm& vm,
+                                          const ClaimRecord& record) {
   if (record.kind != ClaimRecordKind::kClaim) {
     return;
   }
@@ -648,7 +676,7 @@
 }  // namespace
 
 HistoryResult RunClaimHistory(uint64_t seed, Mutation mutation, bool trace) {
-  return World(seed, mutation, trace).Run();
+  return ClaimSimulation(seed, mutation, trace).Run();
 }
 
 }  // namespace basilsill::test
--- a/packages/decision/test/claim_simulation.h
+++ b/packages/decision/test/claim_simulation.h
@@ -4,33 +4,33 @@
 #include <cstdint>
 #include <string>
 
-/// Random histories of requests that must not repeat, in virtual time: some
-/// VMs with a ClaimTable each, a log that misbehaves, upstreams, and callers
-/// that send again. Everything follows from the seed.
+/// Simulation of requests that must run at most once, in virtual time: VMs with
+/// a ClaimTable each, a faulty log, upstreams, and callers that retry. A
+/// history is determined by its seed.
 
 namespace basilsill::test {
 
-/// One guard taken away, to see whether the check of histories notices.
+/// A safety rule to violate, to test that the check of histories detects it.
 enum class Mutation : uint8_t {
   kNone,
-  kDispatchOnAppend,      ///< On the answer to the append, not on read-back.
-  kDispatchOnOwnRecord,   ///< When the own claim is read, first or not.
-  kDispatchAfterRefusal,  ///< When the own claim lands after being given up.
-  kStealClaims,           ///< Releases another's claim when it looks dead.
-  kReleaseRunning,        ///< Calls a dispatched request not run when late.
-  kReuseAttempts,         ///< Asks another VM for the same attempt.
-  kIgnoreGaps,            ///< Grants in a stream with a gap.
-  kIgnoreBodies,          ///< All bodies look alike.
-  kNoTombstones,          ///< A release before its claim is forgotten.
-  kKeepLateClaims,        ///< Claims that were given up are not released.
-  kTrustLostAnswers,      ///< A lost answer counts as no effect.
+  kDispatchOnAppend,     ///< Dispatches when the append is confirmed.
+  kDispatchOnOwnRecord,  ///< Dispatches on reading the own claim, first or not.
+  kDispatchAfterRefusal,  ///< Dispatches when an abandoned claim is read.
+  kStealClaims,           ///< Releases a claim whose holder seems dead.
+  kReleaseRunning,        ///< Releases a dispatched request at its deadline.
+  kReuseAttempts,         ///< Sends the same attempt to another VM.
+  kIgnoreGaps,            ///< Grants in a stream whose history has a gap.
+  kIgnoreBodies,          ///< Does not compare the bodies of retries.
+  kNoTombstones,          ///< Ignores a release that precedes its claim.
+  kKeepLateClaims,        ///< Does not release abandoned claims.
+  kRejectLostAnswers,     ///< Treats an unanswered append as rejected.
   kCount
 };
 
-/// What one history, or many, came to.
+/// Results of one history, or the sums over many.
 struct HistoryResult {
   std::string violation;  ///< Empty if every invariant held.
-  std::string trace;      ///< The history, if asked for.
+  std::string trace;      ///< Log of all events, if requested.
   uint64_t runs = 0;
   uint64_t told_not_run = 0;
   uint64_t told_unknown = 0;
@@ -39,7 +39,8 @@
   uint64_t broken_streams = 0;
 };
 
-/// Runs the history of `seed`.
+/// Runs the history of `seed` with one rule violated as `mutation` says.
+/// @param trace Whether to record `HistoryResult::trace`.
 HistoryResult RunClaimHistory(uint64_t seed, Mutation mutation, bool trace);
 
 }  // namespace basilsill::test
--- a/packages/decision/test/claim_vm.cc
+++ b/packages/decision/test/claim_vm.cc
@@ -14,7 +14,7 @@
 constexpr size_t kSteps = 1 << 20;
 constexpr Duration kSlowAppend = seconds(2);
 
-/// Half a second into a bucket, so that keys of two buckets occur.
+/// Half a second into a time bucket, so that keys fall into two buckets.
 constexpr WallTime kWallEpoch{std::chrono::hours(480'000) + milliseconds(500)};
 
 }  // namespace
@@ -26,7 +26,7 @@
   this->lose_answer = draw(0.5, 0.4);
   this->late_effect = draw(0.5, 0.3);
   this->lose_message = draw(0.5, 0.3);
-  this->pause = draw(0.6, 0.08);
+  this->pause_probability = draw(0.6, 0.08);
   this->bad_upstream = draw(0.5, 0.5);
   this->outage = this->Happens(0.3);
   this->slow = this->Happens(0.2);
@@ -36,7 +36,7 @@
 }
 
 bool FaultInjector::Happens(double probability) {
-  return !this->healed && this->random() < probability * 4294967296.0;
+  return !this->stopped && this->random() < probability * 4294967296.0;
 }
 
 size_t FaultInjector::Below(size_t count) {
@@ -57,11 +57,11 @@
 void ClaimVm::Start(const std::vector<uint64_t>& live_origins) {
   ClaimOptions options;
   options.vm = this->name;
-  options.incarnation = this->life;
+  options.incarnation = this->incarnation;
   options.max_waiting = 32;
   options.max_open_ends = 64;
   ClaimGuards guards;
-  guards.whole_history = this->context.mutation != Mutation::kIgnoreGaps;
+  guards.complete_history = this->context.mutation != Mutation::kIgnoreGaps;
   guards.tombstones = this->context.mutation != Mutation::kNoTombstones;
   this->table = CreateClaimTable(options, guards);
   this->table->ApplyFleet(this->context.time.now(),
@@ -71,7 +71,7 @@
 
 void ClaimVm::Kill() {
   this->context.note(this->name + " killed");
-  ++this->life;
+  ++this->incarnation;
   this->alive = false;
   this->sequence = 0;
   this->paused_until = TimePoint();
@@ -99,22 +99,23 @@
 
 void ClaimVm::ScheduleStep() {
   this->step_scheduled = true;
-  this->context.time.At(this->paused_until, [this, asked = this->life] {
-    if (this->life == asked && !this->inbox.empty()) {
-      this->RunStep();
-    }
-  });
+  this->context.time.At(
+      this->paused_until, [this, expected = this->incarnation] {
+        if (this->incarnation == expected && !this->inbox.empty()) {
+          this->RunStep();
+        }
+      });
 }
 
-// Each event and each action that follows is a step of its own, so that a
-// pause may fall between any two of them.
+// Each event and each resulting action is a separate step, so that a pause may
+// fall between any two of them.
 void ClaimVm::RunStep() {
-  FaultInjector& chaos = this->context.chaos;
+  FaultInjector& faults = this->context.faults;
   const TimePoint now = this->context.time.now();
   this->step_scheduled = false;
-  if (now >= this->paused_until && chaos.Happens(chaos.pause)) {
-    const Duration longest = chaos.Happens(0.2) ? seconds(30) : seconds(2);
-    this->paused_until = now + chaos.Between(milliseconds(1), longest);
+  if (now >= this->paused_until && faults.Happens(faults.pause_probability)) {
+    const Duration longest = faults.Happens(0.2) ? seconds(30) : seconds(2);
+    this->paused_until = now + faults.Between(milliseconds(1), longest);
     this->context.note(this->name + " paused");
   } else {
     const std::function<void()> step = std::move(this->inbox.front());
@@ -169,8 +170,8 @@
     return;
   }
   this->next_tick = tick;
-  this->context.time.At(tick, [this, tick, asked = this->life] {
-    if (this->life != asked || this->next_tick != tick) {
+  this->context.time.At(tick, [this, tick, expected = this->incarnation] {
+    if (this->incarnation != expected || this->next_tick != tick) {
       return;
     }
     this->Post([this] {
@@ -189,13 +190,14 @@
     });
   }
   const auto answered = std::make_shared<bool>(false);
-  const auto answer = [=, this, asked = this->life](AppendOutcome outcome) {
-    if (std::exchange(*answered, true) || this->life != asked) {
+  const auto answer = [=, this,
+                       expected = this->incarnation](AppendOutcome outcome) {
+    if (std::exchange(*answered, true) || this->incarnation != expected) {
       return;
     }
     this->Post([=, this] {
       const bool doubt = outcome == AppendOutcome::kUnresolved &&
-                         this->context.mutation != Mutation::kTrustLostAnswers;
+                         this->context.mutation != Mutation::kRejectLostAnswers;
       const bool appended = outcome == AppendOutcome::kAppended;
       this->table->OnAppend(
           this->context.time.now(), action.call,
@@ -207,24 +209,24 @@
     });
   };
   VirtualTime& time = this->context.time;
-  FaultInjector& chaos = this->context.chaos;
-  Duration effect = chaos.NetworkDelay();
-  if (time.now() < chaos.slow_until) {
+  FaultInjector& faults = this->context.faults;
+  Duration effect = faults.NetworkDelay();
+  if (time.now() < faults.slow_until) {
     effect += kSlowAppend;
   }
-  if (chaos.Happens(chaos.late_effect)) {
-    effect += chaos.Between(milliseconds(10), seconds(20));
+  if (faults.Happens(faults.late_effect)) {
+    effect += faults.Between(milliseconds(10), seconds(20));
   }
-  const bool lost = chaos.Happens(chaos.lose_answer);
-  time.After(effect, [=, this, &time, &chaos] {
-    const bool down = time.now() < chaos.down_until;
+  const bool lost = faults.Happens(faults.lose_answer);
+  time.After(effect, [=, this, &time, &faults] {
+    const bool down = time.now() < faults.down_until;
     if (!down) {
       this->context.note("append of " + std::to_string(records.size()) +
                          " by " + this->name + (lost ? ", answer lost" : ""));
       this->context.log.Append(action.stream, records);
     }
     if (!lost || down) {
-      time.After(chaos.NetworkDelay(), [=] {
+      time.After(faults.NetworkDelay(), [=] {
         answer(down ? AppendOutcome::kRejected : AppendOutcome::kAppended);
       });
     }
@@ -234,8 +236,9 @@
 
 void ClaimVm::SendRead(const ClaimAction& action) {
   const auto answered = std::make_shared<bool>(false);
-  const auto answer = [=, this, asked = this->life](const ClaimRead& read) {
-    if (std::exchange(*answered, true) || this->life != asked) {
+  const auto answer = [=, this,
+                       expected = this->incarnation](const ClaimRead& read) {
+    if (std::exchange(*answered, true) || this->incarnation != expected) {
       return;
     }
     this->Post([=, this] {
@@ -248,12 +251,12 @@
   };
   const ClaimRead failed{ReadOutcome::kFailed, 0, 0, 0, {}};
   VirtualTime& time = this->context.time;
-  FaultInjector& chaos = this->context.chaos;
-  time.After(chaos.NetworkDelay(), [=, this, &time, &chaos] {
-    const auto reply = [=, &time, &chaos](const ClaimRead& read) {
-      time.After(chaos.NetworkDelay(), [=] { answer(read); });
+  FaultInjector& faults = this->context.faults;
+  time.After(faults.NetworkDelay(), [=, this, &time, &faults] {
+    const auto reply = [=, &time, &faults](const ClaimRead& read) {
+      time.After(faults.NetworkDelay(), [=] { answer(read); });
     };
-    if (time.now() < chaos.down_until) {
+    if (time.now() < faults.down_until) {
       return reply(failed);
     }
     const ClaimRead read =
--- a/packages/decision/test/claim_vm.h
+++ b/packages/decision/test/claim_vm.h
@@ -16,12 +16,12 @@
 #include "claim_simulation.h"
 #include "model_log.h"
 
-/// A process with a ClaimTable in a history: it may be paused between any two
-/// steps, killed, and its calls to the log go through every fault.
+/// Simulated VM process with a ClaimTable. It may be paused between any two
+/// steps or killed, and its calls to the log are subject to all faults.
 
 namespace basilsill::test {
 
-/// The faults of one history, and its source of chance.
+/// Source of randomness and faults of one history.
 struct FaultInjector {
   explicit FaultInjector(uint64_t seed);
 
@@ -31,13 +31,13 @@
   Duration NetworkDelay();
 
   pcg32 random;
-  bool healed = false;  ///< No more faults: what was broken must mend.
+  bool stopped = false;  ///< No more faults: the system must recover.
   TimePoint down_until;
   TimePoint slow_until;
   double lose_answer = 0;
   double late_effect = 0;
   double lose_message = 0;
-  double pause = 0;
+  double pause_probability = 0;
   double bad_upstream = 0;
   bool outage = false;
   bool slow = false;
@@ -50,7 +50,7 @@
 struct HistoryContext {
   VirtualTime time;
   ModelLog log;
-  FaultInjector chaos;
+  FaultInjector faults;
   Mutation mutation;
   std::function<void(const std::string&)> note;
 };
@@ -66,24 +66,26 @@
   void Kill();
   void Resume();
 
-  /// Runs `step` in this process after the steps before it, unless the
-  /// process that was asked is gone by then.
+  /// Queues `step` to run in this process after earlier steps. It is dropped if
+  /// the process is killed first.
   void Post(std::function<void()> step);
 
   void Request(ClaimRequest request, Duration left);
   void Finish(const ClaimEnd& end);
 
-  uint64_t origin() const { return MakeClaimOrigin(this->name, this->life); }
+  uint64_t origin() const {
+    return MakeClaimOrigin(this->name, this->incarnation);
+  }
 
   std::string name;
-  uint64_t life = 1;
+  uint64_t incarnation = 1;
   bool alive = false;
-  uint64_t sequence = 0;  ///< Of attempts made here.
+  uint64_t sequence = 0;  ///< Sequence number of the last attempt made here.
   std::chrono::milliseconds clock_error{0};
   std::unique_ptr<ClaimTable> table;
-  OnVerdict on_verdict;  ///< Grants, refusals, replays, recorded ends.
-  OnRecord on_read;      ///< Each record this VM reads.
-  OnRecord on_appended;  ///< Each record the log said it took.
+  OnVerdict on_verdict;  ///< Called with all actions but appends and reads.
+  OnRecord on_read;      ///< Called with each record that this VM reads.
+  OnRecord on_appended;  ///< Called with each record confirmed by the log.
 
  private:
   void ScheduleStep();
--- a/packages/decision/test/dispatch_fairness_test.cc
+++ b/packages/decision/test/dispatch_fairness_test.cc
@@ -1,4 +1,4 @@
-// Tests of fairness at the dispatcher: teams, classes, full queues.
+// Tests of fairness at the dispatcher: teams, traffic classes, full queues.
 
 #include "decision_fixture.h"
 
@@ -34,8 +34,8 @@
     return this->harness.Offer(request);
   }
 
-  // Ends the one running request after `took`.
-  // @returns the cookie of the request that runs then.
+  // Ends the running request after `took`.
+  // @returns the cookie of the request that runs next, or 0.
   uint64_t Next(basilsill::Duration took = 5ms) {
     this->harness.Advance(took);
     this->harness.EndAt(0, DispatchHarness::Report(AttemptEnd::kAnswered));
@@ -43,9 +43,9 @@
   }
 };
 
-TEST(DispatchFairness, Offer_BesideFlood_QuietTeamIsNext) {
-  // One team sends a hundred requests at once. Another team's single request
-  // comes last, but its caller must not wait behind all of them.
+TEST(DispatchFairness, Offer_DuringFloodOfOtherTeam_IsNext) {
+  // Failure: one team sends many requests at once, and another team's single
+  // request, which arrives later, waits behind all of them.
   const TeamHandle quiet = this->harness.fixture.AddTeam("quiet");
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
@@ -80,9 +80,9 @@
   CHECK(served >= 28 && served <= 32);
 }
 
-TEST(DispatchFairness, Pop_OneTeamsRequestsAreLong_SharesAreOfTime) {
-  // Both teams have as many requests waiting, but those of one take nine times
-  // as long. It must not get nine times the slots for that.
+TEST(DispatchFairness, Pop_OneTeamHasLongRequests_SlotTimeIsShared) {
+  // Failure: two teams have equally many requests waiting, but those of one
+  // take nine times as long, so this team gets nine times the slot time.
   const TeamHandle slow = this->harness.fixture.AddTeam("slow");
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
@@ -119,38 +119,39 @@
 }
 
 TEST(DispatchFairness, Pop_BackgroundWaitedHalfItsTime_CountsAsOrdinary) {
-  // Inflow overviews can wait, but a steady stream of readings must not keep
-  // them waiting until they are too late.
+  // Failure: a steady stream of ordinary requests delays a background request
+  // until its deadline has passed.
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
   this->Offer({0, 0});
-  const uint64_t overview =
+  const uint64_t background =
       this->Offer({0, 0}, TrafficClass::kBackground, 100ms);
   for (int i = 0; i < 4; ++i) {
     this->Offer({0, 0});
   }
   int turns = 0;
-  while (this->Next() != overview) {
+  while (this->Next() != background) {
     this->Offer({0, 0});
     ++turns;
     CHECK(turns < 60);
   }
-  CHECK(this->harness.RefusalFor(overview) == Refusal::kNone);
+  CHECK(this->harness.RefusalFor(background) == Refusal::kNone);
 }
 
-TEST(DispatchFairness, Pop_BackgroundNeverGetsTurn_ToldAtItsDeadline) {
+TEST(DispatchFairness, Pop_BackgroundNeverStarts_RefusedAtDeadline) {
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
   this->Offer({0, 0});
-  const uint64_t overview =
+  const uint64_t background =
       this->Offer({0, 0}, TrafficClass::kBackground, 100ms);
   this->harness.Advance(110ms);
-  CHECK(this->harness.RefusalFor(overview) == Refusal::kDeadlinePassedInQueue);
+  CHECK(this->harness.RefusalFor(background) ==
+        Refusal::kDeadlinePassedInQueue);
 }
 
-TEST(DispatchFairness, Pop_DownloadsAtFullBlast_ReadingsFindAFreeSlot) {
-  // Partners start history downloads without end. Level readings come one by
-  // one; each must find a free slot, and downloads must still move on.
+TEST(DispatchFairness, Pop_BulkFlood_UrgentFindsFreeSlot) {
+  // Failure: a flood of bulk requests occupies all slots, and urgent requests
+  // that arrive one by one find none free. Bulk requests must still progress.
   for (int i = 0; i < 4; ++i) {
     this->harness.fixture.AddUpstream(0, 2);
   }
@@ -158,29 +159,29 @@
   for (int i = 0; i < 20; ++i) {
     this->Offer({0, 0}, TrafficClass::kBulk);
   }
-  const size_t downloads = this->harness.running.size();
-  CHECK(downloads >= 2 && downloads <= 4);
+  const size_t bulk_slots = this->harness.running.size();
+  CHECK(bulk_slots >= 2 && bulk_slots <= 4);
   for (uint32_t i = 0; i < 4; ++i) {
     CHECK(this->harness.RunningOn({i, 0}) <= 1);
   }
   for (int i = 0; i < 100; ++i) {
-    const uint64_t reading = this->Offer({0, 0}, TrafficClass::kUrgent);
-    CHECK(IsValid(this->harness.RunOf(reading).attempt));
+    const uint64_t urgent = this->Offer({0, 0}, TrafficClass::kUrgent);
+    CHECK(IsValid(this->harness.RunOf(urgent).attempt));
     this->harness.Advance(5ms);
-    this->harness.End(reading, AttemptEnd::kAnswered);
+    this->harness.End(urgent, AttemptEnd::kAnswered);
   }
   const uint64_t done = this->harness.running[0].cookie;
   this->harness.End(done, AttemptEnd::kAnswered);
-  CHECK_EQUAL(downloads, this->harness.running.size());
+  CHECK_EQUAL(bulk_slots, this->harness.running.size());
 }
 
-TEST(DispatchFairness, Pop_InteractiveFlood_BulkStillGetsItsTurn) {
+TEST(DispatchFairness, Pop_UrgentFlood_BulkIsServed) {
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
   this->Offer({0, 0});
-  const uint64_t report = this->Offer({0, 0}, TrafficClass::kBulk);
+  const uint64_t bulk = this->Offer({0, 0}, TrafficClass::kBulk);
   int turns = 0;
-  while (this->Next() != report) {
+  while (this->Next() != bulk) {
     this->Offer({0, 0}, TrafficClass::kUrgent);
     ++turns;
     CHECK(turns < 40);
@@ -201,7 +202,7 @@
   CHECK(this->harness.RefusalFor(this->Offer({0, 0})) == Refusal::kNone);
 }
 
-TEST(DispatchFairness, Offer_OwnBackgroundFillsQueue_ReadingTakesItsPlace) {
+TEST(DispatchFairness, Offer_OwnBackgroundFillsQueue_UrgentReplacesNewest) {
   const TeamHandle small =
       this->harness.fixture.AddTeam("small", TeamLimits{1024, 2, 0, 1});
   this->harness.fixture.AddUpstream(0, 1);
@@ -209,14 +210,14 @@
   this->Offer(small);
   this->Offer(small, TrafficClass::kBackground);
   const uint64_t newest = this->Offer(small, TrafficClass::kBackground);
-  const uint64_t reading = this->Offer(small, TrafficClass::kUrgent);
+  const uint64_t urgent = this->Offer(small, TrafficClass::kUrgent);
   CHECK(this->harness.RefusalFor(newest) == Refusal::kTeamQueueLimit);
-  CHECK(this->harness.RefusalFor(reading) == Refusal::kNone);
+  CHECK(this->harness.RefusalFor(urgent) == Refusal::kNone);
 }
 
-TEST(DispatchFairness, Offer_ShardQueueFull_LongestLaneMakesRoom) {
-  // A neighbour has filled the whole queue. Another team's request still gets
-  // in; the neighbour's newest one is told at once to come back later.
+TEST(DispatchFairness, Offer_ShardQueueFull_NewestOfLongestLaneIsRefused) {
+  // Failure: one team fills the queue of the shard and another team's request
+  // is refused. The newest request of the first team must be refused instead.
   const TeamHandle quiet = this->harness.fixture.AddTeam("quiet");
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
--- a/packages/decision/test/model_log.h
+++ b/packages/decision/test/model_log.h
@@ -11,11 +11,11 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/claims.h"
 
-/// Virtual time and the platform's log for histories.
+/// Virtual time and a model of the platform's log, for simulations.
 
 namespace basilsill::test {
 
-/// Events by time, then by the order in which they were scheduled.
+/// Event queue, ordered by time and then by the order of scheduling.
 class VirtualTime {
  public:
   static constexpr TimePoint kStart{std::chrono::hours(1)};
@@ -54,7 +54,7 @@
   uint64_t count = 0;
 };
 
-/// Streams of records with retention and long polling.
+/// Log streams with retention and long polling.
 class ModelLog {
  public:
   using Answer = std::function<void(const ClaimRead&)>;
@@ -84,7 +84,7 @@
     return read;
   }
 
-  /// Answers once there is a record at `from`.
+  /// Calls `answer` once there is a record at `from`.
   void Await(const std::string& name,
              uint64_t from,
              size_t max,
@@ -92,7 +92,7 @@
     this->streams[name].polls.push_back({from, max, std::move(answer)});
   }
 
-  /// Forgets all but the last `kept` records of each stream.
+  /// Drops all but the last `kept` records of each stream.
   void Trim(size_t kept) {
     for (auto& [name, stream] : this->streams) {
       const size_t end = stream.records.size();
--- a/packages/decision/test/quarantine_test.cc
+++ b/packages/decision/test/quarantine_test.cc
@@ -1,4 +1,4 @@
-// Tests of the quarantine: the rule itself, reports between VMs, and the
+// Tests of the quarantine: the rule, crash reports between VMs, and the
 // isolation of suspects at the dispatcher.
 
 #include "basilsill/decision/quarantine.h"
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr Fingerprint kPoison = 666;
-constexpr Fingerprint kInnocent = 1;
+constexpr Fingerprint kHarmless = 1;
 constexpr Fingerprint kOther = 2;
 
 }  // namespace
@@ -38,49 +38,49 @@
   }
 };
 
-TEST(Quarantine, OnCrash_TwoDistinctUpstreams_OnlyTheKillerIsRefused) {
-  // A request crashes its instance; its caller sends it again, and it crashes
-  // another one. Each time another request was in flight beside it.
-  CHECK_EQUAL(0, this->Crash(1, {kPoison, kInnocent}));
+TEST(Quarantine, OnCrash_TwoDistinctUpstreams_OnlyCommonRequestIsRefused) {
+  // A request crashes an upstream; its caller retries and it crashes another.
+  // At each crash a different request was also in flight.
+  CHECK_EQUAL(0, this->Crash(1, {kPoison, kHarmless}));
   CHECK_FALSE(this->IsRefused(kPoison));
-  CHECK(this->quarantine->IsSuspect(this->now, kInnocent));
+  CHECK(this->quarantine->IsSuspect(this->now, kHarmless));
   CHECK_EQUAL(kPoison, this->Crash(2, {kOther, kPoison}));
   CHECK(this->IsRefused(kPoison));
-  CHECK_FALSE(this->IsRefused(kInnocent));
+  CHECK_FALSE(this->IsRefused(kHarmless));
   CHECK_FALSE(this->IsRefused(kOther));
 }
 
-TEST(Quarantine, OnCrash_SameUpstreamTwice_NobodyIsRefused) {
+TEST(Quarantine, OnCrash_SameUpstreamTwice_NothingIsRefused) {
   this->Crash(1, {kPoison});
   this->Crash(1, {kPoison});
   CHECK_FALSE(this->IsRefused(kPoison));
 }
 
-TEST(Quarantine, OnCrash_TwoTogetherTwice_NobodyIsCondemnedUntilAlone) {
-  this->Crash(1, {kPoison, kInnocent});
-  this->Crash(2, {kPoison, kInnocent});
+TEST(Quarantine, OnCrash_SamePairTwice_NoneRefusedUntilOneIsAlone) {
+  this->Crash(1, {kPoison, kHarmless});
+  this->Crash(2, {kPoison, kHarmless});
   CHECK_FALSE(this->IsRefused(kPoison));
-  CHECK_FALSE(this->IsRefused(kInnocent));
+  CHECK_FALSE(this->IsRefused(kHarmless));
   CHECK_EQUAL(kPoison, this->Crash(3, {kPoison}));
-  CHECK_FALSE(this->IsRefused(kInnocent));
+  CHECK_FALSE(this->IsRefused(kHarmless));
 }
 
-TEST(Quarantine, OnAnswered_OneOfTwoTogetherTwice_LeavesTheKiller) {
-  this->Crash(1, {kPoison, kInnocent});
-  this->Crash(2, {kPoison, kInnocent});
-  this->quarantine->OnAnswered(this->now, kInnocent);
+TEST(Quarantine, OnAnswered_OneOfSamePair_OtherIsRefused) {
+  this->Crash(1, {kPoison, kHarmless});
+  this->Crash(2, {kPoison, kHarmless});
+  this->quarantine->OnAnswered(this->now, kHarmless);
   CHECK(this->IsRefused(kPoison));
-  CHECK_FALSE(this->quarantine->IsSuspect(this->now, kInnocent));
+  CHECK_FALSE(this->quarantine->IsSuspect(this->now, kHarmless));
 }
 
-TEST(Quarantine, OnAnswered_BetweenCrashes_StartsAnew) {
-  // Two instances are restarted by hand, one after the other, and each time
-  // the same popular read was in flight. It is no killer: it was answered
-  // thousands of times in between.
-  this->Crash(1, {kInnocent});
-  this->quarantine->OnAnswered(this->now, kInnocent);
-  this->Crash(2, {kInnocent});
-  CHECK_FALSE(this->IsRefused(kInnocent));
+TEST(Quarantine, OnAnswered_BetweenCrashes_EarlierCrashIsCleared) {
+  // Failure: two upstreams are restarted manually, one after the other, while
+  // the same frequent read is in flight at both, and the read is refused
+  // although it was answered in between.
+  this->Crash(1, {kHarmless});
+  this->quarantine->OnAnswered(this->now, kHarmless);
+  this->Crash(2, {kHarmless});
+  CHECK_FALSE(this->IsRefused(kHarmless));
 }
 
 TEST(Quarantine, RefusedFor_TimePasses_ExpiresAndDoublesOnRepeat) {
@@ -98,7 +98,7 @@
   CHECK_FALSE(this->IsRefused(kPoison));
 }
 
-TEST(Quarantine, IsSuspect_TenMinutesLater_Forgotten) {
+TEST(Quarantine, IsSuspect_AfterSuspicionTime_IsFalse) {
   this->Crash(1, {kPoison});
   this->now += 11min;
   CHECK_FALSE(this->quarantine->IsSuspect(this->now, kPoison));
@@ -107,10 +107,10 @@
 }
 
 TEST(Quarantine, Import_EachVmSawOneCrash_BothRefuse) {
-  // The caller's resend came to another VM, so each of the two saw only one
-  // instance die.
+  // The caller retried through another VM, so each of the two VMs saw only one
+  // upstream crash.
   const auto peer = Quarantine::Create({256, 2});
-  this->Crash(1, {kPoison, kInnocent});
+  this->Crash(1, {kPoison, kHarmless});
   peer->OnCrash(this->now, 2, std::vector<Fingerprint>{kPoison});
   for (const CrashReport& report :
        this->quarantine->TakeNewReports(this->now)) {
@@ -121,10 +121,10 @@
   }
   CHECK(this->IsRefused(kPoison));
   CHECK(peer->RefusedFor(this->now, kPoison) > 0ms);
-  CHECK_FALSE(this->IsRefused(kInnocent));
+  CHECK_FALSE(this->IsRefused(kHarmless));
 }
 
-TEST(Quarantine, Import_SameReportAgain_IsNoSecondCrash) {
+TEST(Quarantine, Import_SameReportAgain_CountsOnce) {
   this->Crash(1, {kPoison});
   CrashReport report = this->quarantine->AllReports(this->now).at(0);
   const auto peer = Quarantine::Create({256, 2});
@@ -133,13 +133,13 @@
   CHECK_EQUAL(1, peer->AllReports(this->now).size());
 }
 
-TEST(Quarantine, Import_ClearedElsewhere_ClearedHere) {
+TEST(Quarantine, Import_ClearedAtPeer_IsCleared) {
   const auto peer = Quarantine::Create({256, 2});
-  this->Crash(1, {kPoison, kInnocent});
+  this->Crash(1, {kPoison, kHarmless});
   peer->Import(this->now, this->quarantine->TakeNewReports(this->now).at(0));
-  this->quarantine->OnAnswered(this->now, kInnocent);
+  this->quarantine->OnAnswered(this->now, kHarmless);
   peer->Import(this->now, this->quarantine->TakeNewReports(this->now).at(0));
-  CHECK_FALSE(peer->IsSuspect(this->now, kInnocent));
+  CHECK_FALSE(peer->IsSuspect(this->now, kHarmless));
   CHECK(peer->IsSuspect(this->now, kPoison));
 }
 
@@ -175,7 +175,7 @@
     return this->harness.Offer(request);
   }
 
-  // The upstream that runs `cookie` dies, with all that runs there.
+  // Crashes the upstream that runs `cookie`, with all requests that run there.
   void KillUpstreamOf(uint64_t cookie) {
     const auto upstream = this->harness.RunOf(cookie).upstream;
     std::vector<basilsill::AttemptHandle> attempts;
@@ -195,40 +195,40 @@
     this->harness.Collect();
   }
 
-  // Offers more requests that nobody suspects than there are slots.
-  void Fill() {
+  // Offers more requests than there are slots; none of them is a suspect.
+  void OfferMoreThanCapacity() {
     for (Fingerprint i = 100; i < 120; ++i) {
       this->Offer(i);
     }
   }
 };
 
-TEST(Isolation, Retry_SuspectsOfOneDeath_RunAloneOneAfterTheOther) {
-  // A killer and an innocent read were in flight when an instance died. Both
-  // are reads and are tried again, but together they could take down the next
-  // one, and nobody would know which of them it was.
+TEST(Isolation, Retry_SuspectsOfOneCrash_RunAloneOneAfterTheOther) {
+  // Failure: two reads were in flight when an upstream crashed, and one of them
+  // caused it. Retried together they crash the next upstream, and it stays
+  // unknown which of the two is the cause.
   const uint64_t poison = this->Offer(kPoison);
   this->Offer(100);
   this->Offer(101);
-  const uint64_t innocent = this->Offer(kInnocent);
+  const uint64_t harmless = this->Offer(kHarmless);
   CHECK(this->harness.RunOf(poison).upstream ==
-        this->harness.RunOf(innocent).upstream);
+        this->harness.RunOf(harmless).upstream);
   this->KillUpstreamOf(poison);
-  // Both others run something, so one is emptied first.
+  // Both other upstreams are busy, so one of them has to become idle first.
   CHECK_FALSE(IsValid(this->harness.RunOf(poison).attempt));
-  CHECK_FALSE(IsValid(this->harness.RunOf(innocent).attempt));
+  CHECK_FALSE(IsValid(this->harness.RunOf(harmless).attempt));
   this->harness.EndAt(0, DispatchHarness::Report(AttemptEnd::kAnswered));
   this->harness.EndAt(0, DispatchHarness::Report(AttemptEnd::kAnswered));
   const bool poison_first = IsValid(this->harness.RunOf(poison).attempt);
-  CHECK(poison_first != IsValid(this->harness.RunOf(innocent).attempt));
+  CHECK(poison_first != IsValid(this->harness.RunOf(harmless).attempt));
   if (!poison_first) {
-    this->harness.End(innocent, AttemptEnd::kAnswered);
+    this->harness.End(harmless, AttemptEnd::kAnswered);
   }
   this->KillUpstreamOf(poison);
   CHECK(this->quarantine->RefusedFor(this->harness.now, kPoison) > 0ms);
-  CHECK_FALSE(this->quarantine->RefusedFor(this->harness.now, kInnocent) > 0ms);
+  CHECK_FALSE(this->quarantine->RefusedFor(this->harness.now, kHarmless) > 0ms);
   CHECK(this->harness.RefusalFor(poison) != Refusal::kNone);
-  CHECK(this->harness.RefusalFor(innocent) == Refusal::kNone);
+  CHECK(this->harness.RefusalFor(harmless) == Refusal::kNone);
 }
 
 TEST(Isolation, Offer_Quarantined_RefusedUntilItExpires) {
@@ -244,22 +244,22 @@
   CHECK(IsValid(this->harness.RunOf(later).attempt));
 }
 
-TEST(Isolation, Suspect_Runs_NothingElseBesideIt) {
+TEST(Isolation, Suspect_Runs_NothingElseOnSameUpstream) {
   this->quarantine->OnCrash(this->harness.now, 1,
                             std::vector<Fingerprint>{kPoison});
   const uint64_t suspect = this->Offer(kPoison);
   const auto upstream = this->harness.RunOf(suspect).upstream;
-  this->Fill();
+  this->OfferMoreThanCapacity();
   CHECK_EQUAL(1, this->harness.RunningOn(upstream));
   this->harness.End(suspect, AttemptEnd::kAnswered);
   CHECK(this->harness.RunningOn(upstream) >= 2);
   CHECK_FALSE(this->quarantine->IsSuspect(this->harness.now, kPoison));
 }
 
-TEST(Isolation, Crash_OfALeavingUpstream_SuspectsNobody) {
-  const uint64_t cookie = this->Offer(kInnocent);
+TEST(Isolation, Crash_OfDrainingUpstream_AddsNoSuspect) {
+  const uint64_t cookie = this->Offer(kHarmless);
   this->harness.dispatcher->OnDrainSign(this->harness.now,
                                         this->harness.RunOf(cookie).upstream);
   this->KillUpstreamOf(cookie);
-  CHECK_FALSE(this->quarantine->IsSuspect(this->harness.now, kInnocent));
+  CHECK_FALSE(this->quarantine->IsSuspect(this->harness.now, kHarmless));
 }
--- a/packages/decision/test/repeat_budget_test.cc
+++ b/packages/decision/test/repeat_budget_test.cc
@@ -1,4 +1,5 @@
-// Tests of the fleet's bound on repeats, and of shares by weight.
+// Tests of the limit on repeats, and of the weighted choice between the parts
+// of a split.
 
 #include "basilsill/decision/repeat_budget.h"
 
@@ -30,29 +31,29 @@
   }
 };
 
-TEST(RepeatBudget, Take_NoRequests_GivesTheSlackOnce) {
+TEST(RepeatBudget, Take_NoRequests_AllowsSlackOnce) {
   CHECK_EQUAL(5, this->TakeAll());
   this->now += 5s;
   CHECK_EQUAL(0, this->TakeAll());
 }
 
-TEST(RepeatBudget, Take_WithRequests_GivesTheirShareToo) {
+TEST(RepeatBudget, Take_WithRequests_AllowsRatioAndSlack) {
   for (int i = 0; i < 100; ++i) {
     this->budget.OnRequest(this->now, this->options);
   }
   CHECK_EQUAL(25, this->TakeAll());
 }
 
-TEST(RepeatBudget, Take_WindowOver_GivesAgain) {
+TEST(RepeatBudget, Take_AfterWindow_AllowsSlackAgain) {
   this->TakeAll();
   this->now += 11s;
   CHECK_EQUAL(5, this->TakeAll());
 }
 
-// All upstreams of a service fail, and every request could be repeated. In no
-// window of ten seconds, wherever it begins, may there be more repeats than
-// the bound.
-TEST(RepeatBudget, Take_AllFailForLong_HoldsInEveryWindow) {
+// Failure: all upstreams of a service fail for long, every request could be
+// repeated, and some window of ten seconds, wherever it begins, has more
+// repeats than the limit.
+TEST(RepeatBudget, Take_AllFailForLong_LimitHoldsInEveryWindow) {
   std::vector<TimePoint> requests;
   std::vector<TimePoint> repeats;
   for (int i = 0; i < 4000; ++i) {
@@ -71,7 +72,8 @@
       }
       return static_cast<double>(count);
     };
-    // The requests of the window before count as well where they are more.
+    // A window has at most 1000 requests; those of the window before it count
+    // if they are more.
     CHECK(within(repeats) <= 0.2 * 1000 + 5);
   }
 }
@@ -85,7 +87,8 @@
   }
 };
 
-// Fourteen VMs with few requests each must not all begin with the same part.
+// Failure: fourteen VMs with few requests each all start with the same part of
+// the split, so the shares over all VMs are wrong.
 TEST(SplitChooser, Choose_ManyVmsWithFewRequests_SharesHold) {
   size_t second = 0;
   for (uint64_t vm = 0; vm < 14; ++vm) {
--- a/packages/decision/test/repeat_history_test.cc
+++ b/packages/decision/test/repeat_history_test.cc
@@ -1,5 +1,5 @@
-// Random histories of VMs that repeat: whatever happens to them, the fleet
-// stays within its bound.
+// Tests of the fleet-wide limit on repeats with random histories of VMs that
+// restart, pause and disagree on the membership.
 
 #include "repeat_simulation.h"
 
@@ -17,87 +17,87 @@
 
 TEST_GROUP(RepeatHistory){};
 
-// Failure: a dispatcher that starts anew, or takes a shard over, spends a whole
-// part of the fleet's slack, and several do within one window.
-TEST(RepeatHistory, Shards_ChangeHandsWhileAllShed_StayWithinTheBound) {
+// Failure: a dispatcher that restarts or takes over a shard spends a whole
+// share of the fleet's slack, and several do so within one window.
+TEST(RepeatHistory, Shards_ChangeOwnerWhileMostIsShed_StayWithinLimit) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    RepeatSimulation world(seed, {});
-    world.Run(11s);
-    world.SetShedPercent(95);
+    RepeatSimulation simulation(seed, {});
+    simulation.Run(11s);
+    simulation.SetShedPercent(95);
     for (int i = 0; i < 12; ++i) {
-      world.Run(std::chrono::milliseconds(500 + world.dice()(700)));
-      world.Restart(world.dice()(6));
-      world.Restart(world.dice()(6));
+      simulation.Run(std::chrono::milliseconds(500 + simulation.rng()(700)));
+      simulation.Restart(simulation.rng()(6));
+      simulation.Restart(simulation.rng()(6));
     }
-    CHECK(world.WorstExcess() <= 0);
+    CHECK(simulation.WorstExcess() <= 0);
   }
 }
 
-// Failure: the same, where enough is answered that requests pay for repeats: a
-// dispatcher also spends what it has saved and ends, and its successor saves
-// anew.
-TEST(RepeatHistory, Shards_ChangeHandsWhileHalfIsShed_StayWithinTheBound) {
+// Failure: as above, but with enough requests answered that the ratio allows
+// repeats: a dispatcher spends the repeats that it has accumulated and stops,
+// and its successor accumulates them again within the same window.
+TEST(RepeatHistory, Shards_ChangeOwnerWhileHalfIsShed_StayWithinLimit) {
   for (uint64_t seed = 1; seed <= 4 * kSeeds; ++seed) {
-    RepeatSimulation world(seed, {});
-    world.Run(11s);
-    world.SetShedPercent(50);
+    RepeatSimulation simulation(seed, {});
+    simulation.Run(11s);
+    simulation.SetShedPercent(50);
     for (int i = 0; i < 6; ++i) {
-      world.Run(2s);
-      world.Restart(world.dice()(6));
+      simulation.Run(2s);
+      simulation.Restart(simulation.rng()(6));
     }
-    CHECK(world.WorstExcess() <= 0);
+    CHECK(simulation.WorstExcess() <= 0);
   }
 }
 
 // Failure: a request that two dispatchers refuse one after the other counts as
-// a request at both, so that its repeats pay for others.
-TEST(RepeatHistory, Requests_MoveWhileAllShed_CountOnce) {
+// a request at both, so the fleet allows more repeats than the ratio.
+TEST(RepeatHistory, Requests_ChangeDispatcherWhileMostIsShed_CountOnce) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    RepeatSimulation world(seed, {});
-    world.SetShedPercent(90);
-    world.Run(25s);
-    CHECK(world.WorstExcess() <= 0);
+    RepeatSimulation simulation(seed, {});
+    simulation.SetShedPercent(90);
+    simulation.Run(25s);
+    CHECK(simulation.WorstExcess() <= 0);
   }
 }
 
-// Failure: VMs that do not agree on who dispatches each have the part of the
-// first owner.
-TEST(RepeatHistory, Vms_DisagreeFreezeAndRestart_StayWithinTheBound) {
+// Failure: VMs that disagree on the owner of a shard each use the share of its
+// first dispatcher.
+TEST(RepeatHistory, Vms_DisagreePauseAndRestart_StayWithinLimit) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    RepeatSimulation world(seed, {});
-    world.SetShedPercent(80);
+    RepeatSimulation simulation(seed, {});
+    simulation.SetShedPercent(80);
     for (int i = 0; i < 30; ++i) {
-      world.Run(std::chrono::milliseconds(300 + world.dice()(900)));
-      switch (world.dice()(4)) {
+      simulation.Run(std::chrono::milliseconds(300 + simulation.rng()(900)));
+      switch (simulation.rng()(4)) {
         case 0:
-          world.Restart(world.dice()(6));
+          simulation.Restart(simulation.rng()(6));
           break;
         case 1:
-          world.Freeze(world.dice()(6), 1500ms);
+          simulation.Pause(simulation.rng()(6), 1500ms);
           break;
         case 2:
-          world.Disagree();
+          simulation.RandomizeMembership();
           break;
         default:
-          world.Agree();
+          simulation.RestoreMembership();
           break;
       }
     }
-    CHECK(world.WorstExcess() <= 0);
+    CHECK(simulation.WorstExcess() <= 0);
   }
 }
 
-// Failure: a bound that is kept by repeating nothing.
-TEST(RepeatHistory, OneUpstream_Refuses_ItsRequestsAreServedElsewhere) {
+// Failure: the limit holds only because no request is repeated at all.
+TEST(RepeatHistory, OneUpstream_RefusesAll_RequestsAreServedElsewhere) {
   RepeatSimulationOptions options;
   options.requests_per_second = 30;
-  RepeatSimulation world(1, options);
-  world.Run(12s);
-  const size_t before = world.requests();
-  const size_t answered_before = world.answered();
-  world.SetBroken(0, true);
-  world.Run(10s);
-  const size_t asked = world.requests() - before;
-  CHECK(world.answered() - answered_before >= asked * 95 / 100);
-  CHECK(world.repeats() > 0);
+  RepeatSimulation simulation(1, options);
+  simulation.Run(12s);
+  const size_t before = simulation.requests();
+  const size_t answered_before = simulation.answered();
+  simulation.SetFailing(0, true);
+  simulation.Run(10s);
+  const size_t asked = simulation.requests() - before;
+  CHECK(simulation.answered() - answered_before >= asked * 95 / 100);
+  CHECK(simulation.repeats() > 0);
 }
