--- a/packages/decision/test/repeat_simulation.cc
+++ b/packages/decision/test/repeat_simulation.cc
@@ -8,14 +8,15 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kStep = 1ms;
-constexpr Duration kWay = 1ms;  // Between two VMs.
+constexpr Duration kStepDuration = 1ms;
+constexpr Duration kNetworkDelay = 1ms;  // Between two VMs, one way.
 constexpr Duration kShedTime = 2ms;
 constexpr Duration kDeadline = 1200ms;
-// A dispatcher names a request by its number and by which hop of it this is.
+// The cookie of a request at a dispatcher consists of the request's id and the
+// number of the hop.
 constexpr unsigned kHopBits = 8;
 constexpr uint64_t kHopMask = (1U << kHopBits) - 1;
-// What fits into a window of the bound before and after its own half.
+// Divides the limit's window into halves.
 constexpr int kWindowHalf = 2;
 
 size_t CountWithin(const std::vector<TimePoint>& times,
@@ -33,7 +34,7 @@
     : options(options),
       random(seed),
       vms(options.vms),
-      broken(options.upstreams) {
+      failing(options.upstreams) {
   for (uint32_t i = 0; i < options.vms; ++i) {
     ViewFixture& fixture = this->vms[i].fixture;
     fixture.view.vms.clear();
@@ -49,11 +50,11 @@
     for (uint32_t j = 0; j < options.upstreams; ++j) {
       fixture.AddUpstream(j % 2, options.slots);
     }
-    this->Boot(i);
+    this->StartVm(i);
   }
 }
 
-void RepeatSimulation::Boot(uint32_t number) {
+void RepeatSimulation::StartVm(uint32_t number) {
   Vm& vm = this->vms[number];
   const RepeatShares parts = SplitRepeatBudget(this->options.bound);
   DispatcherOptions dispatcher;
@@ -76,25 +77,25 @@
   const RoutingViewPtr view = vm.fixture.Build();
   vm.router->ApplyView(this->now, view);
   vm.dispatcher->ApplyView(this->now, view);
-  this->Take(number);
+  this->HandleActions(number);
 }
 
-void RepeatSimulation::SetBroken(uint32_t upstream, bool is_broken) {
-  this->broken.at(upstream) = is_broken;
+void RepeatSimulation::SetFailing(uint32_t upstream, bool is_failing) {
+  this->failing.at(upstream) = is_failing;
 }
 
 void RepeatSimulation::Restart(uint32_t number) {
   std::erase_if(this->attempts, [number](const Attempt& attempt) {
     return attempt.vm == number;
   });
-  for (auto& [id, request] : this->open) {
-    request.over = request.over || request.entry_vm == number;
+  for (auto& [id, request] : this->open_requests) {
+    request.finished = request.finished || request.entry_vm == number;
   }
-  this->Boot(number);
-  this->LoseWorkAt(number);
+  this->StartVm(number);
+  this->DropRequestsAt(number);
 }
 
-void RepeatSimulation::LoseWorkAt(uint32_t number) {
+void RepeatSimulation::DropRequestsAt(uint32_t number) {
   for (uint32_t i = 0; i < this->vms.size(); ++i) {
     if (i != number) {
       this->vms[i].router->OnLink(this->now, {number, 0}, false);
@@ -104,10 +105,10 @@
     }
   }
   std::vector<std::pair<uint64_t, uint32_t>> lost;
-  for (const auto& [id, request] : this->open) {
+  for (const auto& [id, request] : this->open_requests) {
     const bool is_there = request.target.kind == TargetKind::kDispatcher &&
                           request.target.vm.index == number;
-    if (!request.over && is_there) {
+    if (!request.finished && is_there) {
       lost.emplace_back(id, request.hops);
     }
   }
@@ -116,11 +117,11 @@
   }
 }
 
-void RepeatSimulation::Freeze(uint32_t number, Duration time) {
-  this->vms.at(number).frozen_until = this->now + time;
+void RepeatSimulation::Pause(uint32_t number, Duration time) {
+  this->vms.at(number).paused_until = this->now + time;
 }
 
-void RepeatSimulation::Disagree() {
+void RepeatSimulation::RandomizeMembership() {
   for (uint32_t i = 0; i < this->vms.size(); ++i) {
     for (VmRow& row : this->vms[i].fixture.view.vms) {
       const bool is_live = row.handle.index == i || this->random(3) != 0;
@@ -130,7 +131,7 @@
   }
 }
 
-void RepeatSimulation::Agree() {
+void RepeatSimulation::RestoreMembership() {
   for (uint32_t i = 0; i < this->vms.size(); ++i) {
     for (VmRow& row : this->vms[i].fixture.view.vms) {
       row.state = VmState::kLive;
@@ -141,26 +142,27 @@
 
 void RepeatSimulation::Run(Duration time) {
   for (const TimePoint end = this->now + time; this->now < end;) {
-    this->now += kStep;
+    this->now += kStepDuration;
     this->Step();
   }
 }
 
 void RepeatSimulation::Step() {
   const double per_step = this->options.requests_per_second * 1e6 *
-                          std::chrono::duration<double>(kStep).count();
+                          std::chrono::duration<double>(kStepDuration).count();
   if (this->random(1'000'000) < static_cast<uint32_t>(per_step)) {
     this->Offer();
   }
-  while (!this->mail.empty() && this->mail.begin()->first <= this->now) {
-    auto [to, task] = std::move(this->mail.begin()->second);
-    this->mail.erase(this->mail.begin());
+  while (!this->messages.empty() &&
+         this->messages.begin()->first <= this->now) {
+    auto [to, task] = std::move(this->messages.begin()->second);
+    this->messages.erase(this->messages.begin());
     this->vms[to].inbox.push_back(std::move(task));
   }
-  this->EndWork();
+  this->EndAttempts();
   for (uint32_t i = 0; i < this->vms.size(); ++i) {
     Vm& vm = this->vms[i];
-    if (vm.frozen_until > this->now) {
+    if (vm.paused_until > this->now) {
       continue;
     }
     while (!vm.inbox.empty()) {
@@ -170,11 +172,11 @@
     }
     vm.dispatcher->Tick(this->now);
     vm.router->Tick(this->now);
-    this->Take(i);
+    this->HandleActions(i);
   }
 }
 
-// A VM that starts again meanwhile gets nothing of what was sent before.
+// Messages to a VM that restarts before their delivery are dropped.
 void RepeatSimulation::Post(uint32_t to, std::function<void()> task) {
   const uint32_t start = this->vms[to].start;
   auto guarded = [this, to, start, task = std::move(task)] {
@@ -182,14 +184,15 @@
       task();
     }
   };
-  this->mail.emplace(this->now + kWay, std::pair{to, std::move(guarded)});
+  this->messages.emplace(this->now + kNetworkDelay,
+                         std::pair{to, std::move(guarded)});
 }
 
 void RepeatSimulation::Offer() {
   const auto number =
       static_cast<uint32_t>(this->random(static_cast<uint32_t>(vms.size())));
   Vm& vm = this->vms[number];
-  if (vm.frozen_until > this->now) {
+  if (vm.paused_until > this->now) {
     return;
   }
   EntryRequest request;
@@ -199,36 +202,36 @@
   request.idempotent = true;
   request.replayable = true;
   const Admission admission = vm.router->Admit(this->now, request);
-  this->sent.push_back(this->now);
+  this->request_times.push_back(this->now);
   if (admission.refusal != Refusal::kNone) {
     return;
   }
   const uint64_t id = this->next_id++;
-  this->open[id] = {number, admission.entry, {}, 0, 0, false};
-  this->Go(id);
+  this->open_requests[id] = {number, admission.entry, {}, 0, 0, false};
+  this->Route(id);
 }
 
-void RepeatSimulation::Go(uint64_t id) {
-  Request& request = this->open.at(id);
+void RepeatSimulation::Route(uint64_t id) {
+  Request& request = this->open_requests.at(id);
   Vm& vm = this->vms[request.entry_vm];
   ++request.hops;
   request.target = vm.router->Choose(this->now, request.entry);
   switch (request.target.kind) {
     case TargetKind::kDispatcher:
-      this->ToDispatcher(id);
+      this->SendToDispatcher(id);
       break;
     case TargetKind::kDirect:
-      this->ToUpstream(id);
+      this->SendToUpstream(id);
       break;
     default:
       vm.router->Finish(this->now, request.entry);
-      request.over = true;
+      request.finished = true;
       break;
   }
 }
 
-void RepeatSimulation::ToDispatcher(uint64_t id) {
-  const Request& request = this->open.at(id);
+void RepeatSimulation::SendToDispatcher(uint64_t id) {
+  const Request& request = this->open_requests.at(id);
   DispatchRequest offer;
   offer.shard = request.target.shard;
   offer.team = {0, 0};
@@ -241,13 +244,13 @@
   const uint32_t to = request.target.vm.index;
   this->Post(to, [this, to, offer] {
     this->vms[to].dispatcher->Offer(this->now, offer);
-    this->Take(to);
+    this->HandleActions(to);
   });
 }
 
-void RepeatSimulation::ToUpstream(uint64_t id) {
-  const Request& request = this->open.at(id);
-  const AttemptEnd end = this->Arrive(id, request.target.upstream);
+void RepeatSimulation::SendToUpstream(uint64_t id) {
+  const Request& request = this->open_requests.at(id);
+  const AttemptEnd end = this->OnArrival(id, request.target.upstream);
   if (end == AttemptEnd::kShed) {
     this->Reply(id, request.hops, Refusal::kUpstreamShed, 1);
   } else {
@@ -255,7 +258,7 @@
   }
 }
 
-void RepeatSimulation::Take(uint32_t number) {
+void RepeatSimulation::HandleActions(uint32_t number) {
   Vm& vm = this->vms[number];
   while (!vm.dispatcher->actions().empty()) {
     const std::vector<DispatchAction> round = vm.dispatcher->actions();
@@ -264,7 +267,7 @@
       if (action.kind == DispatchActionKind::kStart) {
         this->Start(number, action);
       } else if (action.kind == DispatchActionKind::kRefuse) {
-        this->Answer(number, action.cookie, action.refusal, action.sends);
+        this->SendAnswer(number, action.cookie, action.refusal, action.sends);
       } else if (action.kind == DispatchActionKind::kCancel) {
         std::erase_if(this->attempts, [&](const Attempt& attempt) {
           return attempt.vm == number && attempt.attempt == action.attempt;
@@ -276,30 +279,30 @@
 
 void RepeatSimulation::Start(uint32_t number, const DispatchAction& action) {
   const AttemptEnd end =
-      this->Arrive(action.cookie >> kHopBits, action.upstream);
+      this->OnArrival(action.cookie >> kHopBits, action.upstream);
   const Duration time =
       end == AttemptEnd::kShed ? kShedTime : Duration(this->options.work);
   this->attempts.push_back(
       {this->now + time, action.cookie, number, action.attempt, end});
 }
 
-AttemptEnd RepeatSimulation::Arrive(uint64_t id, UpstreamHandle upstream) {
-  if (this->open.at(id).arrivals++ > 0) {
-    this->extra.push_back(this->now);
+AttemptEnd RepeatSimulation::OnArrival(uint64_t id, UpstreamHandle upstream) {
+  if (this->open_requests.at(id).arrivals++ > 0) {
+    this->repeat_times.push_back(this->now);
   }
-  const bool is_shed = this->broken.at(upstream.index) ||
+  const bool is_shed = this->failing.at(upstream.index) ||
                        this->random(100) < this->options.shed_percent;
   return is_shed ? AttemptEnd::kShed : AttemptEnd::kAnswered;
 }
 
-void RepeatSimulation::EndWork() {
+void RepeatSimulation::EndAttempts() {
   std::vector<Attempt> ended;
   std::erase_if(this->attempts, [&](const Attempt& attempt) {
-    const bool is_over = attempt.ends <= this->now;
-    if (is_over) {
+    const bool has_ended = attempt.ends <= this->now;
+    if (has_ended) {
       ended.push_back(attempt);
     }
-    return is_over;
+    return has_ended;
   });
   for (const Attempt& attempt : ended) {
     this->Post(attempt.vm, [this, attempt] { this->End(attempt); });
@@ -308,22 +311,22 @@
 
 void RepeatSimulation::End(const Attempt& attempt) {
   const AttemptReport report = DispatchHarness::Report(attempt.end);
-  const bool goes_on = this->vms[attempt.vm].dispatcher->OnAttemptEnd(
+  const bool continues = this->vms[attempt.vm].dispatcher->OnAttemptEnd(
       this->now, attempt.attempt, report);
-  this->Take(attempt.vm);
-  if (!goes_on && report.end == AttemptEnd::kAnswered) {
+  this->HandleActions(attempt.vm);
+  if (!continues && report.end == AttemptEnd::kAnswered) {
     ++this->answers;
-    this->Answer(attempt.vm, attempt.cookie, Refusal::kNone, 0);
+    this->SendAnswer(attempt.vm, attempt.cookie, Refusal::kNone, 0);
   }
 }
 
-// A dispatcher says how a request ended, and how loaded the shard is.
-void RepeatSimulation::Answer(uint32_t from,
-                              uint64_t cookie,
-                              Refusal refusal,
-                              uint8_t sends) {
+// A dispatcher reports the end of a request together with the shard's load.
+void RepeatSimulation::SendAnswer(uint32_t from,
+                                  uint64_t cookie,
+                                  Refusal refusal,
+                                  uint8_t sends) {
   const uint64_t id = cookie >> kHopBits;
-  const Request& request = this->open.at(id);
+  const Request& request = this->open_requests.at(id);
   const ShardSummary summary =
       this->vms[from].dispatcher->Summarize(this->now, request.target.shard);
   const uint32_t to = request.entry_vm;
@@ -337,45 +340,46 @@
                              uint32_t hop,
                              Refusal refusal,
                              uint8_t sends) {
-  const Request& request = this->open.at(id);
+  const Request& request = this->open_requests.at(id);
   this->Post(request.entry_vm, [this, id, hop, refusal, sends] {
-    const Request& now_at = this->open.at(id);
-    if (!now_at.over && now_at.hops == hop) {
+    const Request& current = this->open_requests.at(id);
+    if (!current.finished && current.hops == hop) {
       this->OnRefused(id, refusal, sends);
     }
   });
 }
 
 void RepeatSimulation::OnRefused(uint64_t id, Refusal refusal, uint8_t sends) {
-  Request& request = this->open.at(id);
+  Request& request = this->open_requests.at(id);
   EntryRouter& router = *this->vms[request.entry_vm].router;
-  const bool goes_on =
+  const bool continues =
       refusal != Refusal::kNone &&
       router.OnRefused(this->now, request.entry, refusal, sends).retry;
-  if (goes_on) {
-    this->Go(id);
+  if (continues) {
+    this->Route(id);
     return;
   }
   router.Finish(this->now, request.entry);
-  request.over = true;
+  request.finished = true;
 }
 
-// The requests that count are those of the window, of the one before it, or of
-// the one half a window before it, whichever has most.
+// A repeat may follow its request after a delay. The limit is therefore based
+// on the requests of the window itself, of the window before it, or of the
+// window half a window earlier, whichever has the most.
 double RepeatSimulation::WorstExcess() const {
   const Duration window = this->options.bound.window;
   double worst = -this->options.bound.slack;
-  for (const TimePoint end : this->extra) {
+  for (const TimePoint end : this->repeat_times) {
     size_t counted = 0;
     for (const Duration back : {Duration(0), window / kWindowHalf, window}) {
-      counted = std::max(
-          counted, CountWithin(this->sent, end - back - window, end - back));
+      counted = std::max(counted, CountWithin(this->request_times,
+                                              end - back - window, end - back));
     }
     const double allowed =
         this->options.bound.ratio * static_cast<double>(counted) +
         this->options.bound.slack;
     const auto made =
-        static_cast<double>(CountWithin(this->extra, end - window, end));
+        static_cast<double>(CountWithin(this->repeat_times, end - window, end));
     worst = std::max(worst, made - allowed);
   }
   return worst;
