--- a/packages/decision/include/basilsill/decision/claims.h
+++ b/packages/decision/include/basilsill/decision/claims.h
@@ -31,8 +31,8 @@
 ///   not available). It then answers kRefuse, never grants the attempt later,
 ///   and releases the claim if that may still reach the log.
 /// - An attempt is never reused, neither after a refusal nor at another VM. A
-///   holder that loses the connection to the VM it sent the attempt to makes a
-///   new attempt and names the old one in `supersedes`; it drops a late grant
+///   holder that loses the connection to the VM that handles its attempt makes
+///   a new attempt and names the old one in `supersedes`; it drops a late grant
 ///   for the old one.
 
 namespace basilsill {
@@ -135,7 +135,7 @@
 
 enum class ReadOutcome : uint8_t {
   kRecords,    ///< Success; without records if none arrived within the wait.
-  kTrimmed,    ///< Records at `from` and after it are past retention.
+  kTrimmed,    ///< `from` is older than the oldest retained record.
   kBeyondEnd,  ///< `from` is beyond the end: the stream became shorter.
   kFailed,     ///< No answer, or the log is down.
   kCount
@@ -176,9 +176,10 @@
   uint64_t granted = 0;
   uint64_t replayed = 0;
   uint64_t refused = 0;
-  uint64_t lost = 0;          ///< Another claim of the key came first.
-  uint64_t given_up = 0;      ///< Abandoned while the claim may be in the log.
-  uint64_t landed_late = 0;   ///< Claims read from the log after abandonment.
+  uint64_t lost = 0;       ///< Another claim of the key came first.
+  uint64_t abandoned = 0;  ///< Abandoned while the claim may be in the log.
+  uint64_t read_after_abandonment =
+      0;                      ///< Claims read from the log after abandonment.
   uint64_t recorded = 0;      ///< Ends in the log.
   uint64_t ends_dropped = 0;  ///< Table full: retries are refused as `unknown`.
   uint64_t appends = 0;
--- a/packages/decision/include/basilsill/decision/ratio_budget.h
+++ b/packages/decision/include/basilsill/decision/ratio_budget.h
@@ -14,8 +14,8 @@
 struct RatioBudgetOptions {
   double ratio = 0.06;      ///< Tokens that each request adds.
   double burst = 10;        ///< Maximum number of tokens.
-  double floor = 3;         ///< Up to this, tokens also refill with time.
-  double per_second = 0.1;  ///< Tokens a second of that refill.
+  double floor = 3;         ///< Below it, tokens also refill with time.
+  double per_second = 0.1;  ///< Rate of that refill, in tokens a second.
 };
 
 class RatioBudget {
--- a/packages/decision/include/basilsill/decision/repeat_budget.h
+++ b/packages/decision/include/basilsill/decision/repeat_budget.h
@@ -27,7 +27,7 @@
 /// IsSettled.
 struct RepeatShares {
   RepeatBudgetOptions dispatchers;  ///< All settled shards together.
-  RepeatBudgetOptions unsettled;    ///< All VMs together, at other shards.
+  RepeatBudgetOptions unsettled;    ///< All VMs together, unsettled shards.
   RepeatBudgetOptions entries;      ///< All settled entry VMs together.
 };
 
--- a/packages/decision/src/claim_append.cc
+++ b/packages/decision/src/claim_append.cc
@@ -114,8 +114,9 @@
     waiting->in_flight = id;
     action.records.push_back(this->EncodeClaim(now, *waiting));
     call.records.push_back(out);
-  } else if (const UnrecordedEnd* open = this->unrecorded_ends.Find(out.end)) {
-    action.records.push_back(this->EncodeEnd(*open));
+  } else if (const UnrecordedEnd* unrecorded =
+                 this->unrecorded_ends.Find(out.end)) {
+    action.records.push_back(this->EncodeEnd(*unrecorded));
     call.records.push_back(out);
   }
 }
@@ -134,14 +135,14 @@
   return EncodeClaimRecord(record);
 }
 
-std::string ClaimTableImpl::EncodeEnd(const UnrecordedEnd& open) const {
+std::string ClaimTableImpl::EncodeEnd(const UnrecordedEnd& unrecorded) const {
   ClaimRecord record;
-  record.kind = KindOf(open.end.outcome);
-  record.key = open.id;
-  record.attempt = open.end.attempt;
-  record.body = open.end.body;
+  record.kind = KindOf(unrecorded.end.outcome);
+  record.key = unrecorded.id;
+  record.attempt = unrecorded.end.attempt;
+  record.body = unrecorded.end.body;
   record.vm = this->options.vm;
-  record.answer = open.end.answer;
+  record.answer = unrecorded.end.answer;
   return EncodeClaimRecord(record);
 }
 
@@ -190,9 +191,9 @@
 
 void ClaimTableImpl::OnNotAppended(TimePoint now,
                                    const AppendCall& call,
-                                   bool may_have_landed) {
+                                   bool may_have_taken_effect) {
   StreamWork& work = this->streams.at(call.stream);
-  if (may_have_landed) {
+  if (may_have_taken_effect) {
     work.append_after = now + kUnresolvedRetryDelay;
   } else {
     for (const ClaimEndHandle release : call.releases) {
@@ -203,7 +204,7 @@
     this->Requeue(work, *out);
     if (WaitingClaim* waiting = this->waiting_claims.Find(out->claim)) {
       waiting->in_flight = 0;
-      waiting->may_be_in_log |= may_have_landed;
+      waiting->may_be_in_log |= may_have_taken_effect;
     }
   }
 }
@@ -211,34 +212,36 @@
 void ClaimTableImpl::Requeue(StreamWork& work, const QueuedClaimRecord& out) {
   if (const WaitingClaim* waiting = this->waiting_claims.Find(out.claim)) {
     work.append_queue.PushFront(waiting->id.team, out);
-  } else if (const UnrecordedEnd* open = this->unrecorded_ends.Find(out.end)) {
-    work.append_queue.PushFront(open->id.team, out);
+  } else if (const UnrecordedEnd* unrecorded =
+                 this->unrecorded_ends.Find(out.end)) {
+    work.append_queue.PushFront(unrecorded->id.team, out);
   }
 }
 
 // The claim looks live until its release has been read. A retry waits for the
 // release instead of being refused as `unknown`.
 void ClaimTableImpl::TrackRelease(ClaimEndHandle handle) {
-  const UnrecordedEnd* open = this->unrecorded_ends.Find(handle);
-  if (open == nullptr || open->end.outcome != ClaimOutcome::kReleased) {
+  const UnrecordedEnd* unrecorded = this->unrecorded_ends.Find(handle);
+  if (unrecorded == nullptr ||
+      unrecorded->end.outcome != ClaimOutcome::kReleased) {
     return;
   }
-  StreamWork& work = this->streams.at(open->stream);
+  StreamWork& work = this->streams.at(unrecorded->stream);
   if (work.released.size() < kMaxReleasedUnread) {
-    work.released.insert(open->end.attempt);
+    work.released.insert(unrecorded->end.attempt);
   }
 }
 
 void ClaimTableImpl::OnRecorded(ClaimEndHandle handle) {
-  const UnrecordedEnd* open = this->unrecorded_ends.Find(handle);
-  if (open == nullptr) {
+  const UnrecordedEnd* unrecorded = this->unrecorded_ends.Find(handle);
+  if (unrecorded == nullptr) {
     return;
   }
-  if (open->notify) {
+  if (unrecorded->notify) {
     ClaimAction action;
     action.kind = ClaimActionKind::kRecorded;
-    action.cookie = open->end.cookie;
-    action.attempt = open->end.attempt;
+    action.cookie = unrecorded->end.cookie;
+    action.attempt = unrecorded->end.attempt;
     this->pending_actions.push_back(std::move(action));
   }
   ++this->counts.recorded;
@@ -246,8 +249,8 @@
 }
 
 void ClaimTableImpl::EraseEnd(ClaimEndHandle handle) {
-  if (const UnrecordedEnd* open = this->unrecorded_ends.Find(handle)) {
-    this->end_of.erase(open->end.attempt);
+  if (const UnrecordedEnd* unrecorded = this->unrecorded_ends.Find(handle)) {
+    this->end_of.erase(unrecorded->end.attempt);
     this->unrecorded_ends.Destroy(handle);
   }
 }
--- a/packages/decision/src/claim_decision.cc
+++ b/packages/decision/src/claim_decision.cc
@@ -280,7 +280,7 @@
     ++this->counts.lost;
     return;
   }
-  ++this->counts.given_up;
+  ++this->counts.abandoned;
   // Failure: the append takes effect long after the caller got `not-run`. The
   // claim would then block the key permanently although nobody runs it. The
   // release invalidates it, whichever of the two comes first in the log.
--- a/packages/decision/src/claim_read.cc
+++ b/packages/decision/src/claim_read.cc
@@ -144,11 +144,11 @@
   const auto ended = this->end_of.find(record.attempt);
   if (ended != this->end_of.end()) {
     const ClaimEndHandle handle = ended->second;
-    const UnrecordedEnd& open = *this->unrecorded_ends.Find(handle);
-    if (KindOf(open.end.outcome) == record.kind) {
+    const UnrecordedEnd& unrecorded = *this->unrecorded_ends.Find(handle);
+    if (KindOf(unrecorded.end.outcome) == record.kind) {
       this->OnRecorded(handle);
-    } else if (open.end.outcome == ClaimOutcome::kReleased) {
-      ++this->counts.landed_late;
+    } else if (unrecorded.end.outcome == ClaimOutcome::kReleased) {
+      ++this->counts.read_after_abandonment;
     }
   }
   this->DecideKey(now, record.key);
--- a/packages/decision/src/claim_table.h
+++ b/packages/decision/src/claim_table.h
@@ -168,11 +168,11 @@
                    AppendCall& call,
                    ClaimAction& action);
   std::string EncodeClaim(TimePoint now, const WaitingClaim& waiting) const;
-  std::string EncodeEnd(const UnrecordedEnd& open) const;
+  std::string EncodeEnd(const UnrecordedEnd& unrecorded) const;
   void OnAppended(const AppendCall& call);
   void OnNotAppended(TimePoint now,
                      const AppendCall& call,
-                     bool may_have_landed);
+                     bool may_have_taken_effect);
   void Requeue(StreamWork& work, const QueuedClaimRecord& out);
   void TrackRelease(ClaimEndHandle handle);
   void OnRecorded(ClaimEndHandle handle);
--- a/packages/decision/src/claims.cc
+++ b/packages/decision/src/claims.cc
@@ -153,9 +153,9 @@
   if (waiting == nullptr) {
     return;
   }
-  const WaitingClaim given_up = *waiting;
+  const WaitingClaim abandoned = *waiting;
   this->EraseWaiting(claim);
-  this->AbandonClaim(now, given_up);
+  this->AbandonClaim(now, abandoned);
   this->Pump(now);
 }
 
@@ -174,12 +174,13 @@
   if (this->end_of.contains(end.attempt)) {
     return false;
   }
-  UnrecordedEnd open{end, IdOf(end.key), StreamOf(end.key), notify};
+  UnrecordedEnd unrecorded{end, IdOf(end.key), StreamOf(end.key), notify};
   if (StoredSizeOf(end.answer) > limits::kMaxKeptAnswerBytes) {
-    open.end.answer = StoredResponse{end.answer.status, false, {}, {}};
+    unrecorded.end.answer = StoredResponse{end.answer.status, false, {}, {}};
   }
-  StreamWork& work = this->Open(now, open.stream);
-  const ClaimEndHandle handle = this->unrecorded_ends.Create(std::move(open));
+  StreamWork& work = this->Open(now, unrecorded.stream);
+  const ClaimEndHandle handle =
+      this->unrecorded_ends.Create(std::move(unrecorded));
   if (!IsValid(handle)) {
     // The key stays claimed in the log, so retries are refused as `unknown`.
     ++this->counts.ends_dropped;
--- a/packages/decision/src/quarantine.cc
+++ b/packages/decision/src/quarantine.cc
@@ -19,9 +19,9 @@
 /// State of a request that was in flight at a crash.
 struct Suspect {
   TimePoint last_crash{};
-  TimePoint condemned_crash{};  ///< Latest crash that it was condemned for.
+  TimePoint quarantined_for{};  ///< Latest crash that led to a quarantine.
   TimePoint refused_until{};
-  uint32_t condemnations = 0;
+  uint32_t quarantine_count = 0;
 };
 
 std::span<const Fingerprint> SuspectsOf(const CrashReport& report) {
@@ -75,8 +75,8 @@
   void MergeReport(TimePoint now, Crash& known, const CrashReport& report);
   void ClearSuspect(TimePoint now, Crash& crash, Fingerprint fingerprint);
   bool IsInAnyReport(Fingerprint fingerprint) const;
-  void CondemnIfProven(Fingerprint fingerprint);
-  bool IsProven(Fingerprint fingerprint) const;
+  void QuarantineIfRuleMet(Fingerprint fingerprint);
+  bool MeetsRule(Fingerprint fingerprint) const;
 
   QuarantineOptions options;
   pcg64 random;
@@ -119,7 +119,7 @@
     suspect.last_crash = std::max(suspect.last_crash, crash.at);
   }
   for (const Fingerprint fingerprint : SuspectsOf(crash.report)) {
-    this->CondemnIfProven(fingerprint);
+    this->QuarantineIfRuleMet(fingerprint);
   }
 }
 
@@ -144,7 +144,7 @@
 }
 
 // Removes a cleared request from the suspects of a crash. With fewer suspects,
-// the rule may now condemn one of the others, so they are evaluated again.
+// the rule may now apply to one of the others, so they are evaluated again.
 void QuarantineTable::ClearSuspect(TimePoint,
                                    Crash& crash,
                                    Fingerprint fingerprint) {
@@ -153,7 +153,7 @@
   }
   this->changed.push_back(crash.report.id);
   for (const Fingerprint other : SuspectsOf(crash.report)) {
-    this->CondemnIfProven(other);
+    this->QuarantineIfRuleMet(other);
   }
 }
 
@@ -164,25 +164,25 @@
                      });
 }
 
-void QuarantineTable::CondemnIfProven(Fingerprint fingerprint) {
+void QuarantineTable::QuarantineIfRuleMet(Fingerprint fingerprint) {
   const auto found = this->suspects.find(fingerprint);
   if (found == this->suspects.end()) {
     return;
   }
   Suspect& suspect = found->second;
-  if (suspect.condemned_crash == suspect.last_crash ||
-      !this->IsProven(fingerprint)) {
+  if (suspect.quarantined_for == suspect.last_crash ||
+      !this->MeetsRule(fingerprint)) {
     return;
   }
-  const uint32_t doublings = std::min(suspect.condemnations, kMaxDoublings);
-  suspect.condemned_crash = suspect.last_crash;
+  const uint32_t doublings = std::min(suspect.quarantine_count, kMaxDoublings);
+  suspect.quarantined_for = suspect.last_crash;
   suspect.refused_until =
       suspect.last_crash + this->options.quarantine * (1 << doublings);
-  ++suspect.condemnations;
+  ++suspect.quarantine_count;
 }
 
 // Implements the rule described in quarantine.h.
-bool QuarantineTable::IsProven(Fingerprint fingerprint) const {
+bool QuarantineTable::MeetsRule(Fingerprint fingerprint) const {
   const Crash* first = nullptr;
   bool distinct = false;
   bool alone = false;
--- a/packages/decision/test/claim_history_test.cc
+++ b/packages/decision/test/claim_history_test.cc
@@ -57,18 +57,18 @@
       FAIL(failure.c_str());
     }
     total.runs += result.runs;
-    total.told_not_run += result.told_not_run;
-    total.told_unknown += result.told_unknown;
+    total.reported_not_run += result.reported_not_run;
+    total.reported_unknown += result.reported_unknown;
     total.replayed += result.replayed;
-    total.landed_late += result.landed_late;
+    total.read_after_abandonment += result.read_after_abandonment;
     total.broken_streams += result.broken_streams;
   }
   // The histories cover every kind of outcome.
   CHECK(total.runs > 0);
-  CHECK(total.told_not_run > 0);
-  CHECK(total.told_unknown > 0);
+  CHECK(total.reported_not_run > 0);
+  CHECK(total.reported_unknown > 0);
   CHECK(total.replayed > 0);
-  CHECK(total.landed_late > 0);
+  CHECK(total.read_after_abandonment > 0);
   CHECK(total.broken_streams > 0);
 }
 
--- a/packages/decision/test/claim_simulation.cc
+++ b/packages/decision/test/claim_simulation.cc
@@ -31,7 +31,7 @@
   std::vector<ClaimAttempt> attempts;
   bool closed = false;      ///< The caller has the outcome or disconnected.
   bool dispatched = false;  ///< Bytes may have been sent to an upstream.
-  bool told_not_run = false;
+  bool reported_not_run = false;
   bool is_final = false;
 };
 
@@ -190,7 +190,8 @@
   this->CheckEnd();
   for (const auto& vm : this->vms) {
     this->result.replayed += vm->table->counters().replayed;
-    this->result.landed_late += vm->table->counters().landed_late;
+    this->result.read_after_abandonment +=
+        vm->table->counters().read_after_abandonment;
     this->result.broken_streams += vm->table->counters().broken_streams;
   }
   return this->result;
@@ -330,7 +331,7 @@
   if (!holder.alive) {
     return;
   }
-  submission->holder_incarnation = holder.incarnation;
+  submission->holder_incarnation = holder.own_incarnation;
   submission->deadline =
       this->context.time.now() +
       (is_final ? seconds(8) : faults.Between(milliseconds(50), seconds(8)));
@@ -345,7 +346,8 @@
 
 bool ClaimSimulation::IsHolderRunning(const SubmissionPtr& submission) const {
   const ClaimVm& holder = *this->vms[submission->holder];
-  return holder.alive && holder.incarnation == submission->holder_incarnation;
+  return holder.alive &&
+         holder.own_incarnation == submission->holder_incarnation;
 }
 
 // Delivers a message from the holder to VM `target`, unless it is lost.
@@ -361,7 +363,7 @@
       local ? Duration::zero() : faults.NetworkDelay(),
       [this, target, step, local, submission] {
         ClaimVm& vm = *this->vms[target];
-        if (!local || vm.incarnation == submission->holder_incarnation) {
+        if (!local || vm.own_incarnation == submission->holder_incarnation) {
           vm.Post([&vm, step] { step(vm); });
         }
       });
@@ -531,7 +533,7 @@
     if (++key.runs > 1) {
       this->ReportViolation("key " + key.text + " ran twice");
     }
-    if (submission->told_not_run) {
+    if (submission->reported_not_run) {
       this->ReportViolation(Name(attempt) +
                             " ran after its caller got not-run");
     }
@@ -620,7 +622,7 @@
   submission->closed = true;
   this->keys[submission->key].resolved |= submission->is_final;
   if (!this->any_trim || answer.status != kAnswerStatus) {
-    this->ReportViolation("caller got only the status of an answer in the log");
+    this->ReportViolation("an answer in the log was not replayed whole");
   }
 }
 
@@ -632,11 +634,11 @@
   this->Note("submission " + std::to_string(submission->id) + " got " +
              std::string(InfoOf(refusal).name));
   this->keys[submission->key].last_refusal = refusal;
-  submission->told_not_run = InfoOf(refusal).promise == Promise::kNotRun;
-  ++(submission->told_not_run ? this->result.told_not_run
-                              : this->result.told_unknown);
+  submission->reported_not_run = InfoOf(refusal).promise == Promise::kNotRun;
+  ++(submission->reported_not_run ? this->result.reported_not_run
+                                  : this->result.reported_unknown);
   for (const ClaimAttempt& attempt : submission->attempts) {
-    if (submission->told_not_run && this->ran.contains(attempt)) {
+    if (submission->reported_not_run && this->ran.contains(attempt)) {
       this->ReportViolation(Name(attempt) +
                             " had run when its caller got not-run");
     }
@@ -665,10 +667,10 @@
       this->vms[own->second->holder].get() != &vm) {
     return;
   }
-  const bool given_up = this->refused.contains(record.attempt);
+  const bool abandoned = this->refused.contains(record.attempt);
   const Mutation mutation = this->context.mutation;
-  if ((mutation == Mutation::kDispatchOnOwnRecord && !given_up) ||
-      (mutation == Mutation::kDispatchAfterRefusal && given_up)) {
+  if ((mutation == Mutation::kDispatchOnOwnRecord && !abandoned) ||
+      (mutation == Mutation::kDispatchAfterRefusal && abandoned)) {
     this->Dispatch(own->second, record.attempt);
   }
 }
--- a/packages/decision/test/claim_simulation.h
+++ b/packages/decision/test/claim_simulation.h
@@ -13,8 +13,8 @@
 /// A safety rule to violate, to test that the check of histories detects it.
 enum class Mutation : uint8_t {
   kNone,
-  kDispatchOnAppend,     ///< Dispatches when the append is confirmed.
-  kDispatchOnOwnRecord,  ///< Dispatches on reading the own claim, first or not.
+  kDispatchOnAppend,      ///< Dispatches when the append is confirmed.
+  kDispatchOnOwnRecord,   ///< Dispatches on its own claim, first or not.
   kDispatchAfterRefusal,  ///< Dispatches when an abandoned claim is read.
   kStealClaims,           ///< Releases a claim whose holder seems dead.
   kReleaseRunning,        ///< Releases a dispatched request at its deadline.
@@ -32,10 +32,10 @@
   std::string violation;  ///< Empty if every invariant held.
   std::string trace;      ///< Log of all events, if requested.
   uint64_t runs = 0;
-  uint64_t told_not_run = 0;
-  uint64_t told_unknown = 0;
+  uint64_t reported_not_run = 0;
+  uint64_t reported_unknown = 0;
   uint64_t replayed = 0;
-  uint64_t landed_late = 0;
+  uint64_t read_after_abandonment = 0;
   uint64_t broken_streams = 0;
 };
 
--- a/packages/decision/test/claim_vm.cc
+++ b/packages/decision/test/claim_vm.cc
@@ -26,7 +26,7 @@
   this->lose_answer = draw(0.5, 0.4);
   this->late_effect = draw(0.5, 0.3);
   this->lose_message = draw(0.5, 0.3);
-  this->pause_probability = draw(0.6, 0.08);
+  this->pause = draw(0.6, 0.08);
   this->bad_upstream = draw(0.5, 0.5);
   this->outage = this->Happens(0.3);
   this->slow = this->Happens(0.2);
@@ -57,7 +57,7 @@
 void ClaimVm::Start(const std::vector<uint64_t>& live_origins) {
   ClaimOptions options;
   options.vm = this->name;
-  options.incarnation = this->incarnation;
+  options.incarnation = this->own_incarnation;
   options.max_waiting = 32;
   options.max_open_ends = 64;
   ClaimGuards guards;
@@ -71,7 +71,7 @@
 
 void ClaimVm::Kill() {
   this->context.note(this->name + " killed");
-  ++this->incarnation;
+  ++this->own_incarnation;
   this->alive = false;
   this->sequence = 0;
   this->paused_until = TimePoint();
@@ -100,8 +100,8 @@
 void ClaimVm::ScheduleStep() {
   this->step_scheduled = true;
   this->context.time.At(
-      this->paused_until, [this, expected = this->incarnation] {
-        if (this->incarnation == expected && !this->inbox.empty()) {
+      this->paused_until, [this, expected = this->own_incarnation] {
+        if (this->own_incarnation == expected && !this->inbox.empty()) {
           this->RunStep();
         }
       });
@@ -113,7 +113,7 @@
   FaultInjector& faults = this->context.faults;
   const TimePoint now = this->context.time.now();
   this->step_scheduled = false;
-  if (now >= this->paused_until && faults.Happens(faults.pause_probability)) {
+  if (now >= this->paused_until && faults.Happens(faults.pause)) {
     const Duration longest = faults.Happens(0.2) ? seconds(30) : seconds(2);
     this->paused_until = now + faults.Between(milliseconds(1), longest);
     this->context.note(this->name + " paused");
@@ -170,8 +170,8 @@
     return;
   }
   this->next_tick = tick;
-  this->context.time.At(tick, [this, tick, expected = this->incarnation] {
-    if (this->incarnation != expected || this->next_tick != tick) {
+  this->context.time.At(tick, [this, tick, expected = this->own_incarnation] {
+    if (this->own_incarnation != expected || this->next_tick != tick) {
       return;
     }
     this->Post([this] {
@@ -190,9 +190,9 @@
     });
   }
   const auto answered = std::make_shared<bool>(false);
-  const auto answer = [=, this,
-                       expected = this->incarnation](AppendOutcome outcome) {
-    if (std::exchange(*answered, true) || this->incarnation != expected) {
+  const auto answer = [=, this, expected = this->own_incarnation](
+                          AppendOutcome outcome) {
+    if (std::exchange(*answered, true) || this->own_incarnation != expected) {
       return;
     }
     this->Post([=, this] {
@@ -236,9 +236,9 @@
 
 void ClaimVm::SendRead(const ClaimAction& action) {
   const auto answered = std::make_shared<bool>(false);
-  const auto answer = [=, this,
-                       expected = this->incarnation](const ClaimRead& read) {
-    if (std::exchange(*answered, true) || this->incarnation != expected) {
+  const auto answer = [=, this, expected = this->own_incarnation](
+                          const ClaimRead& read) {
+    if (std::exchange(*answered, true) || this->own_incarnation != expected) {
       return;
     }
     this->Post([=, this] {
--- a/packages/decision/test/claim_vm.h
+++ b/packages/decision/test/claim_vm.h
@@ -37,7 +37,7 @@
   double lose_answer = 0;
   double late_effect = 0;
   double lose_message = 0;
-  double pause_probability = 0;
+  double pause = 0;
   double bad_upstream = 0;
   bool outage = false;
   bool slow = false;
@@ -74,11 +74,11 @@
   void Finish(const ClaimEnd& end);
 
   uint64_t origin() const {
-    return MakeClaimOrigin(this->name, this->incarnation);
+    return MakeClaimOrigin(this->name, this->own_incarnation);
   }
 
   std::string name;
-  uint64_t incarnation = 1;
+  uint64_t own_incarnation = 1;
   bool alive = false;
   uint64_t sequence = 0;  ///< Sequence number of the last attempt made here.
   std::chrono::milliseconds clock_error{0};
--- a/packages/decision/test/dispatch_fairness_test.cc
+++ b/packages/decision/test/dispatch_fairness_test.cc
@@ -124,28 +124,28 @@
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
   this->Offer({0, 0});
-  const uint64_t background =
+  const uint64_t background_request =
       this->Offer({0, 0}, TrafficClass::kBackground, 100ms);
   for (int i = 0; i < 4; ++i) {
     this->Offer({0, 0});
   }
   int turns = 0;
-  while (this->Next() != background) {
+  while (this->Next() != background_request) {
     this->Offer({0, 0});
     ++turns;
     CHECK(turns < 60);
   }
-  CHECK(this->harness.RefusalFor(background) == Refusal::kNone);
+  CHECK(this->harness.RefusalFor(background_request) == Refusal::kNone);
 }
 
 TEST(DispatchFairness, Pop_BackgroundNeverStarts_RefusedAtDeadline) {
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
   this->Offer({0, 0});
-  const uint64_t background =
+  const uint64_t background_request =
       this->Offer({0, 0}, TrafficClass::kBackground, 100ms);
   this->harness.Advance(110ms);
-  CHECK(this->harness.RefusalFor(background) ==
+  CHECK(this->harness.RefusalFor(background_request) ==
         Refusal::kDeadlinePassedInQueue);
 }
 
@@ -165,10 +165,10 @@
     CHECK(this->harness.RunningOn({i, 0}) <= 1);
   }
   for (int i = 0; i < 100; ++i) {
-    const uint64_t urgent = this->Offer({0, 0}, TrafficClass::kUrgent);
-    CHECK(IsValid(this->harness.RunOf(urgent).attempt));
+    const uint64_t urgent_request = this->Offer({0, 0}, TrafficClass::kUrgent);
+    CHECK(IsValid(this->harness.RunOf(urgent_request).attempt));
     this->harness.Advance(5ms);
-    this->harness.End(urgent, AttemptEnd::kAnswered);
+    this->harness.End(urgent_request, AttemptEnd::kAnswered);
   }
   const uint64_t done = this->harness.running[0].cookie;
   this->harness.End(done, AttemptEnd::kAnswered);
@@ -179,9 +179,9 @@
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
   this->Offer({0, 0});
-  const uint64_t bulk = this->Offer({0, 0}, TrafficClass::kBulk);
+  const uint64_t bulk_request = this->Offer({0, 0}, TrafficClass::kBulk);
   int turns = 0;
-  while (this->Next() != bulk) {
+  while (this->Next() != bulk_request) {
     this->Offer({0, 0}, TrafficClass::kUrgent);
     ++turns;
     CHECK(turns < 40);
@@ -210,9 +210,9 @@
   this->Offer(small);
   this->Offer(small, TrafficClass::kBackground);
   const uint64_t newest = this->Offer(small, TrafficClass::kBackground);
-  const uint64_t urgent = this->Offer(small, TrafficClass::kUrgent);
+  const uint64_t urgent_request = this->Offer(small, TrafficClass::kUrgent);
   CHECK(this->harness.RefusalFor(newest) == Refusal::kTeamQueueLimit);
-  CHECK(this->harness.RefusalFor(urgent) == Refusal::kNone);
+  CHECK(this->harness.RefusalFor(urgent_request) == Refusal::kNone);
 }
 
 TEST(DispatchFairness, Offer_ShardQueueFull_NewestOfLongestLaneIsRefused) {
--- a/packages/decision/test/repeat_simulation.h
+++ b/packages/decision/test/repeat_simulation.h
@@ -112,8 +112,8 @@
   std::vector<Attempt> attempts;
   std::multimap<TimePoint, std::pair<uint32_t, std::function<void()>>> messages;
   std::vector<TimePoint> request_times;  ///< Requests of callers.
-  std::vector<TimePoint>
-      repeat_times;  ///< Arrivals beyond the first of a request.
+  /// Arrivals of requests at upstreams, except the first of each request.
+  std::vector<TimePoint> repeat_times;
   size_t answers = 0;
   uint64_t next_id = 1;
 };
