--- a/packages/platform/include/basilsill/platform/endpoint_set.h
+++ b/packages/platform/include/basilsill/platform/endpoint_set.h
@@ -13,8 +13,8 @@
 #include "basilsill/base/limits.h"
 #include "basilsill/base/time.h"
 
-/// Which of several equal endpoints to call. Pure: the clock and the seed are
-/// arguments.
+/// Chooses which of several equivalent endpoints to call. Does no I/O; the
+/// clock and the random seed are passed in.
 
 namespace basilsill {
 
@@ -23,22 +23,24 @@
   std::chrono::milliseconds max = limits::kPlatformBackoffMax;
 };
 
-/// Endpoints in order of preference. One that failed rests for a time that
-/// doubles with each failure and is drawn from its upper half, so that many
-/// VMs do not come back at once; one answer clears it.
+/// Endpoints in order of preference. A failed endpoint is not used until its
+/// back-off has passed. The back-off doubles with each failure, and the actual
+/// time is drawn at random from its upper half, so that many VMs do not retry
+/// at the same moment. An answer resets the back-off.
 class EndpointSet {
  public:
   EndpointSet(std::vector<Endpoint> endpoints,
               BackoffSettings settings,
               uint64_t seed);
 
-  /// @param tried Endpoints not to choose, by position.
-  /// @returns the position to call now: the one that answered last, else the
-  /// first that is not resting. Nothing if there is none.
+  /// @param tried For each position, whether the endpoint is excluded.
+  /// @returns the position of the endpoint to call now: the one that answered
+  /// last, else the next one that is not backing off; nullopt if there is none.
   std::optional<size_t> Choose(TimePoint now,
                                const std::vector<bool>& tried) const;
 
-  /// @returns when an endpoint can be chosen; not after `now` if one can be.
+  /// @returns the earliest time from `now` on at which an endpoint can be
+  /// chosen; `now` if one can be chosen already.
   TimePoint NextChance(TimePoint now) const;
 
   void ReportAnswer(size_t position);
@@ -50,8 +52,8 @@
  private:
   struct Row {
     Endpoint endpoint;
-    std::chrono::milliseconds backoff{0};  ///< 0 after an answer.
-    TimePoint rests_until = TimePoint::min();
+    std::chrono::milliseconds backoff{0};  ///< 0 if the last call succeeded.
+    TimePoint backoff_until = TimePoint::min();
   };
 
   BackoffSettings settings;
--- a/packages/platform/include/basilsill/platform/failover_client.h
+++ b/packages/platform/include/basilsill/platform/failover_client.h
@@ -13,43 +13,50 @@
 #include "basilsill/platform/endpoint_set.h"
 #include "basilsill/platform/http_client.h"
 
-/// Control calls to the first of several equal endpoints that answers.
+/// Sends control calls to the first of several equivalent endpoints that
+/// answers.
 
 namespace basilsill {
 
 struct FailoverSettings {
   std::vector<Endpoint> endpoints;
   BackoffSettings backoff;
-  /// For one call to one endpoint, beyond what it asks the server to wait.
+  /// Timeout of one call to one endpoint, in addition to the time for which the
+  /// call asks the server to wait.
   std::chrono::milliseconds call_timeout = limits::kPlatformCallTimeout;
-  /// Of the jitter; absent: drawn, so that no two VMs share it.
+  /// Seed of the back-off jitter. If absent, it is random, so that VMs do not
+  /// use the same one.
   std::optional<uint64_t> seed;
 };
 
-/// @returns what is wrong with an answer, if anything is.
+/// Validates an answer.
+/// @returns the failure if the answer is not acceptable.
 using AnswerCheck = std::function<std::optional<Failure>(const HttpAnswer&)>;
 
-/// @remarks Belongs to the thread that runs its executor. Calls in flight
-/// outlive the client safely.
+/// @remarks Must be used only on the thread that runs its executor. The client
+/// may be destroyed while calls are in flight.
 class FailoverClient {
  public:
-  /// @returns kMissingField without endpoints.
+  /// @returns kMissingField if `settings` has no endpoints.
   static Result<FailoverClient> Create(boost::asio::any_io_executor executor,
                                        FailoverSettings settings);
 
   /// Calls one endpoint after the other until one gives an answer that is not
-  /// 503 and passes `check`. A repeatable call waits for an endpoint that
-  /// rests, at most its own timeout, so that a loop of calls does not spin; any
-  /// other call fails at once.
+  /// 503 and passes `check`. A call that is not repeatable ends after the first
+  /// endpoint to which it may have been sent. If all endpoints are backing off,
+  /// a repeatable call waits for the first of them, at most for the call's own
+  /// timeout, so that a loop of calls does not spin; any other call fails at
+  /// once.
   /// @returns the answer, or a failure:
-  ///   kPlatformUnavailable, not `sent`: no endpoint took the call, it had no
-  ///   effect;
-  ///   any kind, `sent`: the last call broke or got a malformed answer.
+  ///   kPlatformUnavailable, not `sent`: no endpoint accepted the call, so it
+  ///   had no effect;
+  ///   any kind, `sent`: the last call was interrupted, or its answer did not
+  ///   pass `check`; the effect of the call is unknown.
   boost::asio::awaitable<HttpResult> Call(HttpCall call, AnswerCheck check);
 
   std::chrono::milliseconds call_timeout() const;
 
-  /// Closes all connections; calls in flight fail.
+  /// Closes all connections. Calls in flight fail, and so do later ones.
   void Close();
 
  private:
--- a/packages/platform/include/basilsill/platform/http_client.h
+++ b/packages/platform/include/basilsill/platform/http_client.h
@@ -10,31 +10,32 @@
 #include "basilsill/base/error.h"
 #include "basilsill/platform/http_message.h"
 
-/// Control calls over pooled keep-alive connections.
+/// HTTP client for control calls, with pooled keep-alive connections.
 
 namespace basilsill {
 
-/// Why there is no answer, and whether the call can have had an effect.
+/// A call that got no usable answer.
 struct HttpFailure : Failure {
-  /// A byte of the call may have reached the server: its effect is unknown.
+  /// At least one byte of the call may have reached the server, so it is
+  /// unknown whether the call took effect.
   bool sent = false;
 };
 using HttpResult =
     boost::outcome_v2::basic_result<HttpAnswer, HttpFailure, ThrowFailure>;
 
-/// Keeps connections to any number of servers. A call takes a connection for
-/// itself, so that a long poll never holds up another call.
-/// @remarks Belongs to the thread that runs its executor. Calls in flight
-/// outlive the client safely.
+/// Keeps connections to any number of servers. Each call has a connection to
+/// itself, so a long poll never delays another call.
+/// @remarks Must be used only on the thread that runs its executor. The client
+/// may be destroyed while calls are in flight.
 class HttpClient {
  public:
   explicit HttpClient(boost::asio::any_io_executor executor);
 
-  /// Sends `call` to `endpoint` and waits for its whole answer.
+  /// Sends `call` to `endpoint` and waits for the complete answer.
   /// @returns kNetwork, kSyntax (malformed answer) or kOversizedFrame.
   boost::asio::awaitable<HttpResult> Call(Endpoint endpoint, HttpCall call);
 
-  /// Closes all connections; calls in flight fail.
+  /// Closes all connections. Calls in flight fail.
   void Close();
 
  private:
--- a/packages/platform/include/basilsill/platform/http_message.h
+++ b/packages/platform/include/basilsill/platform/http_message.h
@@ -11,30 +11,32 @@
 #include "basilsill/base/limits.h"
 #include "basilsill/base/time.h"
 
-/// HTTP/1.1 calls and answers of control traffic: small bodies, held whole.
-/// Callers' requests never go this way.
+/// HTTP/1.1 calls and answers of control traffic. Bodies are small and held in
+/// memory as a whole. Callers' requests do not use these types.
 
 namespace basilsill {
 
 enum class HttpMethod : uint8_t { kGet, kPost, kPut, kDelete, kCount };
 
-/// @returns the name of `method` as HTTP writes it.
+/// @returns the HTTP name of `method`, such as "GET".
 std::string_view NameOf(HttpMethod method);
 
-/// One call, as a client sends it.
+/// One HTTP request.
 struct HttpCall {
   HttpMethod method = HttpMethod::kGet;
   std::string target = "/";
   std::vector<HttpHeader> headers;
   std::string body;
-  /// From the first byte sent to the last one received.
+  /// Longest time from the first byte sent to the last byte received. Does not
+  /// include connecting.
   std::chrono::milliseconds timeout = limits::kPlatformCallTimeout;
   size_t max_answer_bytes = limits::kMaxPlatformAnswerBytes;
-  /// Sending it twice does no harm, so a call that broke may go elsewhere.
+  /// The call is idempotent: if it is interrupted, it may be sent to another
+  /// endpoint.
   bool repeatable = true;
 };
 
-/// A whole answer, whatever its status.
+/// A complete HTTP response with any status.
 struct HttpAnswer {
   unsigned status = 0;
   std::string body;
--- a/packages/platform/include/basilsill/platform/vm_list_client.h
+++ b/packages/platform/include/basilsill/platform/vm_list_client.h
@@ -13,12 +13,12 @@
 #include "basilsill/base/error.h"
 #include "basilsill/platform/failover_client.h"
 
-/// Client of the platform's list of VMs. The list lags: a VM on it may be gone
-/// and one that is not may be here.
+/// Client of the platform's list of VMs. The list is updated with a delay: a
+/// listed VM may already be gone, and a running VM may not be listed yet.
 
 namespace basilsill {
 
-/// A VM as the platform lists it.
+/// An entry of the platform's VM list.
 struct VmListEntry {
   std::string name;
   std::string data_centre;
@@ -33,24 +33,25 @@
   std::vector<VmListEntry> vms;
 };
 
-/// Belongs to the thread that runs its executor. Nothing blocks.
+/// Must be used only on the thread that runs its executor. No call blocks that
+/// thread.
 class VmListClient {
  public:
-  /// @returns kMissingField without endpoints.
+  /// @returns kMissingField if `settings` has no endpoints.
   static Result<VmListClient> Create(boost::asio::any_io_executor executor,
                                      FailoverSettings settings);
 
-  /// Waits until the list is newer than `since`, at most `wait`; then gives the
-  /// list as it is. Called in a loop this is the watch.
-  /// @param since Version of the list that is known; 0 for none.
-  /// @returns the list, or kPlatformUnavailable, kPlatformRejected, kSyntax,
-  /// kOversizedFrame. A call after a failure waits as the backoff says.
-  /// @remarks The version may fall when another endpoint answers; the caller
-  /// decides what it makes of that.
+  /// Long poll: waits until the list is newer than `since`, at most for `wait`,
+  /// and then returns the current list. Call it in a loop to watch the list.
+  /// @param since Version of the list that the caller has; 0 if it has none.
+  /// @returns the list, or kPlatformUnavailable, kPlatformRejected, kSyntax or
+  /// kOversizedFrame. After a failure, the next call waits for the back-off.
+  /// @remarks The version may decrease when another endpoint answers. The
+  /// caller has to handle that.
   boost::asio::awaitable<Result<VmList>> Watch(uint64_t since,
                                                std::chrono::milliseconds wait);
 
-  /// Closes all connections; calls in flight fail.
+  /// Closes all connections. Calls in flight fail, and so do later ones.
   void Close();
 
  private:
--- a/packages/platform/src/endpoint_set.cc
+++ b/packages/platform/src/endpoint_set.cc
@@ -25,7 +25,7 @@
     const std::vector<bool>& tried) const {
   for (size_t i = 0; i < this->rows.size(); ++i) {
     const size_t position = (this->preferred + i) % this->rows.size();
-    if (!tried.at(position) && this->rows[position].rests_until <= now) {
+    if (!tried.at(position) && this->rows[position].backoff_until <= now) {
       return position;
     }
   }
@@ -35,7 +35,7 @@
 TimePoint EndpointSet::NextChance(TimePoint now) const {
   TimePoint first = kNever;
   for (const Row& row : this->rows) {
-    first = std::min(first, std::max(now, row.rests_until));
+    first = std::min(first, std::max(now, row.backoff_until));
   }
   return first;
 }
@@ -43,7 +43,7 @@
 void EndpointSet::ReportAnswer(size_t position) {
   Row& row = this->rows.at(position);
   row.backoff = milliseconds(0);
-  row.rests_until = TimePoint::min();
+  row.backoff_until = TimePoint::min();
   this->preferred = position;
 }
 
@@ -53,7 +53,7 @@
       std::clamp(row.backoff * 2, this->settings.min, this->settings.max);
   boost::random::uniform_int_distribution<int64_t> upper_half(
       row.backoff.count() / 2, row.backoff.count());
-  row.rests_until = now + milliseconds(upper_half(this->random));
+  row.backoff_until = now + milliseconds(upper_half(this->random));
 }
 
 const Endpoint& EndpointSet::At(size_t position) const {
--- a/packages/platform/src/failover_client.cc
+++ b/packages/platform/src/failover_client.cc
@@ -22,15 +22,16 @@
   co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-HttpFailure NoneTookIt() {
-  return {{FailureKind::kPlatformUnavailable, "", "every endpoint is resting"},
+HttpFailure NoEndpointAvailable() {
+  return {{FailureKind::kPlatformUnavailable, "",
+           "all endpoints are backing off after failures"},
           false};
 }
 
-// Finds what is wrong with the outcome of one call, if anything is.
-std::optional<HttpFailure> Judge(const HttpResult& result,
-                                 const Endpoint& endpoint,
-                                 const AnswerCheck& check) {
+// Returns the failure if `result` is not an answer that passes `check`.
+std::optional<HttpFailure> CheckOutcome(const HttpResult& result,
+                                        const Endpoint& endpoint,
+                                        const AnswerCheck& check) {
   if (!result) {
     HttpFailure failure = result.error();
     if (failure.kind == FailureKind::kNetwork) {
@@ -95,7 +96,7 @@
   if (call.repeatable && chance > start) {
     co_await WaitUntil(core->executor, std::min(chance, start + call.timeout));
   }
-  HttpFailure last = NoneTookIt();
+  HttpFailure last = NoEndpointAvailable();
   std::vector<bool> tried(endpoints.size(), false);
   while (!core->closed) {
     const auto position = endpoints.Choose(MonotonicClock::now(), tried);
@@ -105,7 +106,7 @@
     tried[*position] = true;
     const Endpoint endpoint = endpoints.At(*position);
     HttpResult result = co_await core->http.Call(endpoint, call);
-    auto failure = Judge(result, endpoint, check);
+    auto failure = CheckOutcome(result, endpoint, check);
     if (!failure) {
       endpoints.ReportAnswer(*position);
       co_return result;
--- a/packages/platform/src/http_client.cc
+++ b/packages/platform/src/http_client.cc
@@ -36,9 +36,10 @@
   TimePoint idle_since;
 };
 
-// A server may close a connection while it is idle. A call sent on it would
-// then break with its effect unknown, although it had none. Looking before
-// sending leaves only the instant in between.
+// Returns whether `connection` can be reused. A server may close a connection
+// while it is idle; a call sent on it would fail with its effect reported as
+// unknown, although it had none. Checking the socket before sending leaves only
+// the moment between the check and the write.
 bool IsUsable(Connection& connection, TimePoint now) {
   char byte = 0;
   const ssize_t seen = ::recv(connection.stream.socket().native_handle(), &byte,
@@ -105,8 +106,9 @@
 struct HttpClient::Pool {
   explicit Pool(asio::any_io_executor on) : executor(std::move(on)) {}
 
-  // Takes the connection used last, so that those above the need grow old.
-  std::shared_ptr<Connection> Take(const Endpoint& endpoint) {
+  // Returns the most recently used connection, so that surplus connections stay
+  // idle until they time out; nullptr if none can be reused.
+  std::shared_ptr<Connection> Acquire(const Endpoint& endpoint) {
     for (auto it = this->idle.rbegin(); it != this->idle.rend(); ++it) {
       if ((*it)->endpoint == endpoint &&
           IsUsable(**it, MonotonicClock::now())) {
@@ -118,7 +120,7 @@
     return nullptr;
   }
 
-  void Give(std::shared_ptr<Connection> connection) {
+  void Release(std::shared_ptr<Connection> connection) {
     const TimePoint now = MonotonicClock::now();
     connection->idle_since = now;
     connection->stream.expires_never();
@@ -137,17 +139,18 @@
 
 namespace {
 
-/// Lists a connection as busy for as long as a call uses it.
+/// Keeps a connection in `Pool::busy` for the duration of a call, so that Close
+/// can cancel it.
 template <typename Pool>
-class BusyMark {
+class BusyGuard {
  public:
-  BusyMark(Pool& where, std::shared_ptr<Connection> which)
+  BusyGuard(Pool& where, std::shared_ptr<Connection> which)
       : pool(where), connection(std::move(which)) {
     this->pool.busy.insert(this->connection);
   }
-  BusyMark(const BusyMark&) = delete;
-  BusyMark& operator=(const BusyMark&) = delete;
-  ~BusyMark() { this->pool.busy.erase(this->connection); }
+  BusyGuard(const BusyGuard&) = delete;
+  BusyGuard& operator=(const BusyGuard&) = delete;
+  ~BusyGuard() { this->pool.busy.erase(this->connection); }
 
  private:
   Pool& pool;
@@ -166,13 +169,13 @@
 asio::awaitable<HttpResult> HttpClient::CallOn(std::shared_ptr<Pool> pool,
                                                Endpoint endpoint,
                                                HttpCall call) {
-  auto connection = pool->Take(endpoint);
+  auto connection = pool->Acquire(endpoint);
   const bool is_new = connection == nullptr;
   if (is_new) {
     connection = std::make_shared<Connection>(pool->executor);
     connection->endpoint = endpoint;
   }
-  const BusyMark mark(*pool, connection);
+  const BusyGuard mark(*pool, connection);
   if (is_new) {
     const beast::error_code error = co_await Connect(connection);
     if (error || pool->closed) {
@@ -197,7 +200,7 @@
   }
   auto answer = parser.release();
   if (answer.keep_alive() && connection->buffer.size() == 0) {
-    pool->Give(connection);
+    pool->Release(connection);
   }
   co_return HttpAnswer{answer.result_int(), std::move(answer.body())};
 }
--- a/packages/platform/src/log_client.cc
+++ b/packages/platform/src/log_client.cc
@@ -39,14 +39,16 @@
   return std::nullopt;
 }
 
-// A refusal that the protocol defines as without effect; anything else that is
-// not a good answer leaves the effect of an append open.
+// Returns whether `answer` is a refusal (4xx), which the protocol defines as
+// having no effect. After any other answer than success, it is unknown whether
+// an append took effect.
 bool IsRefusal(const HttpAnswer& answer) {
   return answer.status >= kFirstClientError &&
          answer.status < kFirstServerError;
 }
 
-// Reads an answer to an append; only a good one or a refusal passes.
+// Parses the answer to an append. Only a well-formed success or a refusal
+// passes.
 std::optional<Failure> CheckAppend(const HttpAnswer& http,
                                    size_t count,
                                    AppendAnswer& answer) {
@@ -64,8 +66,8 @@
   return std::nullopt;
 }
 
-/// What a read found, as its answer is checked.
-struct ReadFinding {
+/// Parsed answer to a read. `bounds` is set if the offset was out of range.
+struct ParsedRead {
   ReadAnswer answer;
   LogBounds bounds;
 };
@@ -73,13 +75,13 @@
 std::optional<Failure> CheckRead(const HttpAnswer& http,
                                  uint64_t from,
                                  size_t max,
-                                 ReadFinding& finding) {
+                                 ParsedRead& parsed_read) {
   if (http.status == kOk) {
     auto parsed = ParseReadAnswer(http.body, from, max);
     if (!parsed) {
       return parsed.error();
     }
-    finding.answer = std::move(parsed.value());
+    parsed_read.answer = std::move(parsed.value());
     return std::nullopt;
   }
   if (http.status == kGone || http.status == kRangeNotSatisfiable) {
@@ -87,7 +89,7 @@
     if (!parsed) {
       return parsed.error();
     }
-    finding.bounds = parsed.value();
+    parsed_read.bounds = parsed.value();
     return std::nullopt;
   }
   if (IsRefusal(http)) {
@@ -161,9 +163,9 @@
                                    milliseconds wait) {
   max = std::clamp<size_t>(max, 1, limits::kMaxReadRecords);
   wait = std::clamp(wait, milliseconds(0), limits::kMaxPlatformWait);
-  ReadFinding finding;
-  AnswerCheck check = [&finding, from, max](const HttpAnswer& http) {
-    return CheckRead(http, from, max, finding);
+  ParsedRead parsed_read;
+  AnswerCheck check = [&parsed_read, from, max](const HttpAnswer& http) {
+    return CheckRead(http, from, max, parsed_read);
   };
   HttpCall call = MakeReadCall(stream, from, max, wait);
   call.timeout = wait + client.call_timeout();
@@ -173,9 +175,9 @@
     co_return ReadFailure{result.error(), {}};
   }
   if (result.value().status != kOk) {
-    co_return RefusedRead(result.value(), finding.bounds);
+    co_return RefusedRead(result.value(), parsed_read.bounds);
   }
-  co_return std::move(finding.answer);
+  co_return std::move(parsed_read.answer);
 }
 
 }  // namespace
--- a/packages/platform/src/platform_answers.cc
+++ b/packages/platform/src/platform_answers.cc
@@ -14,7 +14,7 @@
 
 namespace json = boost::json;
 
-// The deepest answer, the VM list, has five levels.
+// The most deeply nested answer, the VM list, has five levels.
 constexpr size_t kMaxDepth = 8;
 
 Failure Malformed(std::string path, std::string detail) {
@@ -31,13 +31,13 @@
     return Malformed("", error.message());
   }
   if (!value.is_object()) {
-    return Malformed("", "not an object");
+    return Malformed("", "must be an object");
   }
   return std::move(value.get_object());
 }
 
-/// Reads fields of one object and keeps the first thing that is wrong, so that
-/// readers need no check after each field.
+/// Reads the fields of one object and records the first failure, so that
+/// callers check for failures once, after all fields.
 class FieldReader {
  public:
   FieldReader(const json::object& from, std::string where)
@@ -55,11 +55,11 @@
     } else if (value->is_int64() && value->get_int64() >= 0) {
       number = static_cast<uint64_t>(value->get_int64());
     } else {
-      this->Complain(name, "must be a whole number from 0");
+      this->ReportFault(name, "must be a non-negative integer");
       return 0;
     }
     if (number > most) {
-      this->Complain(name, "must be at most " + std::to_string(most));
+      this->ReportFault(name, "must be at most " + std::to_string(most));
       return 0;
     }
     return number;
@@ -71,8 +71,8 @@
       return {};
     }
     if (!value->is_string() || value->get_string().size() > most) {
-      this->Complain(name, "must be a string of at most " +
-                               std::to_string(most) + " bytes");
+      this->ReportFault(name, "must be a string of at most " +
+                                  std::to_string(most) + " bytes");
       return {};
     }
     return std::string(value->get_string());
@@ -84,8 +84,8 @@
       return nullptr;
     }
     if (!value->is_array() || value->get_array().size() > most) {
-      this->Complain(name, "must be an array of at most " +
-                               std::to_string(most) + " entries");
+      this->ReportFault(name, "must be an array of at most " +
+                                  std::to_string(most) + " entries");
       return nullptr;
     }
     return &value->get_array();
@@ -97,13 +97,13 @@
       return nullptr;
     }
     if (!value->is_object()) {
-      this->Complain(name, "must be an object");
+      this->ReportFault(name, "must be an object");
       return nullptr;
     }
     return &value->get_object();
   }
 
-  void Complain(const char* name, std::string detail) {
+  void ReportFault(const char* name, std::string detail) {
     if (!this->fault) {
       this->fault = Malformed(this->path + "/" + name, std::move(detail));
     }
@@ -115,7 +115,7 @@
   const json::value* Find(const char* name) {
     const json::value* value = this->object.if_contains(name);
     if (value == nullptr) {
-      this->Complain(name, "is missing");
+      this->ReportFault(name, "is missing");
     }
     return value;
   }
@@ -129,7 +129,7 @@
   const uint64_t first = reader.Number("first");
   const uint64_t end = reader.Number("end");
   if (first > end) {
-    reader.Complain("first", "is above the end");
+    reader.ReportFault("first", "must not be greater than end");
   }
   return {first, end};
 }
@@ -144,7 +144,8 @@
   record.offset = reader.Number("offset");
   record.body = reader.Text("body", limits::kMaxLogRecordBytes);
   if (record.offset != wanted) {
-    reader.Complain("offset", "leaves a gap or repeats");
+    reader.ReportFault("offset",
+                       "must continue the offsets without a gap or repetition");
   }
   if (reader.first_fault()) {
     return *reader.first_fault();
@@ -163,7 +164,7 @@
   const std::string state = reader.Text("state", limits::kMaxNameLength);
   vm.leaving = state == "leaving";
   if (state != "live" && state != "leaving") {
-    reader.Complain("state", "must be live or leaving");
+    reader.ReportFault("state", "must be \"live\" or \"leaving\"");
   }
   if (const json::object* control = reader.Object("control")) {
     FieldReader inner(*control, path + "/control");
@@ -178,7 +179,7 @@
     return *reader.first_fault();
   }
   if (!ParseEndpoint(ToString(vm.control), path)) {
-    return Malformed(path + "/control/address", "must be an IP number");
+    return Malformed(path + "/control/address", "must be an IP address");
   }
   return vm;
 }
@@ -199,7 +200,7 @@
   answer.first = reader.Number("first");
   answer.next = reader.Number("next");
   if (answer.next < answer.first || answer.next - answer.first != count) {
-    reader.Complain("next", "does not count the records sent");
+    reader.ReportFault("next", "must be first plus the number of records sent");
   }
   if (reader.first_fault()) {
     return *reader.first_fault();
@@ -224,7 +225,8 @@
   }
   if (from < answer.bounds.first || answer.next > answer.bounds.end ||
       answer.next < from || answer.next - from != records->size()) {
-    return Malformed("/next", "does not agree with the records and the bounds");
+    return Malformed("/next",
+                     "is inconsistent with the records and the bounds");
   }
   answer.records.reserve(records->size());
   for (const json::value& value : *records) {
@@ -270,7 +272,7 @@
       return vm.error();
     }
     if (!names.insert(vm.value().name).second) {
-      return Malformed(path + "/name", "is listed twice");
+      return Malformed(path + "/name", "is a duplicate");
     }
     list.vms.push_back(std::move(vm.value()));
   }
--- a/packages/platform/src/platform_answers.h
+++ b/packages/platform/src/platform_answers.h
@@ -9,28 +9,29 @@
 #include "basilsill/platform/log_client.h"
 #include "basilsill/platform/vm_list_client.h"
 
-/// Bodies of the platform's protocol, as its clients write and read them.
-/// Reading is strict: an answer is taken whole or not at all.
+/// Serializes and parses bodies of the platform's protocol. Parsing is strict:
+/// a malformed answer is rejected as a whole.
 
 namespace basilsill {
 
 std::string WriteAppend(const std::vector<std::string>& records);
 
 /// @param count Number of records that were sent.
-/// @returns kSyntax for anything but `count` offsets.
+/// @returns kSyntax if the answer is malformed or does not have exactly `count`
+/// offsets.
 Result<AppendAnswer> ParseAppendAnswer(std::string_view body, size_t count);
 
-/// @returns kSyntax unless the records are numbered from `from` without gaps,
-/// are at most `max`, and agree with the bounds.
+/// @returns kSyntax unless there are at most `max` records, their offsets start
+/// at `from` without gaps, and they are consistent with the bounds.
 Result<ReadAnswer> ParseReadAnswer(std::string_view body,
                                    uint64_t from,
                                    size_t max);
 
-/// Reads the body of a 410 or 416.
+/// Parses the body of a 410 or 416 answer to a read.
 Result<LogBounds> ParseBounds(std::string_view body);
 
-/// @returns kSyntax for a malformed list; more than limits::kMaxVms entries or
-/// a doubled name are malformed too.
+/// @returns kSyntax if the list is malformed, has more than limits::kMaxVms
+/// entries, or has a duplicate name.
 Result<VmList> ParseVmList(std::string_view body);
 
 }  // namespace basilsill
--- a/packages/platform/src/vm_list_client.cc
+++ b/packages/platform/src/vm_list_client.cc
@@ -13,7 +13,7 @@
 
 constexpr unsigned kOk = 200;
 
-std::optional<Failure> CheckList(const HttpAnswer& http, VmList& list) {
+std::optional<Failure> CheckVmListAnswer(const HttpAnswer& http, VmList& list) {
   if (http.status != kOk) {
     return Failure{FailureKind::kPlatformRejected, "",
                    "answered " + std::to_string(http.status)};
@@ -36,7 +36,7 @@
   call.timeout = wait + client.call_timeout();
   VmList list;
   AnswerCheck check = [&list](const HttpAnswer& http) {
-    return CheckList(http, list);
+    return CheckVmListAnswer(http, list);
   };
   const HttpResult result =
       co_await client.Call(std::move(call), std::move(check));
--- a/packages/platform/test/endpoint_set_test.cc
+++ b/packages/platform/test/endpoint_set_test.cc
@@ -1,4 +1,4 @@
-// The choice of endpoints in virtual time.
+// Tests of the choice of endpoints and of their back-off, in virtual time.
 
 #include "basilsill/platform/endpoint_set.h"
 
@@ -25,17 +25,19 @@
     return set.Choose(now, none_tried).value();
   }
 
-  /// @returns for how long the next failure of `position` makes it rest.
-  milliseconds RestAfterFailure(size_t position) {
+  /// Lets `position` fail and advances `now` to the end of its back-off. The
+  /// other endpoint stays unavailable.
+  /// @returns the back-off.
+  milliseconds BackoffAfterFailure(size_t position) {
     set.ReportFailure(position, now);
     set.ReportFailure(1 - position, now + std::chrono::hours(1));
-    const auto rest = set.NextChance(now) - now;
+    const auto backoff = set.NextChance(now) - now;
     now = set.NextChance(now);
-    return std::chrono::duration_cast<milliseconds>(rest);
+    return std::chrono::duration_cast<milliseconds>(backoff);
   }
 };
 
-TEST(EndpointSet, Choose_FirstFailed_TakesSecondUntilRested) {
+TEST(EndpointSet, Choose_FirstFailed_SecondUntilBackoffEnds) {
   CHECK_EQUAL(0U, Choose());
   set.ReportFailure(0, now);
   CHECK_EQUAL(1U, Choose());
@@ -43,14 +45,14 @@
   CHECK_EQUAL(0U, Choose());
 }
 
-TEST(EndpointSet, Choose_SecondAnswered_StaysWithIt) {
+TEST(EndpointSet, Choose_SecondAnswered_PrefersSecond) {
   set.ReportFailure(0, now);
   set.ReportAnswer(1);
   now += kBackoff.max;
   CHECK_EQUAL(1U, Choose());
 }
 
-TEST(EndpointSet, Choose_AllTriedOrResting_None) {
+TEST(EndpointSet, Choose_AllTriedOrBackingOff_None) {
   set.ReportFailure(0, now);
   CHECK_FALSE(set.Choose(now, {false, true}).has_value());
   CHECK(set.NextChance(now) == now);
@@ -58,19 +60,19 @@
   CHECK(set.NextChance(now) > now);
 }
 
-// Story: the platform is away for a while. Every VM asks less and less often,
-// never less often than the maximum says, and not all at the same instants.
-TEST(EndpointSet, ReportFailure_AgainAndAgain_RestDoublesWithinBounds) {
+// Failure: while the platform is down, VMs call it again too often, wait longer
+// than the maximum back-off, or all retry at the same moment.
+TEST(EndpointSet, ReportFailure_Repeatedly_BackoffDoublesUpToMaximum) {
   milliseconds most = kBackoff.min;
   for (int i = 0; i < 10; ++i) {
-    const milliseconds rest = RestAfterFailure(0);
-    CHECK(rest >= most / 2);
-    CHECK(rest <= most);
+    const milliseconds backoff = BackoffAfterFailure(0);
+    CHECK(backoff >= most / 2);
+    CHECK(backoff <= most);
     most = std::min(most * 2, kBackoff.max);
   }
 }
 
-TEST(EndpointSet, ReportFailure_OtherSeed_OtherRest) {
+TEST(EndpointSet, ReportFailure_OtherSeed_OtherBackoff) {
   EndpointSet other{{{"127.0.0.1", 1}}, kBackoff, kSeed + 1};
   other.ReportFailure(0, now);
   set.ReportFailure(0, now);
@@ -78,9 +80,9 @@
   CHECK(other.NextChance(now) != set.NextChance(now));
 }
 
-TEST(EndpointSet, ReportAnswer_AfterFailures_BackoffBeginsAnew) {
-  RestAfterFailure(0);
-  RestAfterFailure(0);
+TEST(EndpointSet, ReportAnswer_AfterFailures_ResetsBackoff) {
+  BackoffAfterFailure(0);
+  BackoffAfterFailure(0);
   set.ReportAnswer(0);
-  CHECK(RestAfterFailure(0) <= kBackoff.min);
+  CHECK(BackoffAfterFailure(0) <= kBackoff.min);
 }
--- a/packages/platform/test/log_client_test.cc
+++ b/packages/platform/test/log_client_test.cc
@@ -7,8 +7,8 @@
 
 #include <CppUTest/TestHarness.h>
 
-// Nothing here asserts on the clock: calls end by events, and the few short
-// waits only decide when, not whether.
+// These tests do not assert on elapsed time. Calls end because of events; the
+// few short waits determine when a call ends, but not its result.
 
 using namespace basilsill;  // NOLINT: a test's own file.
 using ctl::PlatformFaults;
@@ -44,7 +44,7 @@
     return RunAwaitable(io, client.Read("configuration", from, kMax, kNoWait));
   }
 
-  /// Somewhere nothing listens any more.
+  /// @returns an endpoint on which nothing listens.
   Endpoint ClosedEndpoint() {
     PlatformServer gone = PlatformServer::Listen(io, kAnyPort).value();
     return gone.endpoint();
@@ -71,7 +71,7 @@
 }
 
 TEST(LogClient, Append_LargestRecord_ReadBackWhole) {
-  // Control characters are the longest that JSON makes of a byte.
+  // JSON needs the most bytes for control characters.
   const std::string longest(limits::kMaxLogRecordBytes, '\x01');
   CHECK(Append({longest, longest, longest}).has_value());
   CHECK(Read(0).value().records.at(2).body == longest);
@@ -95,10 +95,10 @@
   CHECK_EQUAL(0U, read.value().next);
 }
 
-// Story: a VM was away for longer than the platform keeps records. It asks for
-// its old offset, is told that this is past retention and where the stream
-// begins now, and can take a checkpoint from there.
-TEST(LogClient, Read_PastRetention_TellsBounds) {
+// Failure: a VM that was down for longer than the platform's retention reads at
+// its old offset and can't recover, because it does not learn that the offset
+// was trimmed and where the stream begins now.
+TEST(LogClient, Read_PastRetention_TrimmedWithBounds) {
   PlatformFaults faults;
   faults.retention_records = 2;
   platform.SetFaults(faults);
@@ -110,9 +110,9 @@
   CHECK(Read(3).value().records.at(0).body == "d");
 }
 
-// Story: the platform comes back with an empty log, or another platform
-// answers. A VM that asks for the offset it had must not take this for "no
-// news".
+// Failure: the platform restarts with an empty log, or another platform
+// answers, and a VM that reads at its old offset takes this for an empty
+// result.
 TEST(LogClient, Read_BeyondEnd_OutOfRangeWithBounds) {
   CHECK(Append({"only"}).has_value());
   const auto read = Read(9);
@@ -120,9 +120,9 @@
   CHECK_EQUAL(1U, read.error().bounds.end);
 }
 
-// Story: an operator's change reaches the log, but the connection breaks
-// before the answer. The client must not say that nothing happened, and must
-// not send it again: reading on shows the record once.
+// Failure: the log appends an operator's change, but the connection closes
+// before the answer. The client reports that the append had no effect, or sends
+// it again, so that the record is in the log twice.
 TEST(LogClient, Append_AnswerLost_UnresolvedAndAppendedOnce) {
   PlatformFaults faults;
   faults.drop_answers = 1;
@@ -132,8 +132,7 @@
   CHECK_EQUAL(1U, platform.state().stats.append_calls);
 }
 
-// Story: the same with a second endpoint at hand. Failing over would append
-// the change twice.
+// Failure: the same with a second endpoint. Failover appends the change twice.
 TEST(LogClient, Append_AnswerLostWithSecondEndpoint_NotSentThere) {
   PlatformServer second = PlatformServer::Listen(io, kAnyPort).value();
   client = Connect({platform.endpoint(), second.endpoint()});
@@ -144,8 +143,8 @@
   CHECK_EQUAL(0U, second.state().stats.append_calls);
 }
 
-// Story: the log is down. Claims must be refused as not run at once, so the
-// client has to know that its append had no effect.
+// Failure: the log is down and the client reports the append as unresolved.
+// Claims could then not be refused as not run at once.
 TEST(LogClient, Append_LogDown_UnavailableWithoutEffect) {
   PlatformFaults faults;
   faults.down = true;
@@ -159,7 +158,7 @@
   CHECK(Append({"x"}).error().kind == FailureKind::kPlatformUnavailable);
 }
 
-TEST(LogClient, Append_FirstEndpointGone_SecondTakesIt) {
+TEST(LogClient, Append_FirstEndpointDown_SentToSecond) {
   client = Connect({ClosedEndpoint(), platform.endpoint()});
   CHECK(Append({"x"}).has_value());
   CHECK_EQUAL(1U, platform.state().stats.append_calls);
@@ -174,9 +173,9 @@
   CHECK_EQUAL(1U, Read(0).value().bounds.end);
 }
 
-// Story: the log takes its time to answer. What was appended can be read long
-// before the answer to the append comes.
-TEST(LogClient, Append_SlowAnswer_ReadableBefore) {
+// Failure: the log answers slowly, and records can't be read before the answer
+// to their append has arrived.
+TEST(LogClient, Append_SlowAnswer_ReadableBeforeAnswer) {
   PlatformFaults faults;
   faults.append_delay = milliseconds(20);
   platform.SetFaults(faults);
@@ -186,8 +185,8 @@
   CHECK_EQUAL(1U, append.Wait().value().next);
 }
 
-// Story: the platform is replaced while calls wait in a long poll. The poll
-// fails, and the next one reaches the new platform under the same address.
+// Failure: the platform restarts at the same address during a long poll, and
+// the client does not reconnect.
 TEST(LogClient, Read_PlatformRestarts_NextReadSucceeds) {
   Started<ReadResult> poll(io,
                            client.Read("configuration", 0, kMax, kLongWait));
--- a/packages/platform/test/misbehaving_server_test.cc
+++ b/packages/platform/test/misbehaving_server_test.cc
@@ -1,4 +1,5 @@
-// The clients against servers that break HTTP or the contract.
+// Tests of the clients against servers that violate HTTP or the platform's
+// protocol.
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/buffer.hpp>
@@ -24,7 +25,7 @@
 constexpr auto kNoThrow = boost::asio::as_tuple(boost::asio::use_awaitable);
 const Endpoint kAnyPort{"127.0.0.1", 0};
 
-/// Answers whatever comes with fixed bytes, then closes.
+/// Answers any request with fixed bytes and then closes the connection.
 class RawServer {
  public:
   RawServer(boost::asio::io_context& io, std::string reply)
@@ -100,9 +101,9 @@
   }
 };
 
-// Story: something that is no platform, or a broken one, answers. An append
-// that was sent to it may have taken effect, whatever the answer looks like;
-// a read gives nothing of it.
+// Failure: a faulty platform, or a server that is not a platform, answers. The
+// client reports that an append had no effect although it may have had one, or
+// a read returns data from the malformed answer.
 TEST(MisbehavingServer, BrokenReply_AppendUnresolvedAndReadFails) {
   for (const BrokenReply& broken : BrokenReplies()) {
     RawServer server(io, broken.reply);
@@ -117,7 +118,7 @@
   }
 }
 
-TEST(MisbehavingServer, BrokenReplyWithSecondEndpoint_ReadGoesThere) {
+TEST(MisbehavingServer, BrokenReplyWithSecondEndpoint_ReadFailsOver) {
   PlatformServer good = PlatformServer::Listen(io, kAnyPort).value();
   good.Append("s", {"x"});
   for (const BrokenReply& broken : BrokenReplies()) {
@@ -135,9 +136,9 @@
   CHECK(appended.error().kind == FailureKind::kPlatformRejected);
 }
 
-// Story: the platform takes an append and then hangs. The caller gets its
-// answer when the call's time is over, and it is "unknown", not "no".
-TEST(MisbehavingServer, AnswerNeverComes_AppendUnresolvedAfterTimeout) {
+// Failure: the platform accepts an append and never answers. The call does not
+// end after its timeout, or reports that the append had no effect.
+TEST(MisbehavingServer, NoAnswer_AppendUnresolvedAfterTimeout) {
   PlatformFaults faults;
   faults.append_delay = std::chrono::hours(1);
   PlatformServer platform =
@@ -150,9 +151,8 @@
   CHECK_EQUAL(1U, platform.state().streams.at("s").Bounds().end);
 }
 
-// Story: the platform closes connections that were idle, as servers do. The
-// next append must not be sent into such a connection: its outcome would be
-// unknown for no reason.
+// Failure: the platform closes an idle connection and the next append is sent
+// on it, so that its outcome is unknown although it was never received.
 TEST(MisbehavingServer, IdleConnectionClosed_NextAppendSucceeds) {
   PlatformServer platform = PlatformServer::Listen(io, kAnyPort).value();
   const Endpoint endpoint = platform.endpoint();
@@ -181,7 +181,7 @@
   }
 };
 
-TEST(VmListClient, Watch_KnownVersion_WaitsForNext) {
+TEST(VmListClient, Watch_CurrentVersion_WaitsForNext) {
   platform.PutVm(vm);
   const auto first = Watch(0, std::chrono::seconds(50));
   CHECK_EQUAL(1U, first.value().version);
@@ -197,14 +197,14 @@
   CHECK(next.Wait().value().vms.at(0).leaving);
 }
 
-TEST(VmListClient, Watch_NothingNew_GivesSameVersion) {
+TEST(VmListClient, Watch_NoChange_ReturnsSameVersion) {
   platform.PutVm(vm);
   CHECK_EQUAL(1U, Watch(1, milliseconds(1)).value().version);
 }
 
-// Story: a VM is gone, but the platform's list still shows it for a while. The
-// watch tells once the list does, without being asked again.
-TEST(VmListClient, Watch_ListLags_ToldWhenListShowsIt) {
+// Failure: the platform's list still shows a removed VM for a while, and a
+// watch in progress does not return when the list is updated.
+TEST(VmListClient, Watch_ListLags_ReturnsUpdatedList) {
   platform.PutVm(vm);
   PlatformFaults faults;
   faults.vm_list_lag = milliseconds(20);
--- a/packages/platform/test/platform_answers_test.cc
+++ b/packages/platform/test/platform_answers_test.cc
@@ -1,4 +1,4 @@
-// Answers of a platform that breaks its contract are taken whole or not at all.
+// Tests that malformed answers of the platform are rejected as a whole.
 
 #include "platform_answers.h"
 
--- a/packages/platform/test/run_awaitable.h
+++ b/packages/platform/test/run_awaitable.h
@@ -9,11 +9,12 @@
 #include <boost/asio/detached.hpp>
 #include <boost/asio/io_context.hpp>
 
-/// Runs coroutines of a test on its own thread.
+/// Runs coroutines on the thread of a test.
 
 namespace basilsill {
 
-/// A call that was started and goes on while the test does other things.
+/// A call in flight, started by the constructor. It makes progress whenever the
+/// io_context runs.
 template <typename T>
 class Started {
  public:
@@ -27,7 +28,7 @@
 
   bool is_done() const { return this->value.has_value(); }
 
-  /// Runs the io_context until the call has ended.
+  /// Runs the io_context until the call has completed.
   T& Wait() {
     while (!this->value) {
       io.run_one();
@@ -45,7 +46,8 @@
   std::optional<T> value;
 };
 
-/// Runs `io` until `work` has ended.
+/// Runs `io` until `work` has completed.
+/// @returns the result of `work`.
 template <typename T>
 T RunAwaitable(boost::asio::io_context& io, boost::asio::awaitable<T> work) {
   Started<T> call(io, std::move(work));
--- a/packages/wire/bench/wire_bench.cc
+++ b/packages/wire/bench/wire_bench.cc
@@ -1,6 +1,6 @@
-// Cost of messages between nodes: the codec alone, and a whole small request
-// and its answer through two muxes. Not part of the tests; figures are for
-// comparison within one run.
+// Benchmark of messages between nodes: the encoder and the decoder alone, and a
+// complete small request with its answer through two muxes. Not part of the
+// tests. Results are comparable only within one run.
 
 #include <string>
 #include <utility>
@@ -15,7 +15,7 @@
 namespace basilsill::wire {
 namespace {
 
-/// What each encoding below pays besides: the copy that it hands over.
+/// Baseline: the cost of the copy that each iteration of EncodeMessage makes.
 void CopyMessage(benchmark::State& state, const PeerMessage& message) {
   for (auto _ : state) {
     PeerMessage copy = message;
@@ -50,8 +50,8 @@
               Bytes(limits::kBodyChunkBytes, 'x')};
 }
 
-/// Carries what one mux has to write to the other.
-void Carry(LinkMux& from, LinkMux& to, FrameBuffer& out) {
+/// Transfers one batch of output of `from` to `to`.
+void TransferOutput(LinkMux& from, LinkMux& to, FrameBuffer& out) {
   std::vector<std::span<const char>> parts;
   from.TakeOutput(TimePoint(), out);
   out.Gather(parts);
@@ -76,14 +76,14 @@
   answer.framing = {BodyKind::kKnown, 1024};
   answer.body = Bytes(1024, 'x');
   answer.end = true;
-  Carry(entry, dispatcher, out);
-  Carry(dispatcher, entry, out);
+  TransferOutput(entry, dispatcher, out);
+  TransferOutput(dispatcher, entry, out);
   for (auto _ : state) {
     answer.stream = entry.OpenStream(SampleOpen()).value();
-    Carry(entry, dispatcher, out);
+    TransferOutput(entry, dispatcher, out);
     dispatcher.TakeEvents(events);
     dispatcher.SendAnswer(answer).value();
-    Carry(dispatcher, entry, out);
+    TransferOutput(dispatcher, entry, out);
     entry.TakeEvents(events);
   }
 }
--- a/packages/wire/include/basilsill/wire/frame.h
+++ b/packages/wire/include/basilsill/wire/frame.h
@@ -13,48 +13,50 @@
 #include "basilsill/base/error.h"
 #include "basilsill/wire/message.h"
 
-/// Messages as bytes and back. A frame is
+/// Encodes messages as frames and decodes them. Layout of a frame:
 ///
 ///   4 octets  size of the message, little-endian, a multiple of 8
 ///   4 octets  size of the payload, little-endian
 ///   message   Cap'n Proto, standard framing (schema/peer.capnp)
 ///   payload   raw octets of a body
 ///
-/// and at most limits::kMaxFrameBytes long without its eight octets of sizes.
-/// Payloads stay outside of the Cap'n Proto part, so that a chunk of a body is
-/// handed to the socket from where it lies and copied once on its way in.
+/// Message and payload together have at most limits::kMaxFrameBytes. The
+/// payload is not part of the Cap'n Proto message, so that a chunk of a body is
+/// written to the socket without being copied, and is copied only once when
+/// received.
 ///
-/// All classes here belong to one thread and never throw.
+/// The classes in this file are not thread-safe and do not throw.
 
 namespace basilsill::wire {
 
-/// Frames that wait to be written: an arena of small parts, and the large
-/// payloads between them, which are owned and not copied.
+/// Buffer of frames to be written. Small parts are stored in one arena; large
+/// payloads are stored separately, without a copy.
 class FrameBuffer {
  public:
-  /// Payloads up to this size are cheaper to copy than to write as a buffer
-  /// of their own.
+  /// Payloads up to this size are copied into the arena, which is cheaper than
+  /// writing them from a separate buffer.
   static constexpr size_t kCopiedPayloadBytes = 2 * 1024;
 
   /// Adds `count` octets to the arena.
-  /// @returns where to write them; good until the next call.
+  /// @returns the space to fill; valid until the next call.
   std::span<char> Extend(size_t count);
 
-  /// Adds a payload, taking it over if it is large.
+  /// Adds a payload. Copies it if it has at most kCopiedPayloadBytes, otherwise
+  /// keeps it as it is.
   void AppendPayload(Bytes payload);
 
-  /// Lists the parts in order, for a gathering write. The spans are good
-  /// until the buffer changes.
+  /// Replaces the content of `parts` by the parts of this buffer in order, for
+  /// a scatter/gather write. The spans are valid until the buffer changes.
   void Gather(std::vector<std::span<const char>>& parts) const;
 
-  /// Drops all frames, keeping the arena's memory for the next ones.
+  /// Removes all frames, but keeps the memory of the arena for reuse.
   void Clear();
 
   size_t size() const { return this->total; }
   bool empty() const { return this->total == 0; }
 
  private:
-  /// A payload, and how much of the arena comes before it.
+  /// A payload that follows the first `arena_end` octets of the arena.
   struct PlacedPayload {
     size_t arena_end = 0;
     Bytes bytes;
@@ -65,7 +67,7 @@
   size_t total = 0;
 };
 
-/// Turns messages into frames, reusing its scratch space.
+/// Encodes messages as frames. Reuses its scratch space between messages.
 class FrameEncoder {
  public:
   FrameEncoder();
@@ -73,13 +75,15 @@
   FrameEncoder& operator=(FrameEncoder&&) noexcept;
   ~FrameEncoder();
 
-  /// Appends `message` to `buffer`. Times are clamped to what a message may
-  /// carry (0 to limits::kMaxPeerDuration).
-  /// @returns kOutOfRange if a field is not what the protocol allows,
-  /// kOversizedFrame if the message is too large; `buffer` is unchanged then.
+  /// Appends `message` to `buffer`. Durations are clamped to the range from 0
+  /// to limits::kMaxPeerDuration.
+  /// @returns kOutOfRange if the protocol does not allow the value of a field,
+  /// kOversizedFrame if the message is too large. On failure `buffer` is not
+  /// changed.
   Result<void> Encode(PeerMessage message, FrameBuffer& buffer);
 
-  /// Encode for a message whose fields were checked when it was queued.
+  /// Like Encode, but does not check the fields: they were checked when the
+  /// message was queued.
   Result<void> EncodeChecked(PeerMessage message, FrameBuffer& buffer);
 
  private:
@@ -88,17 +92,18 @@
   std::unique_ptr<Scratch> scratch;
 };
 
-/// Turns bytes, cut anywhere, into messages. Holds at most one frame.
+/// Decodes messages from a stream of bytes, which may be split at any position.
+/// Buffers at most one frame.
 class FrameDecoder {
  public:
-  /// Takes `bytes` in and appends the messages that are whole by now.
+  /// Consumes `bytes` and appends the messages that they complete.
   /// @returns kMalformedFrame, kOversizedFrame or kVersionMismatch. After a
-  /// failure the place where the next frame begins is not known any more:
-  /// the link has to be closed, and each further call fails the same.
+  /// failure it is unknown where the next frame begins, so the link must be
+  /// closed. Every later call returns the same failure.
   Result<void> Decode(std::span<const char> bytes,
                       std::vector<PeerMessage>& messages);
 
-  /// @returns true if the bytes so far end in the middle of a frame.
+  /// @returns true if part of a frame has been received, but not all of it.
   bool in_frame() const { return this->prefix_filled > 0; }
 
  private:
@@ -109,11 +114,11 @@
   std::span<const char> TakePayload(std::span<const char> bytes);
   void BeginFrame();
   void FinishFrame(std::vector<PeerMessage>& messages);
-  bool IsWhole() const;
+  bool IsFrameComplete() const;
 
   std::array<char, kPrefixBytes> prefix{};
   size_t prefix_filled = 0;
-  std::vector<uint64_t> words;  ///< The message, aligned as its reader needs.
+  std::vector<uint64_t> words;  ///< The message, aligned for its reader.
   size_t message_size = 0;
   size_t message_filled = 0;
   Bytes payload;
--- a/packages/wire/include/basilsill/wire/header_list.h
+++ b/packages/wire/include/basilsill/wire/header_list.h
@@ -7,12 +7,12 @@
 #include <string_view>
 #include <vector>
 
-/// The header fields of a request or answer, kept flat so that a message with
-/// any number of them costs two allocations.
+/// Header fields of a request or answer, stored in two flat arrays, so that any
+/// number of them needs only two allocations.
 
 namespace basilsill::wire {
 
-/// One header field. The views are good until the list changes.
+/// One header field. The views are valid until the list changes.
 struct HeaderView {
   std::string_view name;
   std::string_view value;
@@ -20,10 +20,11 @@
   friend bool operator==(const HeaderView&, const HeaderView&) = default;
 };
 
-/// Header fields in the order of arrival; a name may stand more than once.
+/// Header fields in the order in which they were received. A name may occur
+/// more than once.
 class HeaderList {
  public:
-  /// Walks the fields in order.
+  /// Iterates over the fields in order.
   class Iterator {
    public:
     Iterator(const HeaderList* list, size_t position)
@@ -41,18 +42,19 @@
     size_t position;
   };
 
-  /// Makes a list out of its flat parts, as a frame carries them.
-  /// @param text Names and values one after the other, without separators.
-  /// @param ends Where each name and each value ends in `text`: two positions
-  /// a field, ascending, the last one the size of `text`.
-  /// @returns false, with the list empty, if the parts don't fit together.
+  /// Replaces the list by one in the flat form in which frames contain it.
+  /// @param text All names and values, concatenated without separators.
+  /// @param ends Position in `text` at which each name and each value ends: two
+  /// per field, in ascending order, the last one equal to the size of `text`.
+  /// @returns false if `text` and `ends` are inconsistent; the list is then
+  /// empty.
   bool Assign(std::string_view text, std::vector<uint32_t> ends);
 
   void Append(std::string_view name, std::string_view value);
   void Clear();
 
-  /// @returns the value of the first field `name`, compared without regard to
-  /// ASCII case; empty if there is none.
+  /// @returns the value of the first field whose name is `name`, ignoring ASCII
+  /// case; empty if there is none.
   std::string_view Find(std::string_view name) const;
 
   HeaderView operator[](size_t position) const;
--- a/packages/wire/include/basilsill/wire/link_mux.h
+++ b/packages/wire/include/basilsill/wire/link_mux.h
@@ -12,61 +12,64 @@
 #include "basilsill/wire/frame.h"
 #include "basilsill/wire/message.h"
 
-/// The state of one link between two nodes. Pure: bytes and time points go in,
-/// bytes and events come out; the shell owns the socket.
+/// State machine of one link between two nodes. It does no I/O: its owner feeds
+/// it received bytes and time points, writes the bytes that it produces to the
+/// socket, and handles its events.
 ///
-/// A link begins with a Hello each way. Then, on a data link, either side
-/// opens streams, one a request:
+/// A link begins with a Hello in each direction. After that, either side of a
+/// data link opens streams, one for each request:
 ///
 ///   opener    Open  Data*  End                 | Cancel
 ///   acceptor        Answer  Data*  End | Refused | Reset
 ///
-/// A stream is over when its answer has ended or with Refused, Reset or
-/// Cancel; whatever of it is still on its way is dropped at arrival. A body of
-/// a known length can't end early or run over.
+/// A stream is closed when its answer has ended, or by Refused, Reset or
+/// Cancel. Messages of a closed stream that were still in flight are dropped
+/// when they arrive. A body of known length can be neither shorter nor longer.
 ///
-/// Memory. The receiver of a body grants a window (Hello::stream_window, then
-/// Credit for what the shell reports as consumed), so at most a window of each
-/// stream is ever held by the receiving shell. The sender queues at most
-/// limits::kStreamQueueBytes of a stream's body, and no more than
-/// limits::kMaxInlineBodyBytes of it while all streams together have
-/// limits::kLinkQueueBytes queued. A stream's head is bounded by what the
-/// protocol allows (frame.h), streams by Hello::max_streams, and frames that
-/// belong to no stream by limits::kLinkControlBytes.
+/// Memory: the receiver of a body grants a flow-control window
+/// (Hello::stream_window, then Credit for the octets that the receiving owner
+/// reports as consumed), so that owner never holds more than one window per
+/// stream. The sender queues at most limits::kStreamQueueBytes of a stream's
+/// body, and at most limits::kMaxInlineBodyBytes of it while all streams
+/// together have limits::kLinkQueueBytes queued. The head of a stream is
+/// limited by the size of a frame (frame.h), the number of streams by
+/// Hello::max_streams, and frames that belong to no open stream by
+/// limits::kLinkControlBytes.
 ///
-/// Fairness. Streams whose body is, as far as is known, no longer than
-/// limits::kBodyChunkBytes go first; the longer ones take turns of one chunk,
-/// and get every fourth chunk's worth at least. So a small answer waits for at
-/// most one chunk of a long one.
+/// Fairness: streams whose body is not known to be longer than
+/// limits::kBodyChunkBytes are sent first. Longer streams are served
+/// round-robin with one chunk per turn, and get at least one of every four
+/// chunks. A small answer therefore waits for at most one chunk of a long
+/// answer.
 
 namespace basilsill::wire {
 
 struct LinkMuxOptions {
   LinkSide side = LinkSide::kConnector;
-  Hello hello;  ///< What this side says of itself.
+  Hello hello;  ///< Sent to the peer.
 };
 
-/// How far a request had come on a link that was lost.
+/// Progress of a request at the time at which its link was lost.
 enum class StreamFate : uint8_t {
-  kNeverSent,  ///< No byte of it was handed out: it did not run.
-  kSent,       ///< The peer may have it: whether it ran is unknown.
-  kAnswering,  ///< Part of its answer came: that answer is broken.
+  kNeverSent,  ///< No byte of it was taken for writing: it did not run.
+  kSent,       ///< The peer may have received it; it is unknown whether it ran.
+  kAnswering,  ///< Part of its answer was received; the answer is incomplete.
   kCount
 };
 
 enum class LinkEventKind : uint8_t {
-  kReady,      ///< The peer's Hello came; streams flow.
-  kOpened,     ///< The peer opened a stream (Open).
-  kAnswered,   ///< Head of an answer (Answer).
-  kData,       ///< Octets of a body (Data); report them by Consumed.
-  kEnded,      ///< A body is whole (End). Not sent for a head with `end` set.
-  kRefused,    ///< The peer gave no answer (Refused); the stream is over.
-  kReset,      ///< The answer broke (Reset); the stream is over.
-  kCancelled,  ///< The peer wants no answer; the stream is over.
-  kLost,       ///< The link can't carry the stream; it is over, see `fate`.
-  kWritable,   ///< What AwaitWritable asked for.
-  kGoAway,     ///< The link takes no new streams.
-  kMessage,    ///< A message of no stream: Summary, Heartbeat, Snapshot...
+  kReady,     ///< The peer's Hello was received; streams can be sent.
+  kOpened,    ///< The peer opened a stream (Open).
+  kAnswered,  ///< The head of an answer was received (Answer).
+  kData,      ///< Octets of a body (Data); report them with Consumed.
+  kEnded,     ///< A body is complete (End). Not emitted if a head has `end`.
+  kRefused,   ///< The peer refused the request (Refused); the stream is closed.
+  kReset,     ///< The answer was aborted (Reset); the stream is closed.
+  kCancelled,  ///< The peer cancelled the request; the stream is closed.
+  kLost,  ///< The link can't continue the stream, which is closed; see `fate`.
+  kWritable,  ///< Requested with AwaitWritable.
+  kGoAway,    ///< The peer sent GoAway; the link accepts no new streams.
+  kMessage,   ///< A message that belongs to no stream, such as Heartbeat.
   kCount
 };
 
@@ -74,111 +77,120 @@
   LinkEventKind kind = LinkEventKind::kCount;
   StreamId stream;
   StreamFate fate = StreamFate::kCount;  ///< For kLost.
-  PeerMessage message;                   ///< What came, where something did.
+  PeerMessage message;  ///< The received message, for kinds that have one.
 };
 
 class SendQueue;
 class StreamTable;
 struct Stream;
 
-/// One link. Belongs to one thread; never throws.
+/// One link. Not thread-safe; does not throw.
 ///
-/// Calls about a stream fail with kNotFound when it is over, which the shell
-/// need not have learnt yet, and with kOutOfRange when the message is not
-/// allowed there.
+/// Calls for a stream fail with kNotFound if the stream is closed (the owner
+/// may not have handled the event yet), and with kOutOfRange if the message is
+/// not allowed in the state of the stream.
 class LinkMux {
  public:
-  /// @returns kOutOfRange if the Hello is not what the protocol allows.
+  /// @returns kOutOfRange if the Hello is not valid in the protocol.
   static Result<LinkMux> Create(TimePoint now, LinkMuxOptions options);
 
   LinkMux(LinkMux&&) noexcept;
   LinkMux& operator=(LinkMux&&) noexcept;
   ~LinkMux();
 
-  // Bytes.
+  // Input and output.
 
-  /// Takes in what was read from the socket.
-  /// @returns a failure of the codec, kMalformedFrame for what the protocol
-  /// doesn't allow, or kLimitReached for a peer that sends but doesn't read.
-  /// The link has to be closed then; call OnLost.
+  /// Handles bytes that were read from the socket.
+  /// @returns a failure of the decoder, kMalformedFrame if the peer violates
+  /// the protocol, kLimitReached if the peer sends without reading, or kNetwork
+  /// if the link was lost before. After a failure the link must be closed; call
+  /// OnLost.
   Result<void> OnBytes(TimePoint now, std::span<const char> bytes);
 
-  /// @returns true if TakeOutput would give something.
+  /// @returns true if TakeOutput would produce frames.
   bool HasOutput() const;
 
-  /// Replaces the content of `out` by the next frames to write: all that
-  /// belong to no stream, then turns of streams until there are
-  /// `target_bytes`. Write all of it before taking more. Small targets keep
-  /// the choice of what goes next in here, where it is fair.
+  /// Replaces the content of `out` by the next frames to write: first all
+  /// urgent frames (those that belong to no stream or end one), then turns of
+  /// streams until `out` has at least `target_bytes`. Write all of them before
+  /// the next call. Keep `target_bytes` small: frames are scheduled fairly only
+  /// until they are taken.
   void TakeOutput(TimePoint now,
                   FrameBuffer& out,
                   size_t target_bytes = limits::kBodyChunkBytes);
 
-  /// The link is gone: each open stream gets a kLost event. Later calls fail.
+  /// The connection is lost. Closes each open stream with a kLost event; later
+  /// calls fail.
   void OnLost();
 
   /// Replaces the content of `out` by the events since the last call.
   void TakeEvents(std::vector<LinkEvent>& out);
 
-  // Streams that this side opens.
+  // Streams opened by this side.
 
-  /// Queues `open`, whose `stream` is chosen here. Goes out once the peer's
-  /// Hello came.
-  /// @returns kLimitReached if the peer takes no further stream or the queue
-  /// is full, kNetwork if the link takes none any more. Nothing was sent then.
+  /// Queues `open` and sets its `stream` to a new id. It is sent once the
+  /// peer's Hello has been received.
+  /// @returns the id; or kLimitReached if the peer accepts no further stream or
+  /// the queue is full, kNetwork if the link accepts no streams any more,
+  /// kOutOfRange if `open` is not valid. On failure nothing is sent.
   Result<StreamId> OpenStream(Open open);
 
-  /// Ends interest in the stream's answer. Events that came before may still
-  /// be in the shell's hands; there are no later ones.
+  /// Closes the stream without waiting for its answer. No events follow, but
+  /// earlier ones may not have been taken yet.
   void CancelStream(const StreamId& stream);
 
-  // Streams that the peer opened.
+  // Streams opened by the peer.
 
-  /// Queues the head of an answer. After the answer's end is queued, the
-  /// stream has no further events.
+  /// Queues the head of an answer. Once the end of the answer is queued, the
+  /// stream emits no further events.
   Result<void> SendAnswer(Answer answer);
 
-  /// Ends the stream in place of an answer.
+  /// Closes the stream with a refusal instead of an answer.
   Result<void> Refuse(const Refused& refused);
 
-  /// Breaks the answer off; what of it is queued is dropped.
+  /// Aborts the answer. The queued part of it is dropped.
   Result<void> ResetStream(const Reset& reset);
 
-  // Bodies, either way.
+  // Bodies, in both directions.
 
-  /// @returns how many octets SendData takes now; 0 if the stream is over.
+  /// @returns the number of octets that SendData accepts now; 0 if the stream
+  /// is closed.
   size_t WritableBytes(const StreamId& stream) const;
 
-  /// Asks for one kWritable event when WritableBytes is above 0.
+  /// Requests one kWritable event as soon as WritableBytes is above 0.
   void AwaitWritable(const StreamId& stream);
 
-  /// Queues octets of a body, at most a chunk and what is writable.
-  /// @returns kLimitReached if that is too much; nothing is queued then.
+  /// Queues octets of a body: at least one, and at most the smaller one of
+  /// limits::kBodyChunkBytes and WritableBytes.
+  /// @returns kLimitReached for another number of octets; nothing is queued
+  /// then.
   Result<void> SendData(const StreamId& stream, Bytes bytes);
 
   /// Queues the end of a body.
-  /// @returns kOutOfRange if it falls short of its known length.
+  /// @returns kOutOfRange if the body is shorter than its known length.
   Result<void> SendEnd(const StreamId& stream, HeaderList trailers = {});
 
-  /// The shell passed on `bytes` of a body, whether they came as Data or with
-  /// the head; the peer may send as many again.
+  /// The owner has consumed `bytes` octets of a body, received either as Data
+  /// or with the head, so the peer may send as many more.
   void Consumed(const StreamId& stream, size_t bytes);
 
   // The link itself.
 
-  /// Queues a Summary (data links), or a message of control links: Heartbeat,
-  /// Snapshot..., State..., Write....
-  /// @returns kLimitReached if the peer reads too slowly.
+  /// Queues a message that belongs to no stream: a Summary on a data link; on a
+  /// control link a Heartbeat, Snapshot..., State..., Write... or Quota...
+  /// message.
+  /// @returns kLimitReached if the peer reads too slowly, kOutOfRange if the
+  /// message is not valid on this link, kNetwork if the link is lost.
   Result<void> Post(PeerMessage message);
 
-  /// Tells the peer that no new streams are taken, and opens none: own streams
-  /// that were not yet sent are lost. The peer answers in kind, so that
-  /// nothing can be on its way any more once CanClose.
+  /// Sends GoAway: this side accepts and opens no further streams, and streams
+  /// that it has not sent yet are lost. The peer answers with GoAway, so that
+  /// no stream can be in flight any more once CanClose returns true.
   void SendGoAway();
 
-  /// @returns true if both sides have said GoAway, all streams are over and
-  /// all output is taken: closing the socket, once that is written, loses
-  /// nothing.
+  /// @returns true if both sides have sent GoAway, all streams are closed and
+  /// all output has been taken. Once that output is written, the socket can be
+  /// closed without losing anything.
   bool CanClose() const;
 
   /// @returns true if OpenStream may succeed.
@@ -188,12 +200,12 @@
   const Hello& peer() const { return this->peer_hello; }
   size_t stream_count() const;
 
-  /// @returns since when the link has had neither streams nor bytes to write,
-  /// nor any traffic; kNever while it has.
+  /// @returns the time of the last traffic on the link, or kNever if the link
+  /// has open streams or output.
   TimePoint idle_since() const;
 
-  /// @returns when bytes last came, at first when the link was made. Bytes are
-  /// evidence that the peer lives.
+  /// @returns the time at which bytes were last received, initially the time at
+  /// which the link was created. Received bytes show that the peer is alive.
   TimePoint last_received() const { return this->received_at; }
 
  private:
@@ -240,9 +252,9 @@
   size_t WritableBytes(const Stream& stream) const;
   Result<void> QueueHead(Stream& stream, PeerMessage head);
   void ServeTurn(Stream& stream, FrameBuffer& out);
-  void Lose(Stream& stream);
-  void LoseUnsent();
-  void LoseBeyond(size_t most);
+  void LoseStream(Stream& stream);
+  void LoseUnsentStreams();
+  void LoseStreamsAbove(size_t most);
   void Close(Stream& stream);
 
   LinkMuxOptions options;
--- a/packages/wire/include/basilsill/wire/message.h
+++ b/packages/wire/include/basilsill/wire/message.h
@@ -16,30 +16,29 @@
 #include "basilsill/decision/view.h"
 #include "basilsill/wire/header_list.h"
 
-/// The messages that nodes exchange on their links. Plain values: how they
-/// look in bytes is the codec's business (frame.h), what they mean for the
-/// streams of a link is the mux's (link_mux.h).
+/// Messages that nodes exchange on their links, as plain values. frame.h
+/// encodes them; link_mux.h applies them to the streams of a link.
 ///
-/// A data link runs between two workers and carries streams, one a request.
-/// A control link runs between two control threads and carries no streams.
+/// A data link connects two workers and has one stream for each request. A
+/// control link connects two control threads and has no streams.
 
 namespace basilsill::wire {
 
-/// Spoken version of the protocol; peers of another version are turned away.
+/// Version of the protocol. Links to peers of another version are rejected.
 inline constexpr uint32_t kProtocolVersion = 7;
 
-/// Octets of a body. Moved, never copied, on their way to the socket.
+/// Octets of a body. Large ones are moved, not copied, up to the socket write.
 using Bytes = std::string;
 
 /// The two ends of a link.
 enum class LinkSide : uint8_t { kConnector, kAcceptor, kCount };
 
-/// What a link is for.
+/// Purpose of a link.
 enum class LinkRole : uint8_t { kControl, kData, kCount };
 
-/// Names a stream on its link. The side that opens the stream chooses the
-/// index out of those it has free, and raises the generation of an index each
-/// time it uses it again, so that a late message never meets another stream.
+/// Identifies a stream on its link. The side that opens the stream chooses a
+/// free index, and increments the generation of an index each time that it
+/// reuses it, so that a late message is never delivered to another stream.
 struct StreamId {
   static constexpr uint32_t kInvalidIndex = UINT32_MAX;
 
@@ -50,25 +49,25 @@
   friend bool operator==(const StreamId&, const StreamId&) = default;
 };
 
-/// @returns true if `stream` names some stream; it may be over by now.
+/// @returns true if `stream` identifies a stream, which may be closed by now.
 constexpr bool IsValid(const StreamId& stream) {
   return stream.index != StreamId::kInvalidIndex;
 }
 
-/// Lets unordered containers be keyed by a stream of one link.
+/// Hash for unordered containers with streams of one link as keys.
 struct StreamIdHash {
   size_t operator()(const StreamId& stream) const {
     const uint64_t opener = static_cast<uint64_t>(stream.opener);
     const uint64_t name =
         uint64_t{stream.generation} << 32 | opener << 31 | stream.index;
-    // Spreads the index over the bits that containers look at.
+    // Multiplies by an odd constant to spread the index over all bits.
     return name * 0x9e3779b97f4a7c15;
   }
 };
 
-/// How the length of a body is known.
+/// How the end of a body is determined.
 enum class BodyKind : uint8_t {
-  kNone,    ///< There is no body, whatever the headers say (HEAD, 204, 304).
+  kNone,    ///< No body, regardless of the headers (HEAD, 204, 304).
   kKnown,   ///< `length` octets follow.
   kStream,  ///< Octets follow until End.
   kCount
@@ -76,27 +75,28 @@
 
 struct BodyFraming {
   BodyKind kind = BodyKind::kNone;
-  uint64_t length = 0;  ///< For kKnown alone.
+  uint64_t length = 0;  ///< Octets of the body; only for kKnown.
 
   friend bool operator==(const BodyFraming&, const BodyFraming&) = default;
 };
 
-/// First message each way on every link.
+/// First message of each side on every link.
 struct Hello {
   uint32_t version = kProtocolVersion;
   LinkRole role = LinkRole::kData;
   std::string vm;            ///< Name of the sending VM.
   uint64_t incarnation = 0;  ///< Of the sending process.
-  uint16_t worker = 0;       ///< Of the sender; data links.
-  /// Octets that the sender takes on each stream before it gives credit.
+  uint16_t worker = 0;       ///< Index of the sending worker; data links.
+  /// Octets that the sender accepts on each stream before it sends Credit.
   uint32_t stream_window = limits::kStreamWindowBytes;
-  /// Streams that the sender lets the peer have open at once.
+  /// Maximum number of streams that the peer may have open at the same time.
   uint32_t max_streams = limits::kMaxStreamsPerLink;
-  std::vector<Endpoint> workers;  ///< Link acceptors; control links.
-  std::string data_centre;        ///< Control links.
-  Endpoint control;               ///< Where it listens; control links.
-  bool leaving = false;           ///< It takes no new work; control links.
-  uint32_t capacity = 0;          ///< Control links: VmRow::capacity.
+  /// Where each worker accepts data links; control links.
+  std::vector<Endpoint> workers;
+  std::string data_centre;  ///< Control links.
+  Endpoint control;  ///< Where the sender accepts control links; control links.
+  bool leaving = false;   ///< The sender is draining; control links.
+  uint32_t capacity = 0;  ///< VmRow::capacity; control links.
 
   friend bool operator==(const Hello&, const Hello&) = default;
 };
@@ -109,10 +109,10 @@
   friend bool operator==(const KeyDigest&, const KeyDigest&) = default;
 };
 
-/// Marks a request that must not repeat.
+/// Claim of a request that must run at most once.
 struct OnceClaim {
   KeyDigest key;
-  uint64_t attempt = 0;  ///< Names this try of the key's request.
+  uint64_t attempt = 0;  ///< Identifies this attempt to run the request.
 
   friend bool operator==(const OnceClaim&, const OnceClaim&) = default;
 };
@@ -125,8 +125,8 @@
   std::string team;
   std::string rule;
   TrafficClass traffic_class = TrafficClass::kOrdinary;
-  /// Left of the request's deadline when this was sent; never an absolute
-  /// time, since clocks of two VMs differ.
+  /// Time left until the request's deadline when the message was sent. It is
+  /// relative because the clocks of two VMs differ.
   std::chrono::microseconds deadline{0};
   bool idempotent = false;
   bool hedge = false;
@@ -134,22 +134,22 @@
   Fingerprint fingerprint = 0;
   uint8_t attempts_left = 0;  ///< Further attempts the dispatcher may make.
   uint8_t sends = 0;          ///< DispatchRequest::sends.
-  /// Above this wait the dispatcher hands the request back; Target::max_wait.
-  /// The longest time of a message stands for any wait.
+  /// Target::max_wait: if the expected wait is longer, the dispatcher refuses
+  /// the request. limits::kMaxPeerDuration means no limit.
   Duration max_wait = limits::kMaxPeerDuration;
-  /// Left of the time in which an answer is a good one; 0: not known.
+  /// Time left until the latency target when the message was sent; 0: unknown.
   std::chrono::microseconds good_for{0};
   std::string method;
   std::string target;  ///< In origin form.
   HeaderList headers;
   BodyFraming framing;
   Bytes body;        ///< First octets, at most limits::kMaxInlineBodyBytes.
-  bool end = false;  ///< `body` is all there is; neither Data nor End follow.
+  bool end = false;  ///< `body` is complete; neither Data nor End follows.
 
   friend bool operator==(const Open&, const Open&) = default;
 };
 
-/// Octets of a body, either way.
+/// Octets of a body, in either direction.
 struct Data {
   StreamId stream;
   Bytes bytes;  ///< 1 to limits::kBodyChunkBytes.
@@ -157,7 +157,8 @@
   friend bool operator==(const Data&, const Data&) = default;
 };
 
-/// The body is whole. Without it a body is broken, whatever came before.
+/// The body is complete. A body of kind kStream or kKnown that does not end
+/// with this message is incomplete, unless its head has `end` set.
 struct End {
   StreamId stream;
   HeaderList trailers;
@@ -165,7 +166,7 @@
   friend bool operator==(const End&, const End&) = default;
 };
 
-/// The receiver has passed on `bytes` and can take as many again.
+/// The receiver of a body has consumed `bytes` octets and accepts as many more.
 struct Credit {
   StreamId stream;
   uint32_t bytes = 0;
@@ -173,11 +174,11 @@
   friend bool operator==(const Credit&, const Credit&) = default;
 };
 
-/// Head of an upstream's answer, passed on unchanged.
+/// Head of an upstream's answer, unchanged.
 struct Answer {
   StreamId stream;
   uint16_t status = 0;
-  std::string phrase;  ///< Reason phrase; empty for the status's usual one.
+  std::string phrase;  ///< Reason phrase; empty for the default of the status.
   HeaderList headers;
   BodyFraming framing;
   Bytes body;        ///< As in Open.
@@ -186,21 +187,22 @@
   friend bool operator==(const Answer&, const Answer&) = default;
 };
 
-/// The dispatcher gives the request no upstream's answer. Closes the stream.
+/// The dispatcher has no upstream's answer for the request. Closes the stream.
 struct Refused {
   StreamId stream;
   Refusal refusal = Refusal::kNone;
-  /// True if the dispatcher never sent a byte of it to an upstream, or all
-  /// upstreams that got one refused it before running it.
+  /// True if the dispatcher sent no byte of the request to an upstream, or
+  /// every upstream to which it sent some refused the request before running
+  /// it.
   bool not_run = false;
-  std::chrono::microseconds retry_after{0};  ///< 0: not said.
+  std::chrono::microseconds retry_after{0};  ///< 0: not specified.
   uint8_t sends = 0;                         ///< DispatchAction::sends.
 
   friend bool operator==(const Refused&, const Refused&) = default;
 };
 
-/// A body broke half-way; what came of it must look broken further on.
-/// Closes the stream.
+/// The answer was aborted. The receiver must not pass on the received part as a
+/// complete answer. Closes the stream.
 struct Reset {
   StreamId stream;
   Refusal reason = Refusal::kNone;
@@ -208,122 +210,127 @@
   friend bool operator==(const Reset&, const Reset&) = default;
 };
 
-/// The side that opened the stream wants no answer any more. Closes it.
+/// The side that opened the stream no longer needs an answer. Closes the
+/// stream.
 struct Cancel {
   StreamId stream;
 
   friend bool operator==(const Cancel&, const Cancel&) = default;
 };
 
-/// How loaded a shard of the sender is.
+/// Load of one shard of the sender.
 struct Summary {
   ShardSummary shard;
 };
 bool operator==(const Summary& left, const Summary& right);
 
-/// The sender takes no new streams; those that are open go on.
+/// The sender accepts no new streams. Open streams continue.
 struct GoAway {
   friend bool operator==(const GoAway&, const GoAway&) = default;
 };
 
-/// What a VM says of itself on control links.
+/// State of the sending VM, on control links.
 struct Heartbeat {
   uint64_t incarnation = 0;
-  uint64_t applied_offset = 0;  ///< Next configuration record to be read.
+  uint64_t applied_offset = 0;  ///< Offset of the next configuration record.
   VmState state = VmState::kLive;
   uint64_t vm_list_version = 0;
-  std::vector<CrashReport> crashes;  ///< Deaths of upstreams since the last.
-  bool answer_wanted = false;        ///< The sender asks for a sign of life.
-  /// Of upstreams that the receiver may come to dispatch for.
+  std::vector<CrashReport> crashes;  ///< New crashes of upstreams.
+  bool answer_wanted = false;        ///< The receiver must answer at once.
+  /// Of upstreams to which the receiver may dispatch in future.
   std::vector<RateLimitReport> rate_limits;
 };
 bool operator==(const Heartbeat& left, const Heartbeat& right);
 
-/// Asks for a piece of a configuration snapshot. Pulled a chunk at a time, so
-/// neither side queues more than one.
+/// Requests one chunk of a configuration snapshot. The receiver of the snapshot
+/// requests one chunk at a time, so neither side queues more than one.
 struct SnapshotRequest {
-  uint64_t applied_offset = 0;  ///< Of the snapshot; 0 for the newest.
-  uint64_t position = 0;        ///< Octets the asker has already.
+  uint64_t applied_offset = 0;  ///< Of the snapshot; 0 for the newest one.
+  uint64_t position = 0;        ///< Octets that the requester already has.
 
   friend bool operator==(const SnapshotRequest&,
                          const SnapshotRequest&) = default;
 };
 
-/// One piece of a snapshot.
+/// One chunk of a snapshot.
 struct SnapshotChunk {
-  uint64_t applied_offset = 0;  ///< Where the log goes on after the snapshot.
+  uint64_t applied_offset = 0;  ///< Offset of the first record not included.
   uint64_t position = 0;
-  uint64_t total = 0;  ///< Octets of the whole; 0: the sender has none.
+  uint64_t total = 0;  ///< Octets of the snapshot; 0: the sender has none.
   Bytes bytes;
 
   friend bool operator==(const SnapshotChunk&, const SnapshotChunk&) = default;
 };
 
-/// What a VM has read of a topic at the platform, for those that have not.
-/// Only the source of state knows the form of records.
+/// Records of a topic that the sender relays to VMs that do not read the topic
+/// from the platform themselves. The format of the records is opaque here; only
+/// the source of state interprets it.
 struct StateNews {
   uint8_t topic = 0;
   uint64_t from = 0;  ///< Offset of the first record.
-  uint64_t next = 0;  ///< Offset to read on from; all before it are here.
+  uint64_t next = 0;  ///< Offset after the last record.
   Bytes records;
-  bool whole = false;  ///< The newest record of each key, for a VM that starts.
-  /// More of the whole follows in the next message of this topic.
+  /// `records` is the newest record of each key, for a VM that has no state of
+  /// the topic.
+  bool whole = false;
+  /// The state of the topic continues in the next message of this topic.
   bool more = false;
-  /// How old all this is, for a receiver that sent a stamp.
+  /// Proof of the age of the records, for a receiver that sent a stamp.
   std::optional<FreshnessVouch> vouch{};
 
   friend bool operator==(const StateNews&, const StateNews&) = default;
 };
 
-/// From where on a VM lacks a topic.
+/// Position from which on a VM lacks the records of a topic.
 struct TopicPosition {
   uint8_t topic = 0;
-  uint64_t from = 0;  ///< 0: it has nothing of it.
+  uint64_t from = 0;  ///< 0: it has no records of the topic.
 
   friend bool operator==(const TopicPosition&, const TopicPosition&) = default;
 };
 
-/// The sender starts, or has heard nothing for long, and asks to be told these
-/// topics. Answered by StateNews or StateDeclined.
+/// Requests the records of topics. Sent by a VM that starts or that has
+/// received no updates for a long time. Answered by StateNews or StateDeclined.
 struct StateQuestion {
   std::vector<TopicPosition> wanted;
   uint64_t stamp = 0;  ///< As in StateStamp.
-  /// It knows them up to their positions and wants what came since.
+  /// The sender has all records up to the positions and requests later ones.
   bool catches_up = false;
 
   friend bool operator==(const StateQuestion&, const StateQuestion&) = default;
 };
 
-/// The sender does not tell what it was asked for.
+/// The sender declines a StateQuestion.
 struct StateDeclined {
-  /// It has nothing itself yet and tells as soon as it has. Otherwise its link
-  /// is taken by others that it tells.
+  /// True if the sender has no records yet and sends them as soon as it has.
+  /// False if it has no capacity left, because it serves other VMs.
   bool later = false;
 
   friend bool operator==(const StateDeclined&, const StateDeclined&) = default;
 };
 
-/// The sender wants to be told how old the receiver's next news are.
+/// Requests proof of the age of the records in the receiver's next StateNews.
 struct StateStamp {
-  uint64_t stamp = 0;  ///< Comes back in StateNews::vouch.
+  uint64_t stamp = 0;  ///< Returned in StateNews::vouch.
 
   friend bool operator==(const StateStamp&, const StateStamp&) = default;
 };
 
-/// Asks the receiver to write a record at the platform, in one call with those
-/// of others.
+/// Asks the receiver to write a record to the platform, in one call together
+/// with the records of other VMs.
 struct WriteRequest {
   uint8_t topic = 0;
-  uint64_t number = 0;  ///< Names the request on its link.
-  Bytes record;         ///< As in StateNews; its offset says nothing.
+  uint64_t number = 0;  ///< Identifies the request on its link.
+  Bytes record;         ///< As in StateNews; its offset has no meaning.
 
   friend bool operator==(const WriteRequest&, const WriteRequest&) = default;
 };
 
-/// What came of a WriteRequest.
+/// Result of a WriteRequest.
 struct WriteAnswer {
   uint64_t number = 0;
-  /// False: it was not written as far as the sender knows. It may have been.
+  /// False if the sender can't confirm the write; the record may have been
+  /// written nevertheless.
   bool written = false;
 
   friend bool operator==(const WriteAnswer&, const WriteAnswer&) = default;
--- a/packages/wire/schema/peer.capnp
+++ b/packages/wire/schema/peer.capnp
@@ -1,20 +1,20 @@
-# Messages between nodes. include/basilsill/wire/message.h says what each one
-# means; this file says only how it looks in bytes. schema/generate makes
-# generated/ out of it, which is committed.
+# Encoding of the messages between nodes. include/basilsill/wire/message.h
+# documents their meaning. schema/generate generates the files in generated/,
+# which are committed, from this file.
 #
-# Octets of bodies (Data, SnapshotChunk, and what rides with Open and Answer)
-# are not in here: they follow the message raw in the same frame.
+# Body octets (of Data, SnapshotChunk, Open and Answer) are not part of these
+# structs. They follow the message as the payload of the same frame.
 #
-# Both ends of a link speak the same version, so a field may be changed freely
-# as long as the protocol's version is raised with it.
+# Both ends of a link must have the same protocol version, so a field may be
+# changed incompatibly if the protocol version is incremented as well.
 
 @0xd6f3a1c25b7e9048;
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("basilsill::wire::schema");
 
-# Bit 63: opened by the acceptor. Bits 32 to 62: generation. Bits 0 to 31:
-# index.
+# Bit 63: set if the acceptor opened the stream. Bits 32 to 62: generation.
+# Bits 0 to 31: index.
 using StreamId = UInt64;
 
 # Microseconds.
@@ -23,7 +23,7 @@
 # Nanoseconds.
 using Nanos = Int64;
 
-# Number of a reason, as basilsill/base/reason.h counts them.
+# Value of the enum Refusal in basilsill/base/reason.h.
 using RefusalNumber = UInt8;
 
 enum LinkRole {
@@ -55,7 +55,8 @@
   port @1 :UInt16;
 }
 
-# Flat: one text and where each name and each value ends in it.
+# All names and values concatenated, and the position at which each of them
+# ends.
 struct HeaderList {
   text @0 :Data;
   ends @1 :List(UInt32);
@@ -106,7 +107,7 @@
   sends @20 :UInt8;
 }
 
-# Not named Data: that is a built-in type.
+# Not named Data, because that is a built-in type.
 struct BodyData {
   stream @0 :StreamId;
 }
--- a/packages/wire/src/frame_decoder.cc
+++ b/packages/wire/src/frame_decoder.cc
@@ -16,11 +16,13 @@
 
 constexpr size_t kWordBytes = sizeof(capnp::word);
 
-/// The deepest message is a list of structs within a struct within the root.
+/// The most deeply nested message has a list of structs in a struct in the
+/// root.
 constexpr int kNestingLimit = 8;
 
-/// A message is read once, each text by one getter; twice the largest frame
-/// leaves room for that and stops pointers that lead to one place many times.
+/// Every field of a message is read only once, so twice the size of the largest
+/// frame is enough for any valid message. The limit stops messages with many
+/// pointers to the same place.
 constexpr uint64_t kTraversalLimitWords =
     2 * limits::kMaxFrameBytes / kWordBytes;
 
@@ -28,7 +30,7 @@
   return {FailureKind::kMalformedFrame, "/", std::move(detail)};
 }
 
-/// @returns the message in `words`; throws what its reader throws.
+/// @returns the message in `words`. Throws kj::Exception or FailureError.
 PeerMessage ParseMessage(std::span<const uint64_t> words) {
   capnp::ReaderOptions options;
   options.traversalLimitInWords = kTraversalLimitWords;
@@ -37,18 +39,20 @@
   capnp::FlatArrayMessageReader reader(kj::arrayPtr(start, words.size()),
                                        options);
   if (reader.getEnd() != start + words.size()) {
-    throw FailureError(Malformed("words beyond the end of the message"));
+    throw FailureError(
+        Malformed("trailing words after the end of the message"));
   }
   return ReadMessage(reader.getRoot<schema::PeerMessage>());
 }
 
-/// @returns the message in `words` with its payload, whole and checked.
+/// @returns the message in `words` together with `payload`; kMalformedFrame or
+/// kVersionMismatch if it is not valid.
 Result<PeerMessage> ReadFrame(std::span<const uint64_t> words, Bytes payload) {
   try {
     PeerMessage message = ParseMessage(words);
     Bytes* place = PayloadOf(message);
     if (place == nullptr && !payload.empty()) {
-      return Malformed("a payload beside a message that has none");
+      return Malformed("payload after a message of a kind that has none");
     }
     if (place != nullptr) {
       *place = std::move(payload);
@@ -60,8 +64,8 @@
     }
     return message;
   } catch (const kj::Exception& error) {
-    // The description alone: turning the whole exception into text would make
-    // the library start a process that resolves its stack trace.
+    // Uses only the description: when the whole exception is converted to text,
+    // the library starts a process to resolve its stack trace.
     return Malformed(error.getDescription().cStr());
   } catch (const FailureError& error) {
     return error.failure();
@@ -80,7 +84,7 @@
     } else {
       bytes = this->TakePayload(bytes);
     }
-    if (!this->failure && this->IsWhole()) {
+    if (!this->failure && this->IsFrameComplete()) {
       this->FinishFrame(messages);
     }
   }
@@ -122,18 +126,19 @@
   std::memcpy(sizes, this->prefix.data(), sizeof(sizes));
   this->message_size = sizes[0];
   this->payload_size = sizes[1];
-  // Both sizes are 32 bits wide and summed in 64, so the sum can't wrap round
-  // to something small.
+  // Both sizes have 32 bits and are added in 64 bits, so the sum can't overflow
+  // to a small number.
   const size_t size = this->message_size + this->payload_size;
   if (size > limits::kMaxFrameBytes) {
     this->failure =
         Failure{FailureKind::kOversizedFrame, "/",
-                "a frame of " + std::to_string(size) + " bytes, at most " +
+                "frame of " + std::to_string(size) + " bytes, the limit is " +
                     std::to_string(limits::kMaxFrameBytes)};
     return;
   }
   if (this->message_size == 0 || this->message_size % kWordBytes != 0) {
-    this->failure = Malformed("a message that is not made of words");
+    this->failure =
+        Malformed("message size is not a positive multiple of 8 bytes");
     return;
   }
   this->words.resize(this->message_size / kWordBytes);
@@ -153,7 +158,7 @@
   this->prefix_filled = 0;
 }
 
-bool FrameDecoder::IsWhole() const {
+bool FrameDecoder::IsFrameComplete() const {
   return this->prefix_filled == kPrefixBytes &&
          this->message_filled == this->message_size &&
          this->payload.size() == this->payload_size;
--- a/packages/wire/src/frame_encoder.cc
+++ b/packages/wire/src/frame_encoder.cc
@@ -16,17 +16,17 @@
 namespace basilsill::wire {
 namespace {
 
-/// Holds nearly all messages; larger ones take further segments.
+/// Large enough for nearly all messages. Larger ones use further segments.
 constexpr size_t kScratchWords = 512;
 
 static_assert(std::endian::native == std::endian::little,
-              "sizes are written as they lie in memory");
+              "sizes are copied from memory to the frame unchanged");
 
 using Segments = kj::ArrayPtr<const kj::ArrayPtr<const capnp::word>>;
 
 Failure Oversized(size_t size) {
   return {FailureKind::kOversizedFrame, "/",
-          "a frame of " + std::to_string(size) + " bytes, at most " +
+          "frame of " + std::to_string(size) + " bytes, the limit is " +
               std::to_string(limits::kMaxFrameBytes)};
 }
 
@@ -45,8 +45,8 @@
 
 }  // namespace
 
-/// Space for the first segment; always zero between two messages, as the
-/// message builder demands and leaves it.
+/// Memory for the first segment of a message. The message builder requires it
+/// to be zero, and zeroes it again when it is destroyed.
 struct FrameEncoder::Scratch {
   capnp::word words[kScratchWords] = {};
 };
@@ -81,8 +81,8 @@
     AppendFrame(segments, payload == nullptr ? Bytes() : std::move(*payload),
                 buffer);
   } catch (const kj::Exception& error) {
-    // The description alone: turning the whole exception into text would make
-    // the library start a process that resolves its stack trace.
+    // Uses only the description: when the whole exception is converted to text,
+    // the library starts a process to resolve its stack trace.
     return Failure{FailureKind::kOutOfRange, "/",
                    error.getDescription().cStr()};
   }
--- a/packages/wire/src/link_mux.cc
+++ b/packages/wire/src/link_mux.cc
@@ -12,15 +12,15 @@
 namespace basilsill::wire {
 namespace {
 
-Failure StreamIsOver() {
-  return {FailureKind::kNotFound, "/stream", "the stream is over"};
+Failure StreamClosed() {
+  return {FailureKind::kNotFound, "/stream", "the stream is closed"};
 }
 
-Failure NotAllowed(std::string detail) {
+Failure NotAllowedHere(std::string detail) {
   return {FailureKind::kOutOfRange, "/", std::move(detail)};
 }
 
-Failure Full(std::string detail) {
+Failure LimitReached(std::string detail) {
   return {FailureKind::kLimitReached, "/", std::move(detail)};
 }
 
@@ -100,7 +100,7 @@
 
 void LinkMux::OnLost() {
   this->lost = true;
-  const auto lose = [this](Stream& stream) { this->Lose(stream); };
+  const auto lose = [this](Stream& stream) { this->LoseStream(stream); };
   this->own->ForEach(lose);
   this->accepted->ForEach(lose);
 }
@@ -112,15 +112,17 @@
 
 Result<StreamId> LinkMux::OpenStream(Open open) {
   if (!this->TakesStreams()) {
-    return Failure{FailureKind::kNetwork, "/", "the link takes no streams"};
+    return Failure{FailureKind::kNetwork, "/",
+                   "the link accepts no new streams"};
   }
   if (this->own->size() >= this->peer_hello.max_streams ||
       this->queue->queued_bytes() >= limits::kLinkQueueBytes) {
-    return Full("the link is full");
+    return LimitReached(
+        "the peer's stream limit or the send queue limit is reached");
   }
   Stream* stream = this->own->Create();
   if (stream == nullptr) {
-    return Full("all streams are open");
+    return LimitReached("all stream ids are in use");
   }
   const StreamId id = stream->id;
   stream->in.window_left = this->options.hello.stream_window;
@@ -165,13 +167,14 @@
 Result<void> LinkMux::SendAnswer(Answer answer) {
   Stream* stream = this->Find(answer.stream);
   if (stream == nullptr) {
-    return StreamIsOver();
+    return StreamClosed();
   }
   if (this->IsOwn(stream->id) || stream->out.begun) {
-    return NotAllowed("not the place of an answer");
+    return NotAllowedHere(
+        "this side can't answer the stream, or has already done so");
   }
   if (answer.body.size() > stream->out.credit) {
-    return Full("more than the peer takes");
+    return LimitReached("the body is larger than the peer's window");
   }
   const BodyFraming framing = answer.framing;
   const size_t inline_bytes = answer.body.size();
@@ -186,10 +189,11 @@
 Result<void> LinkMux::Refuse(const Refused& refused) {
   Stream* stream = this->Find(refused.stream);
   if (stream == nullptr) {
-    return StreamIsOver();
+    return StreamClosed();
   }
   if (this->IsOwn(stream->id) || stream->out.head_sent) {
-    return NotAllowed("not the place of a refusal");
+    return NotAllowedHere(
+        "this side can't refuse the stream, or has already answered");
   }
   Result<void> queued = this->queue->PushUrgent(refused);
   if (queued) {
@@ -201,10 +205,11 @@
 Result<void> LinkMux::ResetStream(const Reset& reset) {
   Stream* stream = this->Find(reset.stream);
   if (stream == nullptr) {
-    return StreamIsOver();
+    return StreamClosed();
   }
   if (this->IsOwn(stream->id)) {
-    return NotAllowed("not the place of a reset");
+    return NotAllowedHere(
+        "this side opened the stream: it must be cancelled, not reset");
   }
   Result<void> queued = this->queue->PushUrgent(reset);
   if (queued) {
@@ -249,14 +254,16 @@
 Result<void> LinkMux::SendData(const StreamId& id, Bytes bytes) {
   Stream* stream = this->Find(id);
   if (stream == nullptr) {
-    return StreamIsOver();
+    return StreamClosed();
   }
   if (bytes.empty() || bytes.size() > limits::kBodyChunkBytes ||
       bytes.size() > this->WritableBytes(*stream)) {
-    return Full("not a chunk that is writable");
+    return LimitReached(
+        "the chunk is empty or larger than the writable octets");
   }
   if (!stream->out.body.Add(bytes.size())) {
-    return NotAllowed("longer than the body's length");
+    return NotAllowedHere(
+        "the body exceeds its known length or has already ended");
   }
   stream->out.credit -= bytes.size();
   this->queue->PushChunk(*stream, std::move(bytes));
@@ -266,14 +273,15 @@
 Result<void> LinkMux::SendEnd(const StreamId& id, HeaderList trailers) {
   Stream* stream = this->Find(id);
   if (stream == nullptr) {
-    return StreamIsOver();
+    return StreamClosed();
   }
   Result<void> checked = CheckMessage(End{id, trailers});
   if (!checked) {
     return checked;
   }
   if (!stream->out.begun || !stream->out.body.End()) {
-    return NotAllowed("not the place of an end");
+    return NotAllowedHere(
+        "the body has not begun, has already ended or is too short");
   }
   stream->out.trailers = std::move(trailers);
   stream->out.end_queued = true;
@@ -290,8 +298,9 @@
   const size_t consumed = std::min(bytes, in.held);
   in.held -= consumed;
   in.unreported += consumed;
-  // One frame for a quarter of the window: a frame for each chunk would cost
-  // more, and half of it would let the sender run dry on long ways.
+  // Sends one Credit for each quarter of the window. A Credit for each chunk
+  // costs more frames; one for half of the window lets the sender run out of
+  // credit on links with a long round-trip time.
   const size_t least = this->options.hello.stream_window / 4;
   if (in.body.ended() || in.unreported == 0 || in.unreported < least) {
     return;
@@ -306,10 +315,10 @@
     return Failure{FailureKind::kNetwork, "/", "the link is lost"};
   }
   if (!BelongsToRole(message, this->options.hello.role)) {
-    return NotAllowed("not a message of this link's role");
+    return NotAllowedHere("the message is not allowed on a link of this role");
   }
   if (this->queue->IsOverflowing()) {
-    return Full("the peer reads too slowly");
+    return LimitReached("the peer reads too slowly");
   }
   return this->queue->PushUrgent(std::move(message));
 }
@@ -320,7 +329,7 @@
   }
   this->go_away_sent = true;
   this->queue->PushUrgent(GoAway{}).value();
-  this->LoseUnsent();
+  this->LoseUnsentStreams();
 }
 
 bool LinkMux::CanClose() const {
@@ -359,7 +368,7 @@
                    PeerMessage message) {
   const bool is_done = stream.out.body.ended() && !this->IsOwn(stream.id);
   if (is_done) {
-    // The shell has queued the whole answer and let go of the stream.
+    // The owner has queued the complete answer and released the stream.
     return;
   }
   LinkEvent event;
@@ -369,7 +378,7 @@
   this->events.push_back(std::move(event));
 }
 
-void LinkMux::Lose(Stream& stream) {
+void LinkMux::LoseStream(Stream& stream) {
   const size_t before = this->events.size();
   this->Emit(LinkEventKind::kLost, stream, {});
   if (this->events.size() > before) {
@@ -381,10 +390,10 @@
   this->Close(stream);
 }
 
-void LinkMux::LoseUnsent() {
+void LinkMux::LoseUnsentStreams() {
   this->own->ForEach([this](Stream& stream) {
     if (!stream.out.head_sent) {
-      this->Lose(stream);
+      this->LoseStream(stream);
     }
   });
 }
--- a/packages/wire/src/link_mux_receive.cc
+++ b/packages/wire/src/link_mux_receive.cc
@@ -1,5 +1,5 @@
-// The half of the mux that acts on what the peer sent. Nothing in here trusts
-// the peer: each message is allowed or ends the link.
+// The receiving half of the mux. It does not trust the peer: each message is
+// validated, and a message that the protocol does not allow ends the link.
 
 #include <string>
 #include <utility>
@@ -12,9 +12,9 @@
 namespace basilsill::wire {
 namespace {
 
-/// Space kept from one read to the next. A node has many links, so what a
-/// burst needed on one of them is not kept for good.
-constexpr size_t kKeptMessages = 32;
+/// Maximum capacity of the message buffer that is kept between reads. A node
+/// has many links, so a larger buffer, allocated for a burst, is freed.
+constexpr size_t kMaxKeptMessages = 32;
 
 Failure Violation(std::string detail) {
   return {FailureKind::kMalformedFrame, "/", std::move(detail)};
@@ -35,7 +35,7 @@
   std::vector<PeerMessage> messages = std::move(this->inbox);
   messages.clear();
   Result<void> result = this->decoder.Decode(bytes, messages);
-  // What was whole before a malformed frame still counts.
+  // Messages that were complete before a malformed frame are still handled.
   for (PeerMessage& message : messages) {
     Result<void> received = this->Receive(std::move(message));
     if (!received) {
@@ -43,12 +43,12 @@
       break;
     }
   }
-  if (messages.capacity() <= kKeptMessages) {
+  if (messages.capacity() <= kMaxKeptMessages) {
     this->inbox = std::move(messages);
   }
   if (result && this->queue->IsOverflowing()) {
     result = Failure{FailureKind::kLimitReached, "/",
-                     "the peer sends without reading"};
+                     "the peer sends messages without reading the replies"};
   }
   this->lost = !result.has_value();
   return result;
@@ -68,10 +68,10 @@
 Result<void> LinkMux::ReceiveFirst(const PeerMessage& message) {
   const auto* hello = std::get_if<Hello>(&message);
   if (hello == nullptr) {
-    return Violation("a link begins with Hello");
+    return Violation("the first message is not a Hello");
   }
   if (hello->role != this->options.hello.role) {
-    return Violation("a link of another role");
+    return Violation("the Hello has another link role than this side");
   }
   this->peer_known = true;
   this->peer_hello = *hello;
@@ -79,7 +79,7 @@
   ready.kind = LinkEventKind::kReady;
   ready.message = message;
   this->events.push_back(std::move(ready));
-  this->LoseBeyond(hello->max_streams);
+  this->LoseStreamsAbove(hello->max_streams);
   const size_t further = hello->stream_window - limits::kMaxInlineBodyBytes;
   this->own->ForEach([this, further](Stream& stream) {
     stream.out.credit += further;
@@ -88,10 +88,10 @@
   return Done();
 }
 
-void LinkMux::LoseBeyond(size_t most) {
+void LinkMux::LoseStreamsAbove(size_t most) {
   this->own->ForEach([this, most](Stream& stream) {
     if (this->own->size() > most) {
-      this->Lose(stream);
+      this->LoseStream(stream);
     }
   });
 }
@@ -103,14 +103,14 @@
                             ? !this->IsOwn(id) || stream->out.head_sent
                             : table.WasOpened(id);
   if (!is_known) {
-    return Violation("a stream that was never opened");
+    return Violation("message for a stream that was never opened");
   }
   return stream;
 }
 
 Result<Stream*> LinkMux::FindOwnForPeer(const StreamId& id) const {
   if (!this->IsOwn(id)) {
-    return Violation("a stream of the other side");
+    return Violation("answer to a stream that this side did not open");
   }
   return this->FindForPeer(id);
 }
@@ -123,11 +123,11 @@
   if (this->options.hello.role != LinkRole::kData || this->go_away_received ||
       this->IsOwn(open.stream) ||
       this->accepted->size() >= this->options.hello.max_streams) {
-    return Violation("a stream that may not be opened");
+    return Violation("the peer may not open this stream");
   }
   Stream* stream = this->accepted->Adopt(open.stream);
   if (stream == nullptr) {
-    return Violation("a stream under a name that was used");
+    return Violation("stream id is in use or was used before");
   }
   stream->in.window_left = this->options.hello.stream_window;
   stream->out.credit = this->peer_hello.stream_window;
@@ -168,7 +168,7 @@
                              bool end) {
   IncomingHalf& in = stream.in;
   if (in.begun || body.size() > in.window_left) {
-    return Violation("a head that may not come here");
+    return Violation("second head of a stream, or its body exceeds the window");
   }
   in.begun = true;
   in.window_left -= body.size();
@@ -189,7 +189,7 @@
   IncomingHalf& in = stream->in;
   const size_t size = data.bytes.size();
   if (!in.begun || size > in.window_left || !in.body.Add(size)) {
-    return Violation("octets beyond the window or the length of a body");
+    return Violation("octets outside of a body, its length or its window");
   }
   in.window_left -= size;
   in.held += size;
@@ -207,7 +207,8 @@
     return Done();
   }
   if (!stream->in.begun || !stream->in.body.End()) {
-    return Violation("an end where a body can't end");
+    return Violation(
+        "End of a body that has not begun, has ended or is too short");
   }
   const bool is_own = this->IsOwn(stream->id);
   this->Emit(LinkEventKind::kEnded, *stream, std::move(end));
@@ -228,7 +229,7 @@
   }
   const size_t spent = this->peer_hello.stream_window - stream->out.credit;
   if (credit.bytes > spent) {
-    return Violation("more credit than was spent");
+    return Violation("Credit exceeds the octets sent");
   }
   stream->out.credit += credit.bytes;
   this->NotifyWritable(*stream);
@@ -245,7 +246,7 @@
     return Done();
   }
   if (stream->in.begun) {
-    return Violation("a refusal after an answer");
+    return Violation("Refused after the head of an answer");
   }
   this->Emit(LinkEventKind::kRefused, *stream, refused);
   this->Close(*stream);
@@ -267,7 +268,7 @@
 
 Result<void> LinkMux::On(const Cancel& cancel) {
   if (this->IsOwn(cancel.stream)) {
-    return Violation("a cancel by the side that answers");
+    return Violation("Cancel of a stream that the peer did not open");
   }
   const Result<Stream*> found = this->FindForPeer(cancel.stream);
   if (!found) {
@@ -296,7 +297,7 @@
 
 Result<void> LinkMux::OnPosted(PeerMessage message, LinkRole role) {
   if (this->options.hello.role != role) {
-    return Violation("a message of another role");
+    return Violation("message not allowed on a link of this role");
   }
   LinkEvent event;
   event.kind = LinkEventKind::kMessage;
--- a/packages/wire/src/message_check.cc
+++ b/packages/wire/src/message_check.cc
@@ -20,16 +20,17 @@
   return text.find(octet) != std::string_view::npos;
 }
 
-/// @returns false if `text` holds an octet that ends a line or a text. A head
-/// that passed it on would be read as two heads further on.
-/// @remarks Three searches of the C library are faster than one loop here.
+/// @returns false if `text` contains CR, LF or NUL. An upstream or a caller
+/// that received such a head would parse it as two heads.
+/// @remarks Three searches by the C library are faster than one loop.
 bool IsOneLine(std::string_view text) {
   return !Contains(text, '\r') && !Contains(text, '\n') &&
          !Contains(text, '\0');
 }
 
-/// @returns true if `text` has neither blanks nor control characters.
-/// @remarks Without an early end, so that the compiler makes no branches.
+/// @returns true if `text` is not empty and has neither blanks nor control
+/// characters.
+/// @remarks The loop has no early exit, so that it compiles without branches.
 bool IsWord(std::string_view text) {
   bool is_word = !text.empty();
   for (const char octet : text) {
@@ -43,10 +44,10 @@
   return IsWord(text) && !Contains(text, ':');
 }
 
-/// Gathers the first fault of a message.
+/// Records the first invalid field of a message.
 class Checker {
  public:
-  /// Holds the field at `path` to `allowed`.
+  /// Records the field at `path` as invalid unless `allowed`.
   void Require(bool allowed, std::string_view path, std::string_view detail) {
     if (!allowed && this->path.empty()) {
       this->path = path;
@@ -56,14 +57,14 @@
 
   void RequireName(std::string_view name, std::string_view path) {
     this->Require(name.size() <= limits::kMaxNameLength, path,
-                  "longer than a name may be");
+                  "longer than the maximum name length");
   }
 
   void RequireStream(const StreamId& stream) {
     this->Require(stream.index < limits::kMaxStreamsPerLink &&
                       stream.generation <= kMaxGeneration &&
                       stream.opener < LinkSide::kCount,
-                  "/stream", "no stream has this name");
+                  "/stream", "not a valid stream id");
   }
 
   void RequireHeaders(const HeaderList& headers, std::string_view path) {
@@ -71,7 +72,8 @@
                   "too many header fields");
     this->Require(headers.text().size() <= limits::kMaxPeerHeaderBytes, path,
                   "header fields too long");
-    this->Require(IsOneLine(headers.text()), path, "a field spans lines");
+    this->Require(IsOneLine(headers.text()), path,
+                  "a field contains CR, LF or NUL");
     for (const HeaderView field : headers) {
       this->Require(IsFieldName(field.name), path, "malformed field name");
     }
@@ -79,22 +81,23 @@
 
   void RequireBody(const BodyFraming& framing, const Bytes& body, bool end) {
     const bool known = framing.kind == BodyKind::kKnown;
-    this->Require(framing.kind < BodyKind::kCount, "/framing", "unknown kind");
+    this->Require(framing.kind < BodyKind::kCount, "/framing",
+                  "unknown body kind");
     this->Require(known || framing.length == 0, "/framing",
-                  "a length without the kind that has one");
+                  "length given for a body kind that has none");
     this->Require(framing.kind != BodyKind::kNone || (end && body.empty()),
-                  "/framing", "a body where there is none");
+                  "/framing", "octets, or no end, with body kind kNone");
     this->Require(!known || body.size() <= framing.length, "/body",
-                  "longer than its length");
+                  "longer than the length in framing");
     this->Require(!known || !end || body.size() == framing.length, "/body",
-                  "shorter than its length");
+                  "shorter than the length in framing");
     this->Require(body.size() <= limits::kMaxInlineBodyBytes, "/body",
-                  "too long to ride with its head");
+                  "longer than a body in a head may be");
   }
 
   void RequireChunk(const Bytes& bytes) {
     this->Require(bytes.size() <= limits::kBodyChunkBytes, "/bytes",
-                  "longer than a chunk");
+                  "longer than the maximum chunk");
   }
 
   Result<void> Finish() const {
@@ -112,13 +115,14 @@
 
 void Check(Checker& check, const Hello& hello) {
   check.Require(hello.role < LinkRole::kCount, "/role", "unknown role");
-  check.Require(IsWord(hello.vm), "/vm", "not a name");
+  check.Require(IsWord(hello.vm), "/vm",
+                "must be non-empty, without blanks or control characters");
   check.RequireName(hello.vm, "/vm");
   check.RequireName(hello.data_centre, "/data_centre");
   check.Require(hello.control.address.size() <= kMaxAddressLength, "/control",
                 "malformed address");
   check.Require(hello.stream_window >= limits::kMaxInlineBodyBytes,
-                "/stream_window", "smaller than what rides with a head");
+                "/stream_window", "smaller than the maximum body in a head");
   check.Require(hello.workers.size() <= limits::kMaxWorkersPerVm, "/workers",
                 "too many workers");
   for (const Endpoint& worker : hello.workers) {
@@ -199,7 +203,7 @@
   for (const RateLimitReport& report : heartbeat.rate_limits) {
     check.Require(std::isfinite(report.requests_per_second) &&
                       report.requests_per_second >= 0,
-                  "/rate_limits", "no rate");
+                  "/rate_limits", "must be a finite, non-negative rate");
   }
 }
 
@@ -207,11 +211,11 @@
   check.RequireChunk(chunk.bytes);
   check.Require(chunk.position <= chunk.total &&
                     chunk.bytes.size() <= chunk.total - chunk.position,
-                "/position", "beyond the whole");
+                "/position", "beyond the end of the snapshot");
 }
 
 void Check(Checker& check, const StateNews& news) {
-  check.Require(news.from <= news.next, "/next", "before the first");
+  check.Require(news.from <= news.next, "/next", "must not be less than from");
   check.Require(news.records.size() <= limits::kMaxNewsBytes, "/records",
                 "too long");
 }
--- a/packages/wire/src/message_check.h
+++ b/packages/wire/src/message_check.h
@@ -4,17 +4,17 @@
 #include "basilsill/base/error.h"
 #include "basilsill/wire/message.h"
 
-/// What the fields of a message may hold. Both codecs ask, so that nothing is
-/// sent which the peer would close the link for.
+/// Validates the fields of messages. Both the encoder and the decoder use it,
+/// so that no message is sent for which the peer would close the link.
 
 namespace basilsill::wire {
 
-/// @returns kOutOfRange with the field's path if a field of `message` is not
-/// what the protocol allows.
+/// @returns kOutOfRange with the path of the field if the protocol does not
+/// allow the value of a field of `message`.
 Result<void> CheckMessage(const PeerMessage& message);
 
-/// @returns the body octets that go beside `message`, or nullptr if it is of a
-/// kind that has none.
+/// @returns the octets of `message` that are sent as the payload of its frame,
+/// or nullptr if messages of this kind have none.
 Bytes* PayloadOf(PeerMessage& message);
 
 }  // namespace basilsill::wire
--- a/packages/wire/src/message_reader.cc
+++ b/packages/wire/src/message_reader.cc
@@ -17,11 +17,12 @@
                              std::move(detail)});
 }
 
-/// Bounds a list before anything is allocated for it: pointers of a message
-/// can overlap, so that a small frame may claim many large lists.
+/// Checks the size of a list before memory is allocated for it. Pointers in a
+/// message can overlap, so a small frame may contain many large lists.
+/// @returns `size`. Throws FailureError if it is greater than `most`.
 unsigned CheckedSize(unsigned size, size_t most, const char* path) {
   if (size > most) {
-    Reject(path, "a list of " + std::to_string(size) + ", at most " +
+    Reject(path, "list of " + std::to_string(size) + " entries, the limit is " +
                      std::to_string(most));
   }
   return size;
@@ -32,7 +33,7 @@
   constexpr auto longest =
       std::chrono::duration_cast<Unit>(Duration(limits::kMaxPeerDuration));
   if (count < 0 || count > longest.count()) {
-    Reject(path, "a time out of range");
+    Reject(path, "duration out of range");
   }
   return Unit(count);
 }
@@ -45,7 +46,7 @@
   return ReadTime<Duration>(count, path);
 }
 
-/// @returns the value of `number` in `Enum`, kCount for all it doesn't have.
+/// @returns the value `number` of `Enum`, or kCount if there is none.
 template <typename Enum, typename Number>
 Enum ReadEnum(Number number) {
   const auto value = static_cast<unsigned>(number);
@@ -69,7 +70,7 @@
   }
   HeaderList headers;
   if (!headers.Assign({text.asChars().begin(), text.size()}, std::move(ends))) {
-    Reject("/headers", "ends don't fit the text");
+    Reject("/headers", "ends are inconsistent with the text");
   }
   return headers;
 }
@@ -89,10 +90,10 @@
   Hello hello;
   hello.version = reader.getVersion();
   if (hello.version != kProtocolVersion) {
-    throw FailureError(
-        Failure{FailureKind::kVersionMismatch, "/version",
-                "the peer speaks version " + std::to_string(hello.version) +
-                    ", this node " + std::to_string(kProtocolVersion)});
+    throw FailureError(Failure{
+        FailureKind::kVersionMismatch, "/version",
+        "the peer has protocol version " + std::to_string(hello.version) +
+            ", this node " + std::to_string(kProtocolVersion)});
   }
   hello.role = ReadEnum<LinkRole>(reader.getRole());
   hello.vm = ReadText(reader.getVm());
@@ -368,7 +369,7 @@
     case schema::PeerMessage::QUOTA_ANSWER:
       return ReadQuotaAnswer(reader.getQuotaAnswer());
   }
-  Reject("/", "a message of an unknown kind");
+  Reject("/", "unknown kind of message");
 }
 
 }  // namespace basilsill::wire
--- a/packages/wire/src/message_reader.h
+++ b/packages/wire/src/message_reader.h
@@ -6,9 +6,9 @@
 
 namespace basilsill::wire {
 
-/// Reads all of a message but its payload. What it returns is bounded in size
-/// but not yet held to CheckMessage. Throws kj::Exception, or FailureError of
-/// kind kMalformedFrame or kVersionMismatch.
+/// Reads a message without its payload. The result is limited in size, but has
+/// still to be validated with CheckMessage. Throws kj::Exception, or
+/// FailureError of kind kMalformedFrame or kVersionMismatch.
 PeerMessage ReadMessage(schema::PeerMessage::Reader reader);
 
 }  // namespace basilsill::wire
--- a/packages/wire/src/message_writer.cc
+++ b/packages/wire/src/message_writer.cc
@@ -11,7 +11,8 @@
 namespace basilsill::wire {
 namespace {
 
-/// @returns `time` in units of `Unit`, clamped to what a message may carry.
+/// @returns `time` in units of `Unit`, clamped to the range from 0 to
+/// limits::kMaxPeerDuration.
 template <typename Unit, typename Time>
 int64_t CountOf(Time time) {
   constexpr auto longest =
@@ -29,8 +30,8 @@
   return CountOf<std::chrono::nanoseconds>(time);
 }
 
-/// Copies `text` into the space that `init` gives for its size. An empty text
-/// needs no space: it is what the reader sees where nothing was written.
+/// Copies `text` into the space that `init` allocates for its size. An empty
+/// text is not written, because a reader gets an empty text for a missing one.
 template <typename Init>
 void WriteText(std::string_view text, Init init) {
   if (text.empty()) {
--- a/packages/wire/src/message_writer.h
+++ b/packages/wire/src/message_writer.h
@@ -6,8 +6,8 @@
 
 namespace basilsill::wire {
 
-/// Fills `builder` with all of `message` but its payload. `message` has passed
-/// CheckMessage. Throws kj::Exception.
+/// Writes `message` without its payload to `builder`. `message` must have
+/// passed CheckMessage. Throws kj::Exception.
 void WriteMessage(const PeerMessage& message,
                   schema::PeerMessage::Builder builder);
 
--- a/packages/wire/src/schema_values.h
+++ b/packages/wire/src/schema_values.h
@@ -4,8 +4,8 @@
 #include "basilsill/wire/message.h"
 #include "peer.capnp.h"
 
-/// Holds the enums of the schema and those of the messages together: the
-/// codec turns one into the other by value.
+/// Checks that the enums of the schema and those of the messages have the same
+/// values, since the encoder and the decoder convert between them by value.
 
 namespace basilsill::wire {
 
--- a/packages/wire/src/send_queue.cc
+++ b/packages/wire/src/send_queue.cc
@@ -5,12 +5,13 @@
 namespace basilsill::wire {
 namespace {
 
-/// Small streams send so much in a row while large ones wait. Without an end
-/// to it, a steady flow of small answers would starve a download for good.
+/// Octets that small streams may send in a row while large streams wait.
+/// Without this limit, a steady flow of small answers would starve a large
+/// answer.
 constexpr size_t kSmallRunBytes = 3 * limits::kBodyChunkBytes;
 
-/// @returns true if all that is known of the stream's body, sent, queued and
-/// still to come, fits into one chunk.
+/// @returns true if the known octets of the stream's body (sent, queued and
+/// still expected) fit into one chunk.
 bool IsSmall(const OutgoingHalf& out) {
   const uint64_t known_left = out.body.known_left();
   return known_left <= limits::kBodyChunkBytes &&
@@ -22,8 +23,9 @@
   return out.head != nullptr || !out.chunks.empty() || out.end_queued;
 }
 
-/// Small pieces are joined: a stream of single octets would otherwise cost a
-/// string and a frame for each.
+/// @returns true if `bytes` can be appended to the last queued chunk. Small
+/// pieces are merged, because otherwise each of them would need its own string
+/// and its own frame.
 bool CanJoin(const OutgoingHalf& out, const Bytes& bytes) {
   return !out.chunks.empty() &&
          bytes.size() <= FrameBuffer::kCopiedPayloadBytes &&
@@ -69,7 +71,7 @@
 }
 
 Stream* SendQueue::NextTurn() {
-  this->DemoteGrown();
+  this->DemoteGrownStreams();
   const bool large_is_due =
       this->small.empty() || this->small_run_bytes >= kSmallRunBytes;
   const bool take_large = large_is_due && !this->large.empty();
@@ -82,7 +84,7 @@
   return &stream;
 }
 
-void SendQueue::DemoteGrown() {
+void SendQueue::DemoteGrownStreams() {
   while (!this->small.empty() && !IsSmall(this->small.front().out)) {
     Stream& stream = this->small.front();
     this->small.pop_front();
@@ -94,8 +96,8 @@
   OutgoingHalf& half = stream.out;
   const size_t before = out.size();
   const bool is_small = IsSmall(half);
-  // Fields were checked when the messages were queued, and their limits keep
-  // each frame below the largest: none of these can fail.
+  // The encoding can't fail: the fields were checked when the messages were
+  // queued, and with their limits no frame can exceed the maximum size.
   if (half.head != nullptr) {
     this->encoder.EncodeChecked(std::move(*half.head), out).value();
     half.head.reset();
--- a/packages/wire/src/send_queue.h
+++ b/packages/wire/src/send_queue.h
@@ -9,18 +9,19 @@
 #include "basilsill/wire/frame.h"
 #include "stream.h"
 
-/// What waits to be written on a link, and whose turn it is.
+/// Queue of the frames to be written on a link, and scheduler of its streams.
 
 namespace basilsill::wire {
 
 class SendQueue {
  public:
-  /// Queues a frame of no stream, or one that ends a stream. Goes before all
-  /// frames of streams.
-  /// @returns the failure of the codec.
+  /// Queues an urgent frame, which is sent before any head or body of a stream:
+  /// one that belongs to no stream, gives credit, or ends a stream.
+  /// @returns the failure of the encoder.
   Result<void> PushUrgent(PeerMessage message);
 
-  /// @returns true if the peer has left too many urgent frames unread.
+  /// @returns true if the peer reads too slowly, so that the queued urgent
+  /// frames exceed limits::kLinkControlBytes.
   bool IsOverflowing() const {
     return this->urgent.size() > limits::kLinkControlBytes;
   }
@@ -28,27 +29,29 @@
   /// Queues octets of `stream`'s body.
   void PushChunk(Stream& stream, Bytes bytes);
 
-  /// Gives `stream` a turn if it has something to send.
+  /// Adds `stream` to the streams that wait for a turn, if it has frames to
+  /// send and is not waiting already.
   void Schedule(Stream& stream);
 
-  /// Drops what `stream` has queued.
+  /// Drops all queued frames of `stream`.
   void Drop(Stream& stream);
 
-  /// Replaces `out` by the urgent frames.
+  /// Moves the urgent frames to `out`, replacing its content.
   void TakeUrgent(FrameBuffer& out);
 
-  /// @returns the stream whose turn it is, or nullptr if no stream has
-  /// anything to send.
+  /// Removes the next stream from the waiting ones.
+  /// @returns the stream, or nullptr if no stream has frames to send.
   Stream* NextTurn();
 
-  /// Appends one turn of `stream` to `out`: its head, a chunk's worth of its
-  /// body, its end, as far as it has them.
+  /// Appends one turn of `stream` to `out`: whatever is queued of its head, of
+  /// its body up to limits::kBodyChunkBytes, and of its end. Schedules the
+  /// stream again if more is queued.
   void Serve(Stream& stream, FrameBuffer& out);
 
   bool HasUrgent() const { return !this->urgent.empty(); }
   bool HasTurns() const { return !this->small.empty() || !this->large.empty(); }
 
-  /// @returns octets of bodies queued, of all streams.
+  /// @returns the queued body octets of all streams.
   size_t queued_bytes() const { return this->total_bytes; }
 
  private:
@@ -57,14 +60,15 @@
       boost::intrusive::member_hook<Stream, Stream::Hook, &Stream::turn>,
       boost::intrusive::constant_time_size<false>>;
 
-  void DemoteGrown();
+  void DemoteGrownStreams();
   Bytes PopChunk(Stream& stream);
 
   FrameEncoder encoder;
   FrameBuffer urgent;
-  TurnList small;  ///< Streams of at most a chunk, as far as is known.
-  TurnList large;
-  size_t small_run_bytes = 0;  ///< Sent of small ones since a large one.
+  TurnList small;  ///< Streams whose known octets fit into one chunk.
+  TurnList large;  ///< All other streams that wait for a turn.
+  /// Octets sent for small streams in a row while large ones waited.
+  size_t small_run_bytes = 0;
   size_t total_bytes = 0;
 };
 
--- a/packages/wire/src/stream.h
+++ b/packages/wire/src/stream.h
@@ -9,21 +9,23 @@
 
 #include "basilsill/wire/message.h"
 
-/// One stream as a link's mux keeps it.
+/// State of one stream of a link.
 
 namespace basilsill::wire {
 
-/// How far a body has come, in one direction.
+/// Progress of a body in one direction.
 class BodyProgress {
  public:
-  /// The head came, with `first` octets of the body.
+  /// Starts the body with the head of the stream, which has its `first` octets.
+  /// @param end Whether the head has the complete body.
   void Begin(const BodyFraming& framing, size_t first, bool end) {
     this->known = framing.kind == BodyKind::kKnown;
     this->left = this->known ? framing.length - first : 0;
     this->is_ended = end;
   }
 
-  /// @returns false if the body doesn't go on for `count` octets.
+  /// Adds `count` octets.
+  /// @returns false if the body has ended or would exceed its known length.
   bool Add(size_t count) {
     if (this->is_ended || (this->known && count > this->left)) {
       return false;
@@ -32,7 +34,9 @@
     return true;
   }
 
-  /// @returns false if the body can't end here.
+  /// Ends the body.
+  /// @returns false if it has already ended or is shorter than its known
+  /// length.
   bool End() {
     if (this->is_ended || (this->known && this->left > 0)) {
       return false;
@@ -43,7 +47,7 @@
 
   bool ended() const { return this->is_ended; }
 
-  /// @returns octets that are to come for certain; 0 for an unknown length.
+  /// @returns the remaining octets of a body of known length, otherwise 0.
   uint64_t known_left() const { return this->left; }
 
  private:
@@ -52,28 +56,28 @@
   bool is_ended = false;
 };
 
-/// What a stream has to send and may send.
+/// Sending side of a stream.
 struct OutgoingHalf {
-  std::unique_ptr<PeerMessage> head;  ///< Open or Answer, until sent.
-  std::vector<Bytes> chunks;          ///< First to be sent at the front.
+  std::unique_ptr<PeerMessage> head;  ///< Queued Open or Answer.
+  std::vector<Bytes> chunks;          ///< Queued body, next chunk first.
   HeaderList trailers;
-  BodyProgress body;         ///< As far as it is queued.
-  size_t queued_bytes = 0;   ///< Octets of the body that wait.
-  size_t credit = 0;         ///< Octets that may be queued still.
-  uint64_t sent_bytes = 0;   ///< Octets of the body that went.
+  BodyProgress body;         ///< Of the octets that were queued or sent.
+  size_t queued_bytes = 0;   ///< Octets in `chunks`.
+  size_t credit = 0;         ///< Octets that may still be queued.
+  uint64_t sent_bytes = 0;   ///< Octets of the body sent, or in the head.
   bool begun = false;        ///< A head was queued.
-  bool head_sent = false;    ///< It went.
-  bool end_queued = false;   ///< An End frame waits.
-  bool wants_event = false;  ///< A kWritable event was asked for.
+  bool head_sent = false;    ///< The head was taken for writing.
+  bool end_queued = false;   ///< An End is queued.
+  bool wants_event = false;  ///< A kWritable event was requested.
 };
 
-/// What came of a stream and what may come.
+/// Receiving side of a stream.
 struct IncomingHalf {
   BodyProgress body;
-  size_t window_left = 0;  ///< Octets that the peer may send still.
-  size_t held = 0;         ///< Octets that the shell has not consumed.
-  size_t unreported = 0;   ///< Octets consumed that no Credit told of.
-  bool begun = false;      ///< A head came.
+  size_t window_left = 0;  ///< Octets that the peer may still send.
+  size_t held = 0;         ///< Octets received but not consumed by the owner.
+  size_t unreported = 0;   ///< Octets consumed for which no Credit was sent.
+  bool begun = false;      ///< A head was received.
 };
 
 struct Stream {
@@ -83,7 +87,7 @@
   StreamId id;
   OutgoingHalf out;
   IncomingHalf in;
-  Hook turn;  ///< Place among the streams that have something to send.
+  Hook turn;  ///< Links the streams that have frames to send.
 };
 
 }  // namespace basilsill::wire
--- a/packages/wire/src/stream_id.h
+++ b/packages/wire/src/stream_id.h
@@ -5,7 +5,7 @@
 
 #include "basilsill/wire/message.h"
 
-/// A stream's name as one number, the way the schema lays it out.
+/// Conversion of stream ids to and from their 64-bit form in the schema.
 
 namespace basilsill::wire {
 
--- a/packages/wire/src/stream_table.cc
+++ b/packages/wire/src/stream_table.cc
@@ -5,7 +5,8 @@
 namespace basilsill::wire {
 namespace {
 
-/// Generations run in a circle; what is less than half of it ahead is newer.
+/// Generations wrap around. A generation is newer if it is ahead by at most
+/// half of their range.
 bool IsNewer(uint32_t generation, uint32_t than) {
   const uint32_t ahead = (generation - than) & kMaxGeneration;
   return ahead != 0 && ahead <= kMaxGeneration / 2;
@@ -53,7 +54,7 @@
 }
 
 void StreamTable::Destroy(const StreamId& id) {
-  // A copy: `id` may be the stream's own.
+  // Copies the index, because `id` may be a member of the destroyed stream.
   const uint32_t index = id.index;
   Slot& slot = this->slots[index];
   slot.stream.reset();
--- a/packages/wire/src/stream_table.h
+++ b/packages/wire/src/stream_table.h
@@ -7,9 +7,9 @@
 
 #include "stream.h"
 
-/// The open streams of a link that one of its sides opened. That side calls
-/// Create, the other one Adopt. Unlike HandleTable it grows
-/// with use: a node has many links and few streams on most.
+/// Open streams of a link that were opened by one of its sides. That side calls
+/// Create, the other one calls Adopt. Unlike HandleTable, the table grows on
+/// demand, because a node has many links and most of them have few streams.
 
 namespace basilsill::wire {
 
@@ -17,23 +17,25 @@
  public:
   explicit StreamTable(LinkSide opener) : opener(opener) {}
 
-  /// @returns a stream under a name that is not in use, or nullptr if all
-  /// limits::kMaxStreamsPerLink are.
+  /// Creates a stream with a free id.
+  /// @returns the stream, or nullptr if limits::kMaxStreamsPerLink are open.
   Stream* Create();
 
-  /// @returns a stream under the peer's name for it, or nullptr if the name is
-  /// in use or older than one that was.
+  /// Creates a stream with the id that the peer has chosen.
+  /// @returns the stream, or nullptr if the index is in use or the generation
+  /// is not newer than the last one of the index.
   Stream* Adopt(const StreamId& id);
 
   void Destroy(const StreamId& id);
 
-  /// @returns the stream, or nullptr if none of that name is open.
+  /// @returns the stream, or nullptr if no stream with this id is open.
   Stream* Find(const StreamId& id) const;
 
-  /// @returns true if a stream of this name is or was open.
+  /// @returns true if a stream with this id is or was open.
   bool WasOpened(const StreamId& id) const;
 
-  /// Calls `visit(stream)` for each open stream; it may destroy it.
+  /// Calls `visit(stream)` for each open stream. `visit` may destroy the
+  /// stream.
   template <typename Visit>
   void ForEach(Visit&& visit) {
     for (const Slot& slot : this->slots) {
@@ -48,16 +50,16 @@
  private:
   struct Slot {
     std::unique_ptr<Stream> stream;
-    uint32_t generation = 0;  ///< Of the newest stream here.
-    bool used = false;        ///< There was a stream here.
-    bool created = false;     ///< This side chose the name.
+    uint32_t generation = 0;  ///< Of the newest stream with this index.
+    bool used = false;        ///< A stream with this index was opened.
+    bool created = false;     ///< This side chose the id.
   };
 
   Stream* Occupy(const StreamId& id);
 
   LinkSide opener;
   std::vector<Slot> slots;
-  std::vector<uint32_t> free_indices;  ///< Only of streams from Create.
+  std::vector<uint32_t> free_indices;  ///< Only of streams made by Create.
   size_t count = 0;
 };
 
--- a/packages/wire/test/frame_test.cc
+++ b/packages/wire/test/frame_test.cc
@@ -1,4 +1,4 @@
-// Tests of the codec: messages to bytes and back, cut and damaged bytes.
+// Tests of the encoder and the decoder, also with split and corrupted input.
 
 #include "basilsill/wire/frame.h"
 
@@ -12,7 +12,7 @@
 namespace basilsill::wire {
 namespace {
 
-/// Bytes of a link that begin like a frame of these sizes.
+/// @returns the sizes with which a frame begins.
 std::string PrefixOf(uint32_t message_size, uint32_t payload_size) {
   std::string prefix(8, '\0');
   std::memcpy(prefix.data(), &message_size, 4);
@@ -44,7 +44,7 @@
   std::vector<PeerMessage> received;
 };
 
-TEST(Frame, Decode_EachKindOfMessage_ComesOutAsItWentIn) {
+TEST(Frame, Decode_EachKindOfMessage_EqualsEncodedMessage) {
   for (const PeerMessage& message : SampleMessages()) {
     CHECK(this->encoder.Encode(message, this->buffer).has_value());
   }
@@ -54,7 +54,7 @@
   CHECK_FALSE(this->decoder.in_frame());
 }
 
-TEST(Frame, Decode_CutAtEveryByte_GivesTheSameMessages) {
+TEST(Frame, Decode_SplitAtAnyByte_GivesTheSameMessages) {
   const std::vector<PeerMessage> messages = SampleMessages();
   for (const PeerMessage& message : messages) {
     const std::string bytes = BytesOf(std::span(&message, 1));
@@ -81,7 +81,7 @@
   CHECK(this->received == SampleMessages());
 }
 
-TEST(Frame, Encode_LargePayload_IsHandedOnWithoutACopy) {
+TEST(Frame, Encode_LargePayload_IsNotCopied) {
   Data data{{LinkSide::kConnector, 1, 1}, Bytes(limits::kBodyChunkBytes, 'x')};
   const char* place = data.bytes.data();
   CHECK(this->encoder.Encode(std::move(data), this->buffer).has_value());
@@ -124,17 +124,17 @@
         FailureKind::kVersionMismatch);
 }
 
-TEST(Frame, Decode_PayloadBesideAMessageWithoutOne_Fails) {
+TEST(Frame, Decode_PayloadAfterMessageWithoutOne_Fails) {
   const PeerMessage message = GoAway{};
   std::string bytes = BytesOf(std::span(&message, 1));
   bytes[4] = 1;
   CHECK(FailureOf(bytes + "x") == FailureKind::kMalformedFrame);
 }
 
-// A caller's header value with a line break passes a peer that a bit flip or a
-// fault has struck. Written out to an upstream, it would be two headers, or
-// the start of a second request that nobody sent.
-TEST(Frame, Encode_HeadThatSpansLines_Fails) {
+// Failure: a faulty peer or a bit flip lets a header value with a line break
+// pass. An upstream would parse it as two headers, or as the start of a second
+// request (request smuggling).
+TEST(Frame, Encode_HeadWithLineBreak_Fails) {
   const HeaderView fields[] = {{"X-Note", "a\r\nHost: other"},
                                {"X-Note", "a\nb"},
                                {"X-Note", "\r"},
--- a/packages/wire/test/link_mux_test.cc
+++ b/packages/wire/test/link_mux_test.cc
@@ -1,4 +1,5 @@
-// Tests of one link's streams: order, windows, turns, losses, rules.
+// Tests of the streams of one link: order, flow control, fairness, loss of the
+// link and violations of the protocol.
 
 #include "basilsill/wire/link_mux.h"
 
@@ -17,8 +18,8 @@
 constexpr BodyFraming kStreamed{BodyKind::kStream, 0};
 constexpr size_t kChunk = limits::kBodyChunkBytes;
 
-/// Queues as much of a body on `stream` as `mux` takes now.
-/// @returns the octets queued.
+/// Queues body octets on `stream` until `mux` accepts no more.
+/// @returns the number of octets queued.
 size_t Fill(LinkMux& mux, const StreamId& stream) {
   size_t total = 0;
   while (mux.WritableBytes(stream) > 0) {
@@ -33,7 +34,8 @@
   return result ? FailureKind::kCount : result.error().kind;
 }
 
-/// @returns how `mux` takes these messages, put to it as bytes.
+/// Passes the encoded `messages` to `mux`.
+/// @returns the kind of the failure; kCount if there is none.
 FailureKind Feed(LinkMux& mux, const std::vector<PeerMessage>& messages) {
   return KindOf(mux.OnBytes(TimePoint(), BytesOf(messages)));
 }
@@ -45,22 +47,24 @@
   LinkEnd& entry = this->pair.connector;
   LinkEnd& dispatcher = this->pair.acceptor;
 
-  /// Streams that the entry opened, each with an answer of unknown length.
+  /// Opens streams from the entry and starts an answer of unknown length on
+  /// each.
   std::vector<StreamId> Download(size_t count) {
     std::vector<StreamId> streams;
     for (size_t i = 0; i < count; ++i) {
-      streams.push_back(this->pair.Establish());
+      streams.push_back(this->pair.OpenAndDeliver());
       const Answer answer = AnswerWith(streams.back(), kStreamed);
       CHECK(this->dispatcher.mux.SendAnswer(answer).has_value());
     }
-    this->pair.Settle();
+    this->pair.DeliverAll();
     return streams;
   }
 
-  /// Octets of each body that the entry got so far, by index of the stream.
+  /// @returns the octets of each body that the entry has received so far, by
+  /// index of the stream.
   std::map<uint32_t, size_t> Received() const {
     std::map<uint32_t, size_t> bytes;
-    for (const LinkEvent& event : this->entry.seen) {
+    for (const LinkEvent& event : this->entry.received_events) {
       if (event.kind == LinkEventKind::kData) {
         bytes[event.stream.index] += std::get<Data>(event.message).bytes.size();
       }
@@ -70,19 +74,20 @@
 };
 
 TEST(LinkMux, Hello_EachWay_MakesBothReady) {
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK(this->entry.mux.ready());
   STRCMP_EQUAL("druzhba-1", this->entry.mux.peer().vm.c_str());
   STRCMP_EQUAL("lyulin-1", this->dispatcher.mux.peer().vm.c_str());
 }
 
-TEST(LinkMux, Stream_RequestAndAnswerWithBodies_ComeWholeAndEnd) {
-  const StreamId id = this->pair.Establish(OpenWith({BodyKind::kKnown, 7}));
+TEST(LinkMux, Stream_RequestAndAnswerWithBodies_AreReceivedCompletely) {
+  const StreamId id =
+      this->pair.OpenAndDeliver(OpenWith({BodyKind::kKnown, 7}));
   const LinkEvent& opened = this->dispatcher.Last(LinkEventKind::kOpened);
   CHECK(opened.stream == id);
   CHECK(this->entry.mux.SendData(id, "reading").has_value());
   CHECK(this->entry.mux.SendEnd(id).has_value());
-  this->pair.Settle();
+  this->pair.DeliverAll();
   const LinkEvent& data = this->dispatcher.Last(LinkEventKind::kData);
   STRCMP_EQUAL("reading", std::get<Data>(data.message).bytes.c_str());
   CHECK(data.stream == id);
@@ -93,7 +98,7 @@
   CHECK(this->dispatcher.mux.SendAnswer(answer).has_value());
   CHECK(this->dispatcher.mux.SendData(id, "el").has_value());
   CHECK(this->dispatcher.mux.SendEnd(id, SampleHeaders(2)).has_value());
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK(std::get<Answer>(this->entry.Last(LinkEventKind::kAnswered).message) ==
         answer);
   const LinkEvent& ended = this->entry.Last(LinkEventKind::kEnded);
@@ -103,54 +108,55 @@
   CHECK_EQUAL(0, this->dispatcher.mux.stream_count());
 }
 
-// A driver gave up on a request, and the next one on the same link gets its
-// place. The answer to the first was already on its way. Without a generation
-// in the stream's name, the second driver would get the first one's answer.
-TEST(LinkMux, Answer_ToACancelledStream_NeverMeetsItsSuccessor) {
-  const StreamId first = this->pair.Establish();
+// Failure: a request is cancelled and the next one on the same link reuses its
+// index while the answer to the first is in flight. Without a generation in the
+// stream id, the second request gets the answer to the first.
+TEST(LinkMux, Answer_ToACancelledStream_IsNotDeliveredToItsSuccessor) {
+  const StreamId first = this->pair.OpenAndDeliver();
   CHECK(this->dispatcher.mux.SendAnswer(AnswerWith(first, {})).has_value());
   this->entry.mux.CancelStream(first);
   const StreamId second = this->entry.mux.OpenStream(OpenWith({})).value();
   CHECK_EQUAL(first.index, second.index);
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK_FALSE(this->pair.failure.has_value());
   CHECK_EQUAL(0, this->entry.Count(LinkEventKind::kAnswered));
   CHECK(this->dispatcher.mux.SendAnswer(AnswerWith(second, {})).has_value());
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK(this->entry.Last(LinkEventKind::kAnswered).stream == second);
 }
 
 TEST(LinkMux, Cancel_OfAStreamNotYetSent_SendsNothing) {
   const StreamId id = this->entry.mux.OpenStream(OpenWith({})).value();
   this->entry.mux.CancelStream(id);
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK_EQUAL(0, this->dispatcher.Count(LinkEventKind::kOpened));
   CHECK_EQUAL(0, this->dispatcher.Count(LinkEventKind::kCancelled));
 }
 
-TEST(LinkMux, Cancel_OfAStreamThatRuns_ReachesTheDispatcher) {
-  const StreamId id = this->pair.Establish();
+TEST(LinkMux, Cancel_OfASentStream_ReachesTheDispatcher) {
+  const StreamId id = this->pair.OpenAndDeliver();
   this->entry.mux.CancelStream(id);
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK(this->dispatcher.Last(LinkEventKind::kCancelled).stream == id);
   CHECK(KindOf(this->dispatcher.mux.SendAnswer(AnswerWith(id, {}))) ==
         FailureKind::kNotFound);
 }
 
-TEST(LinkMux, Refuse_BeforeAnAnswer_EndsTheStreamWithItsPromise) {
-  const StreamId id = this->pair.Establish();
+TEST(LinkMux, Refuse_BeforeAnAnswer_ClosesTheStreamWithItsReason) {
+  const StreamId id = this->pair.OpenAndDeliver();
   const Refused refused{id, Refusal::kQueueFull, true,
                         std::chrono::milliseconds(5)};
   CHECK(this->dispatcher.mux.Refuse(refused).has_value());
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK(std::get<Refused>(this->entry.Last(LinkEventKind::kRefused).message) ==
         refused);
   CHECK_EQUAL(0, this->entry.mux.stream_count());
 }
 
-// An upstream dies in the middle of a download. The caller must see a broken
-// body: a Reset comes, and no End, whatever is still queued at the dispatcher.
-TEST(LinkMux, Reset_InsideAnAnswer_ComesInPlaceOfItsEnd) {
+// Failure: an upstream crashes in the middle of an answer, and the caller gets
+// a body that looks complete, because the entry VM receives an End instead of a
+// Reset.
+TEST(LinkMux, Reset_InsideAnAnswer_ReplacesItsEnd) {
   const StreamId id = this->Download(1).front();
   Fill(this->dispatcher.mux, id);
   this->pair.Step(this->dispatcher, this->entry);
@@ -158,14 +164,15 @@
         FailureKind::kOutOfRange);
   CHECK(this->dispatcher.mux.ResetStream({id, Refusal::kUpstreamDied})
             .has_value());
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK_EQUAL(1, this->entry.Count(LinkEventKind::kReset));
   CHECK_EQUAL(0, this->entry.Count(LinkEventKind::kEnded));
   CHECK_EQUAL(0, this->dispatcher.mux.stream_count());
 }
 
-TEST(LinkMux, KnownLength_BodyThatMissesIt_IsNotSent) {
-  const StreamId id = this->pair.Establish(OpenWith({BodyKind::kKnown, 4}));
+TEST(LinkMux, KnownLength_BodyOfOtherLength_IsNotSent) {
+  const StreamId id =
+      this->pair.OpenAndDeliver(OpenWith({BodyKind::kKnown, 4}));
   CHECK(KindOf(this->entry.mux.SendEnd(id)) == FailureKind::kOutOfRange);
   CHECK(KindOf(this->entry.mux.SendData(id, "hello")) ==
         FailureKind::kOutOfRange);
@@ -174,28 +181,29 @@
   CHECK(KindOf(this->entry.mux.SendEnd(id)) == FailureKind::kOutOfRange);
 }
 
-// A clerk's browser stops reading a long export. The window keeps what the
-// entry VM has to hold to its size; once the browser reads on, the rest comes.
-TEST(LinkMux, Window_ReaderThatStops_HoldsTheSenderUntilItReadsOn) {
+// Failure: a caller stops reading a long answer, and the entry VM buffers more
+// than one window of it, or the transfer does not continue when the caller
+// reads again.
+TEST(LinkMux, Window_ReaderThatStops_BlocksTheSenderUntilItContinues) {
   const StreamId id = this->Download(1).front();
   size_t sent = 0;
   for (size_t step = 0; step < 100; ++step) {
     sent += Fill(this->dispatcher.mux, id);
-    this->pair.Settle();
+    this->pair.DeliverAll();
   }
   CHECK_EQUAL(limits::kStreamWindowBytes, sent);
   CHECK_EQUAL(sent, this->Received()[id.index]);
   this->dispatcher.mux.AwaitWritable(id);
   this->entry.mux.Consumed(id, kChunk);
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK_EQUAL(0, this->dispatcher.Count(LinkEventKind::kWritable));
   this->entry.mux.Consumed(id, kChunk);
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK_EQUAL(1, this->dispatcher.Count(LinkEventKind::kWritable));
   CHECK_EQUAL(2 * kChunk, this->dispatcher.mux.WritableBytes(id));
 }
 
-TEST(LinkMux, Queue_LinkThatIsNotWritten_TakesABoundedBody) {
+TEST(LinkMux, Queue_LinkThatIsNotWritten_AcceptsALimitedBody) {
   const StreamId id = this->Download(1).front();
   CHECK_EQUAL(limits::kStreamQueueBytes, Fill(this->dispatcher.mux, id));
   CHECK(KindOf(this->dispatcher.mux.SendData(id, "x")) ==
@@ -205,7 +213,7 @@
   CHECK_EQUAL(1, this->dispatcher.Count(LinkEventKind::kWritable));
 }
 
-TEST(LinkMux, Queue_LinkThatIsFull_TakesLittleOfEachStreamAndNoNewOnes) {
+TEST(LinkMux, Queue_LinkThatIsFull_AcceptsInlineBytesPerStreamAndNoNewStreams) {
   const size_t count = limits::kLinkQueueBytes / limits::kStreamQueueBytes;
   const std::vector<StreamId> streams = this->Download(count + 1);
   for (size_t i = 0; i < count; ++i) {
@@ -217,9 +225,8 @@
         FailureKind::kLimitReached);
 }
 
-// Level readings share a link with a season's history download. A reading
-// that is answered while the download has much queued has to wait for the one
-// chunk that is being written, no more.
+// Failure: large answers have much queued on a link, and a small answer waits
+// for more than the one chunk that is being written.
 TEST(LinkMux, Turns_SmallAnswerBesideDownloads_WaitsForOneChunk) {
   const std::vector<StreamId> downloads = this->Download(8);
   for (const StreamId& id : downloads) {
@@ -239,7 +246,7 @@
   CHECK(written < 2 * kChunk);
 }
 
-TEST(LinkMux, Turns_ManyDownloads_GoOnEvenly) {
+TEST(LinkMux, Turns_ManyDownloads_ProgressEvenly) {
   const std::vector<StreamId> downloads = this->Download(5);
   for (size_t step = 0; step < 20; ++step) {
     for (const StreamId& id : downloads) {
@@ -254,17 +261,18 @@
   }
 }
 
-// Small answers alone fill the link. The clerk's export beside them must get
-// its share and not stall until the rush is over.
+// Failure: small answers use the whole bandwidth of the link, and a large
+// answer makes no progress until they stop.
 TEST(LinkMux, Turns_EndlessSmallAnswers_LeaveAShareToADownload) {
   const StreamId download = this->Download(1).front();
-  this->dispatcher.seen.clear();
+  this->dispatcher.received_events.clear();
   for (size_t step = 0; step < 64; ++step) {
     while (this->entry.mux.stream_count() < 32) {
       CHECK(this->entry.mux.OpenStream(OpenWith({})).has_value());
     }
     this->pair.Step(this->entry, this->dispatcher);
-    for (const LinkEvent& event : std::exchange(this->dispatcher.seen, {})) {
+    for (const LinkEvent& event :
+         std::exchange(this->dispatcher.received_events, {})) {
       Answer answer = AnswerWith(event.stream, {BodyKind::kKnown, 4096});
       answer.body = Bytes(4096, 'y');
       answer.end = true;
@@ -278,19 +286,19 @@
   CHECK(this->Received()[download.index] >= 64 / 5 * kChunk);
 }
 
-// A link breaks while requests are at every stage of their way. What a caller
-// is told depends on the stage: a request that was never written did not run,
-// one that was written may have, and a part of an answer is a broken answer.
-TEST(LinkMux, Lost_StreamsAtEachStage_EndWithTheirFate) {
-  const StreamId sent = this->pair.Establish();
-  const StreamId answering = this->pair.Establish();
+// Failure: a link is lost, and a caller gets the wrong information about a
+// request. A request that was never written did not run, one that was written
+// may have run, and one whose answer had begun has an incomplete answer.
+TEST(LinkMux, Lost_StreamsAtEachStage_ReportTheirProgress) {
+  const StreamId sent = this->pair.OpenAndDeliver();
+  const StreamId answering = this->pair.OpenAndDeliver();
   this->dispatcher.mux.SendAnswer(AnswerWith(answering, kStreamed)).value();
-  this->pair.Settle();
+  this->pair.DeliverAll();
   const StreamId queued = this->entry.mux.OpenStream(OpenWith({})).value();
   this->entry.mux.OnLost();
   this->entry.Collect();
   std::map<uint32_t, StreamFate> fates;
-  for (const LinkEvent& event : this->entry.seen) {
+  for (const LinkEvent& event : this->entry.received_events) {
     if (event.kind == LinkEventKind::kLost) {
       fates[event.stream.index] = event.fate;
     }
@@ -306,7 +314,7 @@
         FailureKind::kNetwork);
 }
 
-TEST(LinkMux, Lost_BeforeTheHello_TellsThatNothingRan) {
+TEST(LinkMux, Lost_BeforeTheHello_ReportsNeverSent) {
   CHECK(this->entry.mux.OpenStream(OpenWith({})).has_value());
   FrameBuffer written;
   this->entry.mux.TakeOutput(TimePoint(), written);
@@ -315,49 +323,49 @@
   CHECK(this->entry.Last(LinkEventKind::kLost).fate == StreamFate::kNeverSent);
 }
 
-// An idle link is closed by one side just as the other sends a request on it.
-// If the close went first, that request's fate would be unknown although it
-// never ran. GoAway is answered before the close, so the request is served.
-TEST(LinkMux, GoAway_CrossedByAnOpen_ServesItBeforeTheClose) {
-  this->pair.Settle();
+// Failure: one side closes an idle link while a request of the other side is in
+// flight, so that it is unknown whether the request ran, although it did not.
+// The link is closed only after GoAway was answered, so the request is served.
+TEST(LinkMux, GoAway_WithAnOpenInFlight_ServesItBeforeTheClose) {
+  this->pair.DeliverAll();
   this->dispatcher.mux.SendGoAway();
   const StreamId id = this->entry.mux.OpenStream(OpenWith({})).value();
   this->pair.Step(this->entry, this->dispatcher);
   CHECK_FALSE(this->dispatcher.mux.CanClose());
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK_EQUAL(1, this->entry.Count(LinkEventKind::kGoAway));
   CHECK_FALSE(this->entry.mux.TakesStreams());
   CHECK_FALSE(this->dispatcher.mux.CanClose());
   CHECK(this->dispatcher.mux.SendAnswer(AnswerWith(id, {})).has_value());
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK_EQUAL(1, this->entry.Count(LinkEventKind::kAnswered));
   CHECK(this->dispatcher.mux.CanClose());
   CHECK(this->entry.mux.CanClose());
 }
 
 TEST(LinkMux, GoAway_StreamsNotYetSent_AreLostUnsent) {
-  this->pair.Settle();
+  this->pair.DeliverAll();
   this->dispatcher.mux.SendGoAway();
   CHECK(this->entry.mux.OpenStream(OpenWith({})).has_value());
   this->pair.Step(this->dispatcher, this->entry);
   CHECK(this->entry.Last(LinkEventKind::kLost).fate == StreamFate::kNeverSent);
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK_EQUAL(0, this->dispatcher.Count(LinkEventKind::kOpened));
 }
 
-TEST(LinkMux, Idle_Link_TellsSinceWhen) {
+TEST(LinkMux, Idle_Link_ReturnsTimeOfLastTraffic) {
   this->pair.now = TimePoint(std::chrono::seconds(5));
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK(this->entry.mux.idle_since() == this->pair.now);
-  const StreamId id = this->pair.Establish();
+  const StreamId id = this->pair.OpenAndDeliver();
   CHECK(this->entry.mux.idle_since() == kNever);
   this->pair.now = TimePoint(std::chrono::seconds(9));
   CHECK(this->dispatcher.mux.SendAnswer(AnswerWith(id, {})).has_value());
-  this->pair.Settle();
+  this->pair.DeliverAll();
   CHECK(this->entry.mux.idle_since() == this->pair.now);
 }
 
-TEST(LinkMux, MaxStreams_OfThePeer_IsKept) {
+TEST(LinkMux, MaxStreams_OfThePeer_IsNotExceeded) {
   LinkMuxOptions few = OptionsOf(LinkSide::kAcceptor);
   few.hello.max_streams = 2;
   LinkEnd& early = this->entry;
@@ -371,10 +379,10 @@
         FailureKind::kLimitReached);
 }
 
-// A peer with a fault sends requests and never reads what comes back. The
-// refusals to them would pile up without end in this VM's memory.
-TEST(LinkMux, Flood_PeerThatDoesNotRead_IsCutOff) {
-  this->pair.Settle();
+// Failure: a faulty peer sends requests and never reads, so that the refusals
+// of them fill the memory of this VM.
+TEST(LinkMux, Flood_PeerThatDoesNotRead_EndsTheLink) {
+  this->pair.DeliverAll();
   LinkMux& mux = this->dispatcher.mux;
   Result<void> result = boost::outcome_v2::success();
   uint32_t generation = 1;
@@ -402,8 +410,8 @@
   CHECK(Feed(control.mux, {SampleOpen()}) == FailureKind::kMalformedFrame);
 }
 
-// A peer with a fault, or of a build that went wrong, breaks the rules of the
-// protocol. Each of these ends the link with a typed failure; none is acted on.
+// Failure: a faulty peer violates the protocol, and the message is handled
+// instead of ending the link with a typed failure.
 TEST(LinkMux, Violation_OfEachRule_EndsTheLink) {
   const Hello hello = OptionsOf(LinkSide::kConnector).hello;
   Hello control = hello;
--- a/packages/wire/test/link_pair.cc
+++ b/packages/wire/test/link_pair.cc
@@ -15,20 +15,21 @@
 void LinkEnd::Collect() {
   std::vector<LinkEvent> events;
   this->mux.TakeEvents(events);
-  std::move(events.begin(), events.end(), std::back_inserter(this->seen));
+  std::move(events.begin(), events.end(),
+            std::back_inserter(this->received_events));
 }
 
 size_t LinkEnd::Count(LinkEventKind kind) const {
   return std::count_if(
-      this->seen.begin(), this->seen.end(),
+      this->received_events.begin(), this->received_events.end(),
       [kind](const LinkEvent& event) { return event.kind == kind; });
 }
 
 const LinkEvent& LinkEnd::Last(LinkEventKind kind) const {
   const auto found = std::find_if(
-      this->seen.rbegin(), this->seen.rend(),
+      this->received_events.rbegin(), this->received_events.rend(),
       [kind](const LinkEvent& event) { return event.kind == kind; });
-  CHECK(found != this->seen.rend());
+  CHECK(found != this->received_events.rend());
   return *found;
 }
 
@@ -59,16 +60,16 @@
   return out.size();
 }
 
-void LinkPair::Settle() {
+void LinkPair::DeliverAll() {
   while (this->Step(this->connector, this->acceptor) +
              this->Step(this->acceptor, this->connector) >
          0) {
   }
 }
 
-StreamId LinkPair::Establish(Open open) {
+StreamId LinkPair::OpenAndDeliver(Open open) {
   const StreamId id = this->connector.mux.OpenStream(std::move(open)).value();
-  this->Settle();
+  this->DeliverAll();
   return id;
 }
 
--- a/packages/wire/test/link_pair.h
+++ b/packages/wire/test/link_pair.h
@@ -8,28 +8,28 @@
 
 #include "basilsill/wire/link_mux.h"
 
-/// Two muxes and the bytes between them, in virtual time.
+/// A link between two muxes in one process, in virtual time.
 
 namespace basilsill::wire {
 
-/// One side of a link, and what it has seen.
+/// One side of a link, and the events that it has emitted.
 struct LinkEnd {
   explicit LinkEnd(LinkMuxOptions options);
 
-  /// Takes the events that came, appending them to `seen`.
+  /// Takes the new events of the mux and appends them to `received_events`.
   void Collect();
 
-  /// @returns how many events of `kind` were seen.
+  /// @returns the number of events of `kind`.
   size_t Count(LinkEventKind kind) const;
 
-  /// @returns the newest event of `kind`; a test fails if there is none.
+  /// @returns the latest event of `kind`. Fails the test if there is none.
   const LinkEvent& Last(LinkEventKind kind) const;
 
   LinkMux mux;
-  std::vector<LinkEvent> seen;
+  std::vector<LinkEvent> received_events;
 };
 
-/// @returns an Open that the codec takes, with a body of `framing`.
+/// @returns a valid Open with a body of `framing`.
 Open OpenWith(BodyFraming framing);
 
 /// @returns an Answer to `stream`, with a body of `framing`.
@@ -40,21 +40,21 @@
 struct LinkPair {
   explicit LinkPair(uint32_t stream_window = limits::kStreamWindowBytes);
 
-  /// Writes one batch of `from` to `to`.
-  /// @returns its size; 0 if there was nothing to write.
+  /// Transfers one batch of output of `from` to `to`.
+  /// @returns its size in octets; 0 if there was no output.
   size_t Step(LinkEnd& from, LinkEnd& to);
 
-  /// Moves bytes both ways until there are none.
-  void Settle();
+  /// Transfers output in both directions until there is none.
+  void DeliverAll();
 
-  /// @returns the connector's name of a stream that it opened with `open`, as
-  /// far as the acceptor has seen it.
-  StreamId Establish(Open open = OpenWith({}));
+  /// Opens a stream from the connector with `open` and delivers all output.
+  /// @returns the id of the stream.
+  StreamId OpenAndDeliver(Open open = OpenWith({}));
 
   LinkEnd connector;
   LinkEnd acceptor;
   TimePoint now{};
-  std::optional<Failure> failure;  ///< Of the last batch that was refused.
+  std::optional<Failure> failure;  ///< Latest failure of OnBytes.
 };
 
 }  // namespace basilsill::wire
--- a/packages/wire/test/link_soak_test.cc
+++ b/packages/wire/test/link_soak_test.cc
@@ -1,6 +1,6 @@
-// Many requests at once over one link that is read and written in pieces of
-// any size, with a fixed seed. Each body is sent back as it comes: each caller
-// gets the whole of its own and nothing else.
+// Sends many concurrent requests over one link that is read and written in
+// pieces of random size, with a fixed seed. The dispatcher echoes each body.
+// Failure: a request gets an incomplete body or octets of another request.
 
 #include <algorithm>
 #include <string>
@@ -19,17 +19,17 @@
 
 constexpr BodyFraming kStreamed{BodyKind::kStream, 0};
 constexpr size_t kRequests = 400;
-constexpr size_t kAtOnce = 40;
-constexpr uint32_t kLongestBody = 300'000;
-constexpr uint32_t kLongestPiece = 40'000;
+constexpr size_t kMaxConcurrent = 40;
+constexpr uint32_t kMaxBodyLength = 300'000;
+constexpr uint32_t kMaxPieceLength = 40'000;
 
-/// What is still to be sent of a body.
+/// The part of a body that is not sent yet.
 struct Outgoing {
   Bytes left;
-  bool whole = false;  ///< Nothing comes after `left`.
+  bool complete = false;  ///< `left` is the end of the body.
 };
 
-/// A request as its entry sees it.
+/// A request in flight at the entry.
 struct Request {
   Bytes sent;
   Bytes received;
@@ -51,7 +51,7 @@
     const StreamId id =
         this->ends[0]->mux.OpenStream(OpenWith(kStreamed)).value();
     const char letter = static_cast<char>('a' + number % 26);
-    const Bytes body(this->random(kLongestBody), letter);
+    const Bytes body(this->random(kMaxBodyLength), letter);
     this->outgoing[0][id] = {body, true};
     this->requests[id] = {body, {}};
   }
@@ -63,7 +63,8 @@
     this->outgoing[0].erase(id);
   }
 
-  /// Sends a piece of each body that has room, and ends those that are whole.
+  /// Sends a piece of each body that is writable, and ends each completely sent
+  /// body.
   void Push(size_t side) {
     LinkMux& mux = this->ends[side]->mux;
     for (auto entry = this->outgoing[side].begin();
@@ -72,12 +73,12 @@
       Outgoing& body = entry->second;
       const size_t size = std::min<size_t>(
           {mux.WritableBytes(id), body.left.size(), limits::kBodyChunkBytes,
-           1 + this->random(kLongestPiece)});
+           1 + this->random(kMaxPieceLength)});
       if (size > 0) {
         mux.SendData(id, body.left.substr(0, size)).value();
         body.left.erase(0, size);
       }
-      const bool is_done = body.whole && body.left.empty();
+      const bool is_done = body.complete && body.left.empty();
       if (is_done) {
         mux.SendEnd(id).value();
       }
@@ -89,7 +90,7 @@
     if (event.kind == LinkEventKind::kReady) {
       return;
     }
-    // Fails for an event of a request that is over or was cancelled.
+    // Throws for an event of a request that is completed or was cancelled.
     Request& request = this->requests.at(event.stream);
     if (event.kind == LinkEventKind::kData) {
       request.received += std::get<Data>(event.message).bytes;
@@ -108,13 +109,13 @@
       this->outgoing[1][event.stream].left +=
           std::get<Data>(event.message).bytes;
     } else if (event.kind == LinkEventKind::kEnded) {
-      this->outgoing[1][event.stream].whole = true;
+      this->outgoing[1][event.stream].complete = true;
     } else if (event.kind == LinkEventKind::kCancelled) {
       this->outgoing[1].erase(event.stream);
     }
   }
 
-  /// Writes one batch of `side` to the other, in pieces.
+  /// Transfers one batch of output of `side` to the other side, in pieces.
   void Transfer(size_t side) {
     FrameBuffer out;
     this->ends[side]->mux.TakeOutput(TimePoint(), out);
@@ -122,13 +123,13 @@
     LinkEnd& to = *this->ends[1 - side];
     for (size_t start = 0; start < bytes.size();) {
       const size_t size = std::min<size_t>(bytes.size() - start,
-                                           1 + this->random(kLongestPiece));
+                                           1 + this->random(kMaxPieceLength));
       const std::span<const char> piece(bytes.data() + start, size);
       to.mux.OnBytes(TimePoint(), piece).value();
       start += size;
     }
     to.Collect();
-    for (const LinkEvent& event : std::exchange(to.seen, {})) {
+    for (const LinkEvent& event : std::exchange(to.received_events, {})) {
       side == 0 ? this->OnDispatcherEvent(event) : this->OnEntryEvent(event);
       if (event.kind == LinkEventKind::kData) {
         to.mux.Consumed(event.stream,
@@ -138,10 +139,10 @@
   }
 };
 
-TEST(LinkSoak, Link_ManyRequestsInPieces_GivesEachItsOwnWholeAnswer) {
+TEST(LinkSoak, Link_ManyRequestsInPieces_EachGetsItsOwnCompleteAnswer) {
   size_t started = 0;
   while (started < kRequests || !this->requests.empty()) {
-    if (started < kRequests && this->requests.size() < kAtOnce) {
+    if (started < kRequests && this->requests.size() < kMaxConcurrent) {
       this->StartRequest(++started);
     }
     if (this->random(64) == 0 && !this->requests.empty()) {
--- a/packages/wire/test/peer_fuzz.cc
+++ b/packages/wire/test/peer_fuzz.cc
@@ -1,6 +1,7 @@
-// Target for libFuzzer: what a peer sends, to the codec and to both sides of a
-// link. Any input must end in messages or in a typed failure. The ordinary
-// tests run it over a fixed corpus (peer_fuzz_test.cc).
+// libFuzzer target that passes the input, as sent by a peer, to the decoder and
+// to both sides of a link. Any input must result in messages or in a typed
+// failure. The ordinary tests run the target on a fixed corpus
+// (peer_fuzz_test.cc).
 
 #include <cstdint>
 #include <cstdlib>
@@ -29,7 +30,8 @@
   }
 }
 
-/// Whatever the decoder lets pass must go out again as it came.
+/// Checks that every message that the decoder accepts can be encoded, and is
+/// equal after it is decoded again.
 void FuzzCodec(std::span<const char> bytes) {
   FrameDecoder decoder;
   std::vector<PeerMessage> messages;
@@ -42,8 +44,8 @@
   Require(same == messages);
 }
 
-/// Puts `bytes` to a link of which the peer's Hello has come and on which one
-/// stream of this side is open.
+/// Passes `bytes` to a link that has received the peer's Hello and has one open
+/// stream of this side.
 void FuzzMux(LinkSide side, std::span<const char> bytes) {
   const std::vector<PeerMessage> hello = {OptionsOf(side).hello};
   LinkMux mux = LinkMux::Create(TimePoint(), OptionsOf(side)).value();
--- a/packages/wire/test/peer_fuzz_test.cc
+++ b/packages/wire/test/peer_fuzz_test.cc
@@ -1,5 +1,6 @@
-// Runs the fuzz target over a fixed corpus: each kind of message alone and in
-// a conversation, whole, cut, with flipped bits and with words made wild.
+// Runs the fuzz target on a fixed corpus of each kind of message, alone and in
+// a sequence: unchanged, truncated, with flipped bits, with overwritten words
+// and with random content.
 
 #include <algorithm>
 #include <cstdint>
@@ -22,8 +23,8 @@
 constexpr size_t kMutationsPerSeed = 400;
 constexpr size_t kFrameHeadBytes = 8;
 
-/// @returns the corpus: bytes of each message, and of all that fit on a link
-/// one after the other.
+/// @returns the corpus: the encoding of each sample message, and of all of them
+/// in sequence.
 std::vector<std::string> Corpus() {
   const std::vector<PeerMessage> messages = SampleMessages();
   std::vector<std::string> corpus;
@@ -41,7 +42,8 @@
   CHECK_EQUAL(0, LLVMFuzzerTestOneInput(data, bytes.size()));
 }
 
-/// Flips up to four bits near the front, where the structure is.
+/// Flips up to four bits near the start, where the structure of the message is
+/// encoded.
 void FlipBits(std::string& bytes, pcg32& random) {
   const auto reach = static_cast<uint32_t>(std::min<size_t>(bytes.size(), 512));
   for (uint32_t left = 1 + random(4); left > 0; --left) {
@@ -49,17 +51,18 @@
   }
 }
 
-/// Makes one word of the message a wild pointer or a wild number.
-void SpoilWord(std::string& bytes, pcg32& random) {
+/// Overwrites one word with a random value, which becomes an invalid pointer or
+/// a random number.
+void OverwriteWord(std::string& bytes, pcg32& random) {
   const auto words =
       static_cast<uint32_t>(std::min<size_t>(bytes.size() / 8, 64));
-  const uint64_t wild = uint64_t{random()} << 32 | random();
-  std::memcpy(bytes.data() + size_t{8} * random(words), &wild, sizeof(wild));
+  const uint64_t value = uint64_t{random()} << 32 | random();
+  std::memcpy(bytes.data() + size_t{8} * random(words), &value, sizeof(value));
 }
 
-/// Cuts the frame short and makes its sizes agree, so that the message itself
-/// and not only its frame is incomplete.
-void CutWithin(std::string& bytes, pcg32& random) {
+/// Truncates the frame and adjusts its sizes, so that the frame is complete but
+/// the message in it is not.
+void TruncateMessage(std::string& bytes, pcg32& random) {
   const size_t most = (bytes.size() - kFrameHeadBytes) / 8;
   const uint32_t words =
       random(static_cast<uint32_t>(std::min<size_t>(most, 64)));
@@ -68,9 +71,9 @@
   bytes.resize(kFrameHeadBytes + size_t{8} * words);
 }
 
-/// Puts noise in place of a whole message, behind a segment table of the right
-/// size, so that its pointers are looked at.
-void MakeNoise(std::string& bytes, pcg32& random) {
+/// Replaces the message by random bytes after a valid segment table, so that
+/// the decoder evaluates its pointers.
+void ReplaceByRandomBytes(std::string& bytes, pcg32& random) {
   const uint32_t words = 2 + random(40);
   bytes.resize(kFrameHeadBytes + size_t{8} * words);
   std::generate(bytes.begin(), bytes.end(),
@@ -80,26 +83,27 @@
 }
 
 using Mutation = void (*)(std::string& bytes, pcg32& random);
-constexpr Mutation kMutations[] = {FlipBits, SpoilWord, CutWithin, MakeNoise};
+constexpr Mutation kMutations[] = {FlipBits, OverwriteWord, TruncateMessage,
+                                   ReplaceByRandomBytes};
 
 }  // namespace
 
 TEST_GROUP(PeerFuzz){};
 
-TEST(PeerFuzz, Target_CorpusAsItIs_Passes) {
+TEST(PeerFuzz, Target_UnchangedCorpus_Passes) {
   for (const std::string& bytes : Corpus()) {
     Run(bytes);
   }
 }
 
-TEST(PeerFuzz, Target_DamagedCorpus_GivesMessagesOrTypedFailures) {
+TEST(PeerFuzz, Target_CorruptedCorpus_GivesMessagesOrTypedFailures) {
   uint64_t seed = 1;
   for (const std::string& bytes : Corpus()) {
     pcg32 random(++seed);
     for (size_t round = 0; round < kMutationsPerSeed; ++round) {
-      std::string damaged = bytes;
-      kMutations[round % std::size(kMutations)](damaged, random);
-      Run(damaged);
+      std::string corrupted = bytes;
+      kMutations[round % std::size(kMutations)](corrupted, random);
+      Run(corrupted);
     }
   }
 }
--- a/packages/wire/test/samples.h
+++ b/packages/wire/test/samples.h
@@ -8,21 +8,21 @@
 #include "basilsill/wire/frame.h"
 #include "basilsill/wire/message.h"
 
-/// Messages that the tests and the benchmark of this package send about.
+/// Sample messages for the tests and the benchmark of this package.
 
 namespace basilsill::wire {
 
-/// @returns a header list of `count` fields of ordinary length.
+/// @returns a header list with `count` fields of typical length.
 HeaderList SampleHeaders(size_t count);
 
 Open SampleOpen();
 Answer SampleAnswer();
 
-/// @returns one message of each kind, with all of its fields set, and further
-/// ones at the limits of what the protocol allows.
+/// @returns one message of each kind with all of its fields set, and messages
+/// at the limits of the protocol.
 std::vector<PeerMessage> SampleMessages();
 
-/// @returns the bytes that `messages` are on a link.
+/// @returns the encoding of `messages`.
 std::string BytesOf(std::span<const PeerMessage> messages);
 std::string BytesOf(const FrameBuffer& buffer);
 
