--- a/packages/platform/include/basilsill/platform/log_client.h
+++ b/packages/platform/include/basilsill/platform/log_client.h
@@ -72,11 +72,12 @@
   /// @param wait How long the platform waits for a record if there is none yet.
   ///   If none arrives, the result is empty, which is not a failure.
   /// @returns the records, or a failure:
-  ///   kTrimmed: the record at `from` is no longer retained; continue reading
-  ///   at `bounds.first`; kOutOfRange: `from` is beyond the end, so this is not
-  ///   the log from which the offset came; kPlatformUnavailable,
-  ///   kPlatformRejected; kSyntax, kOversizedFrame: the answer was malformed
-  ///   and is discarded.
+  ///   kTrimmed: the record at `from` is no longer retained; the caller can
+  ///   continue at `bounds.first`;
+  ///   kOutOfRange: `from` is beyond the end, so this is not the log from which
+  ///   the offset came;
+  ///   kPlatformUnavailable, kPlatformRejected;
+  ///   kSyntax, kOversizedFrame: the answer was malformed and is discarded.
   boost::asio::awaitable<ReadResult> Read(std::string stream,
                                           uint64_t from,
                                           size_t max,
--- a/packages/platform/test/log_client_test.cc
+++ b/packages/platform/test/log_client_test.cc
@@ -78,8 +78,8 @@
 }
 
 TEST(LogClient, Read_NoRecordYet_WaitsForOne) {
-  Started<ReadResult> poll(io,
-                           client.Read("configuration", 0, kMax, kLongWait));
+  StartedCall<ReadResult> poll(
+      io, client.Read("configuration", 0, kMax, kLongWait));
   while (platform.state().stats.read_calls == 0) {
     io.run_one();
   }
@@ -179,7 +179,7 @@
   PlatformFaults faults;
   faults.append_delay = milliseconds(20);
   platform.SetFaults(faults);
-  Started<Result<AppendAnswer>> append(io, client.Append("slow", {"x"}));
+  StartedCall<Result<AppendAnswer>> append(io, client.Append("slow", {"x"}));
   const auto read = RunAwaitable(io, client.Read("slow", 0, kMax, kLongWait));
   CHECK_EQUAL(1U, read.value().records.size());
   CHECK_EQUAL(1U, append.Wait().value().next);
@@ -188,8 +188,8 @@
 // Failure: the platform restarts at the same address during a long poll, and
 // the client does not reconnect.
 TEST(LogClient, Read_PlatformRestarts_NextReadSucceeds) {
-  Started<ReadResult> poll(io,
-                           client.Read("configuration", 0, kMax, kLongWait));
+  StartedCall<ReadResult> poll(
+      io, client.Read("configuration", 0, kMax, kLongWait));
   while (platform.state().stats.read_calls == 0) {
     io.run_one();
   }
@@ -202,8 +202,8 @@
 }
 
 TEST(LogClient, Close_CallInFlight_Ends) {
-  Started<ReadResult> poll(io,
-                           client.Read("configuration", 0, kMax, kLongWait));
+  StartedCall<ReadResult> poll(
+      io, client.Read("configuration", 0, kMax, kLongWait));
   while (platform.state().stats.read_calls == 0) {
     io.run_one();
   }
--- a/packages/platform/test/misbehaving_server_test.cc
+++ b/packages/platform/test/misbehaving_server_test.cc
@@ -187,7 +187,8 @@
   CHECK_EQUAL(1U, first.value().version);
   CHECK(first.value().vms.at(0) ==
         (VmListEntry{vm.name, vm.data_centre, vm.control, false}));
-  Started<Result<VmList>> next(io, client.Watch(1, std::chrono::seconds(50)));
+  StartedCall<Result<VmList>> next(io,
+                                   client.Watch(1, std::chrono::seconds(50)));
   while (platform.state().stats.vm_list_calls < 2) {
     io.run_one();
   }
--- a/packages/platform/test/run_awaitable.h
+++ b/packages/platform/test/run_awaitable.h
@@ -16,15 +16,15 @@
 /// A call in flight, started by the constructor. It makes progress whenever the
 /// io_context runs.
 template <typename T>
-class Started {
+class StartedCall {
  public:
-  Started(boost::asio::io_context& on, boost::asio::awaitable<T> work)
+  StartedCall(boost::asio::io_context& on, boost::asio::awaitable<T> work)
       : io(on) {
     boost::asio::co_spawn(io, Store(std::move(work), this->value),
                           boost::asio::detached);
   }
-  Started(const Started&) = delete;
-  Started& operator=(const Started&) = delete;
+  StartedCall(const StartedCall&) = delete;
+  StartedCall& operator=(const StartedCall&) = delete;
 
   bool is_done() const { return this->value.has_value(); }
 
@@ -50,7 +50,7 @@
 /// @returns the result of `work`.
 template <typename T>
 T RunAwaitable(boost::asio::io_context& io, boost::asio::awaitable<T> work) {
-  Started<T> call(io, std::move(work));
+  StartedCall<T> call(io, std::move(work));
   return std::move(call.Wait());
 }
 
--- a/packages/wire/include/basilsill/wire/link_mux.h
+++ b/packages/wire/include/basilsill/wire/link_mux.h
@@ -65,11 +65,11 @@
   kEnded,     ///< A body is complete (End). Not emitted if a head has `end`.
   kRefused,   ///< The peer refused the request (Refused); the stream is closed.
   kReset,     ///< The answer was aborted (Reset); the stream is closed.
-  kCancelled,  ///< The peer cancelled the request; the stream is closed.
-  kLost,  ///< The link can't continue the stream, which is closed; see `fate`.
-  kWritable,  ///< Requested with AwaitWritable.
-  kGoAway,    ///< The peer sent GoAway; the link accepts no new streams.
-  kMessage,   ///< A message that belongs to no stream, such as Heartbeat.
+  kCancelled,  ///< The peer cancelled the stream, which is closed.
+  kLost,       ///< The link can't continue the stream; it is closed.
+  kWritable,   ///< Requested with AwaitWritable.
+  kGoAway,     ///< The peer sent GoAway; the link accepts no new streams.
+  kMessage,    ///< A message that belongs to no stream, such as Heartbeat.
   kCount
 };
 
@@ -111,10 +111,10 @@
   bool HasOutput() const;
 
   /// Replaces the content of `out` by the next frames to write: first all
-  /// urgent frames (those that belong to no stream or end one), then turns of
-  /// streams until `out` has at least `target_bytes`. Write all of them before
-  /// the next call. Keep `target_bytes` small: frames are scheduled fairly only
-  /// until they are taken.
+  /// urgent frames (those that belong to no stream, give credit or end a
+  /// stream), then turns of streams until `out` has at least `target_bytes`.
+  /// Write all of them before the next call. Keep `target_bytes` small, because
+  /// the order of frames can't change any more once they are taken.
   void TakeOutput(TimePoint now,
                   FrameBuffer& out,
                   size_t target_bytes = limits::kBodyChunkBytes);
@@ -190,7 +190,7 @@
 
   /// @returns true if both sides have sent GoAway, all streams are closed and
   /// all output has been taken. Once that output is written, the socket can be
-  /// closed without losing anything.
+  /// closed without loss.
   bool CanClose() const;
 
   /// @returns true if OpenStream may succeed.
