--- a/packages/ctl/src/resource_watch.cc
+++ b/packages/ctl/src/resource_watch.cc
@@ -118,7 +118,7 @@
     return TakeLine(text, format, watch);
   };
   while (MonotonicClock::now() - last_line < patience) {
-    co_await RestUntil(nodes.NextChance(MonotonicClock::now()));
+    co_await RestUntil(nodes.NextAvailableAt(MonotonicClock::now()));
     const auto position = nodes.Choose(MonotonicClock::now(), none_tried);
     if (!position) {
       continue;
--- a/packages/node/src/link_exchange.cc
+++ b/packages/node/src/link_exchange.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // What a lost link means for a request that was on it.
-constexpr std::array<Refusal, static_cast<size_t>(wire::StreamFate::kCount)>
+constexpr std::array<Refusal, static_cast<size_t>(wire::StreamProgress::kCount)>
     kRefusalOfFate = {
         Refusal::kPeerUnreachable,  // kNeverSent
         Refusal::kPeerLost,         // kSent
@@ -118,11 +118,11 @@
         step = Step::kDone;
         break;
       case wire::LinkEventKind::kReset:
-        this->OnLost(wire::StreamFate::kAnswering);
+        this->OnLost(wire::StreamProgress::kAnswering);
         step = Step::kDone;
         break;
       case wire::LinkEventKind::kLost:
-        this->OnLost(event.fate);
+        this->OnLost(event.progress);
         step = Step::kDone;
         break;
       default:
@@ -183,14 +183,14 @@
   this->outcome.sends = refused.sends;
 }
 
-void LinkExchange::OnLost(wire::StreamFate fate) {
+void LinkExchange::OnLost(wire::StreamProgress progress) {
   if (this->answer_started) {
     this->sink.Break();
     this->outcome.answered = true;
     this->outcome.refusal = Refusal::kPeerLost;
     return;
   }
-  this->outcome.refusal = kRefusalOfFate.at(static_cast<size_t>(fate));
+  this->outcome.refusal = kRefusalOfFate.at(static_cast<size_t>(progress));
 }
 
 }  // namespace basilsill
--- a/packages/node/src/link_exchange.h
+++ b/packages/node/src/link_exchange.h
@@ -30,7 +30,7 @@
   Task<Step> OnData(wire::Data data);
   Task<Step> OnEnd(const wire::End& end);
   void OnRefused(const wire::Refused& refused);
-  void OnLost(wire::StreamFate fate);
+  void OnLost(wire::StreamProgress progress);
   Step Passed(bool receiver_there, bool last);
 
   PeerLinkPtr link;
--- a/packages/node/src/peer_link.h
+++ b/packages/node/src/peer_link.h
@@ -94,7 +94,7 @@
   bool open() const { return !this->is_over; }
 
   /// @returns true if a stream can be opened on it.
-  bool usable() const { return !this->is_over && this->mux.TakesStreams(); }
+  bool usable() const { return !this->is_over && this->mux.CanOpenStreams(); }
   TimePoint idle_since() const { return this->mux.idle_since(); }
 
   /// @returns true while the end of the process would lose something: a stream
--- a/packages/platform/include/basilsill/platform/endpoint_set.h
+++ b/packages/platform/include/basilsill/platform/endpoint_set.h
@@ -41,7 +41,7 @@
 
   /// @returns the earliest time from `now` on at which an endpoint can be
   /// chosen; `now` if one can be chosen already.
-  TimePoint NextChance(TimePoint now) const;
+  TimePoint NextAvailableAt(TimePoint now) const;
 
   void ReportAnswer(size_t position);
   void ReportFailure(size_t position, TimePoint now);
--- a/packages/platform/src/endpoint_set.cc
+++ b/packages/platform/src/endpoint_set.cc
@@ -32,7 +32,7 @@
   return std::nullopt;
 }
 
-TimePoint EndpointSet::NextChance(TimePoint now) const {
+TimePoint EndpointSet::NextAvailableAt(TimePoint now) const {
   TimePoint first = kNever;
   for (const Row& row : this->rows) {
     first = std::min(first, std::max(now, row.backoff_until));
--- a/packages/platform/src/failover_client.cc
+++ b/packages/platform/src/failover_client.cc
@@ -92,7 +92,7 @@
                                                    AnswerCheck check) {
   EndpointSet& endpoints = core->endpoints;
   const TimePoint start = MonotonicClock::now();
-  const TimePoint chance = endpoints.NextChance(start);
+  const TimePoint chance = endpoints.NextAvailableAt(start);
   if (call.repeatable && chance > start) {
     co_await WaitUntil(core->executor, std::min(chance, start + call.timeout));
   }
--- a/packages/platform/test/endpoint_set_test.cc
+++ b/packages/platform/test/endpoint_set_test.cc
@@ -31,8 +31,8 @@
   milliseconds BackoffAfterFailure(size_t position) {
     set.ReportFailure(position, now);
     set.ReportFailure(1 - position, now + std::chrono::hours(1));
-    const auto backoff = set.NextChance(now) - now;
-    now = set.NextChance(now);
+    const auto backoff = set.NextAvailableAt(now) - now;
+    now = set.NextAvailableAt(now);
     return std::chrono::duration_cast<milliseconds>(backoff);
   }
 };
@@ -55,9 +55,9 @@
 TEST(EndpointSet, Choose_AllTriedOrBackingOff_None) {
   set.ReportFailure(0, now);
   CHECK_FALSE(set.Choose(now, {false, true}).has_value());
-  CHECK(set.NextChance(now) == now);
+  CHECK(set.NextAvailableAt(now) == now);
   set.ReportFailure(1, now);
-  CHECK(set.NextChance(now) > now);
+  CHECK(set.NextAvailableAt(now) > now);
 }
 
 // Failure: while the platform is down, VMs call it again too often, wait longer
@@ -77,7 +77,7 @@
   other.ReportFailure(0, now);
   set.ReportFailure(0, now);
   set.ReportFailure(1, now + std::chrono::hours(1));
-  CHECK(other.NextChance(now) != set.NextChance(now));
+  CHECK(other.NextAvailableAt(now) != set.NextAvailableAt(now));
 }
 
 TEST(EndpointSet, ReportAnswer_AfterFailures_ResetsBackoff) {
--- a/packages/wire/include/basilsill/wire/link_mux.h
+++ b/packages/wire/include/basilsill/wire/link_mux.h
@@ -50,7 +50,7 @@
 };
 
 /// Progress of a request at the time at which its link was lost.
-enum class StreamFate : uint8_t {
+enum class StreamProgress : uint8_t {
   kNeverSent,  ///< No byte of it was taken for writing: it did not run.
   kSent,       ///< The peer may have received it; it is unknown whether it ran.
   kAnswering,  ///< Part of its answer was received; the answer is incomplete.
@@ -76,7 +76,7 @@
 struct LinkEvent {
   LinkEventKind kind = LinkEventKind::kCount;
   StreamId stream;
-  StreamFate fate = StreamFate::kCount;  ///< For kLost.
+  StreamProgress progress = StreamProgress::kCount;  ///< For kLost.
   PeerMessage message;  ///< The received message, for kinds that have one.
 };
 
@@ -194,7 +194,7 @@
   bool CanClose() const;
 
   /// @returns true if OpenStream may succeed.
-  bool TakesStreams() const;
+  bool CanOpenStreams() const;
 
   bool ready() const { return this->peer_known; }
   const Hello& peer() const { return this->peer_hello; }
--- a/packages/wire/src/link_mux.cc
+++ b/packages/wire/src/link_mux.cc
@@ -111,7 +111,7 @@
 }
 
 Result<StreamId> LinkMux::OpenStream(Open open) {
-  if (!this->TakesStreams()) {
+  if (!this->CanOpenStreams()) {
     return Failure{FailureKind::kNetwork, "/",
                    "the link accepts no new streams"};
   }
@@ -337,7 +337,7 @@
          this->stream_count() == 0;
 }
 
-bool LinkMux::TakesStreams() const {
+bool LinkMux::CanOpenStreams() const {
   return !this->lost && !this->go_away_sent && !this->go_away_received &&
          this->options.hello.role == LinkRole::kData;
 }
@@ -382,10 +382,10 @@
   const size_t before = this->events.size();
   this->Emit(LinkEventKind::kLost, stream, {});
   if (this->events.size() > before) {
-    const StreamFate on_way =
-        stream.in.begun ? StreamFate::kAnswering : StreamFate::kSent;
-    this->events.back().fate =
-        stream.out.head_sent ? on_way : StreamFate::kNeverSent;
+    const StreamProgress on_way =
+        stream.in.begun ? StreamProgress::kAnswering : StreamProgress::kSent;
+    this->events.back().progress =
+        stream.out.head_sent ? on_way : StreamProgress::kNeverSent;
   }
   this->Close(stream);
 }
--- a/packages/wire/test/link_mux_test.cc
+++ b/packages/wire/test/link_mux_test.cc
@@ -297,17 +297,17 @@
   const StreamId queued = this->entry.mux.OpenStream(OpenWith({})).value();
   this->entry.mux.OnLost();
   this->entry.Collect();
-  std::map<uint32_t, StreamFate> fates;
+  std::map<uint32_t, StreamProgress> progress_by_index;
   for (const LinkEvent& event : this->entry.received_events) {
     if (event.kind == LinkEventKind::kLost) {
-      fates[event.stream.index] = event.fate;
+      progress_by_index[event.stream.index] = event.progress;
     }
   }
-  const std::map<uint32_t, StreamFate> expected = {
-      {sent.index, StreamFate::kSent},
-      {answering.index, StreamFate::kAnswering},
-      {queued.index, StreamFate::kNeverSent}};
-  CHECK(fates == expected);
+  const std::map<uint32_t, StreamProgress> expected = {
+      {sent.index, StreamProgress::kSent},
+      {answering.index, StreamProgress::kAnswering},
+      {queued.index, StreamProgress::kNeverSent}};
+  CHECK(progress_by_index == expected);
   CHECK_EQUAL(0, this->entry.mux.stream_count());
   CHECK_FALSE(this->entry.mux.HasOutput());
   CHECK(this->entry.mux.OpenStream(OpenWith({})).error().kind ==
@@ -320,7 +320,8 @@
   this->entry.mux.TakeOutput(TimePoint(), written);
   this->entry.mux.OnLost();
   this->entry.Collect();
-  CHECK(this->entry.Last(LinkEventKind::kLost).fate == StreamFate::kNeverSent);
+  CHECK(this->entry.Last(LinkEventKind::kLost).progress ==
+        StreamProgress::kNeverSent);
 }
 
 // Failure: one side closes an idle link while a request of the other side is in
@@ -334,7 +335,7 @@
   CHECK_FALSE(this->dispatcher.mux.CanClose());
   this->pair.DeliverAll();
   CHECK_EQUAL(1, this->entry.Count(LinkEventKind::kGoAway));
-  CHECK_FALSE(this->entry.mux.TakesStreams());
+  CHECK_FALSE(this->entry.mux.CanOpenStreams());
   CHECK_FALSE(this->dispatcher.mux.CanClose());
   CHECK(this->dispatcher.mux.SendAnswer(AnswerWith(id, {})).has_value());
   this->pair.DeliverAll();
@@ -348,7 +349,8 @@
   this->dispatcher.mux.SendGoAway();
   CHECK(this->entry.mux.OpenStream(OpenWith({})).has_value());
   this->pair.Step(this->dispatcher, this->entry);
-  CHECK(this->entry.Last(LinkEventKind::kLost).fate == StreamFate::kNeverSent);
+  CHECK(this->entry.Last(LinkEventKind::kLost).progress ==
+        StreamProgress::kNeverSent);
   this->pair.DeliverAll();
   CHECK_EQUAL(0, this->dispatcher.Count(LinkEventKind::kOpened));
 }
@@ -406,7 +408,7 @@
   CHECK_EQUAL(3, control.Count(LinkEventKind::kMessage));
   CHECK(control.mux.Post(Heartbeat{}).has_value());
   CHECK(KindOf(control.mux.Post(Summary{})) == FailureKind::kOutOfRange);
-  CHECK_FALSE(control.mux.TakesStreams());
+  CHECK_FALSE(control.mux.CanOpenStreams());
   CHECK(Feed(control.mux, {SampleOpen()}) == FailureKind::kMalformedFrame);
 }
 
