--- a/packages/platform/src/failover_client.cc
+++ b/packages/platform/src/failover_client.cc
@@ -92,9 +92,10 @@
                                                    AnswerCheck check) {
   EndpointSet& endpoints = core->endpoints;
   const TimePoint start = MonotonicClock::now();
-  const TimePoint chance = endpoints.NextAvailableAt(start);
-  if (call.repeatable && chance > start) {
-    co_await WaitUntil(core->executor, std::min(chance, start + call.timeout));
+  const TimePoint available_at = endpoints.NextAvailableAt(start);
+  if (call.repeatable && available_at > start) {
+    co_await WaitUntil(core->executor,
+                       std::min(available_at, start + call.timeout));
   }
   HttpFailure last = NoEndpointAvailable();
   std::vector<bool> tried(endpoints.size(), false);
--- a/packages/platform/src/http_client.cc
+++ b/packages/platform/src/http_client.cc
@@ -175,7 +175,7 @@
     connection = std::make_shared<Connection>(pool->executor);
     connection->endpoint = endpoint;
   }
-  const BusyGuard mark(*pool, connection);
+  const BusyGuard guard(*pool, connection);
   if (is_new) {
     const beast::error_code error = co_await Connect(connection);
     if (error || pool->closed) {
--- a/packages/wire/include/basilsill/wire/message.h
+++ b/packages/wire/include/basilsill/wire/message.h
@@ -132,7 +132,7 @@
   bool hedge = false;
   std::optional<OnceClaim> once;
   Fingerprint fingerprint = 0;
-  uint8_t attempts_left = 0;  ///< Further attempts the dispatcher may make.
+  uint8_t attempts_left = 0;  ///< Further attempts allowed to the dispatcher.
   uint8_t sends = 0;          ///< DispatchRequest::sends.
   /// Target::max_wait: if the expected wait is longer, the dispatcher refuses
   /// the request. limits::kMaxPeerDuration means no limit.
@@ -157,8 +157,8 @@
   friend bool operator==(const Data&, const Data&) = default;
 };
 
-/// The body is complete. A body of kind kStream or kKnown that does not end
-/// with this message is incomplete, unless its head has `end` set.
+/// The body is complete. A body without this message is incomplete, unless its
+/// head has `end` set.
 struct End {
   StreamId stream;
   HeaderList trailers;
--- a/packages/wire/src/link_mux.cc
+++ b/packages/wire/src/link_mux.cc
@@ -382,10 +382,10 @@
   const size_t before = this->events.size();
   this->Emit(LinkEventKind::kLost, stream, {});
   if (this->events.size() > before) {
-    const StreamProgress on_way =
+    const StreamProgress progress_if_sent =
         stream.in.begun ? StreamProgress::kAnswering : StreamProgress::kSent;
     this->events.back().progress =
-        stream.out.head_sent ? on_way : StreamProgress::kNeverSent;
+        stream.out.head_sent ? progress_if_sent : StreamProgress::kNeverSent;
   }
   this->Close(stream);
 }
--- a/packages/wire/test/frame_test.cc
+++ b/packages/wire/test/frame_test.cc
@@ -12,7 +12,7 @@
 namespace basilsill::wire {
 namespace {
 
-/// @returns the sizes with which a frame begins.
+/// @returns the first eight octets of a frame, which are its two sizes.
 std::string PrefixOf(uint32_t message_size, uint32_t payload_size) {
   std::string prefix(8, '\0');
   std::memcpy(prefix.data(), &message_size, 4);
