--- a/packages/platform/src/failover_client.cc
+++ b/packages/platform/src/failover_client.cc
@@ -24,7 +24,7 @@
 
 HttpFailure NoEndpointAvailable() {
   return {{FailureKind::kPlatformUnavailable, "",
-           "all endpoints are backing off after failures"},
+           "every endpoint is backing off after failures"},
           false};
 }
 
--- a/packages/wire/src/frame_decoder.cc
+++ b/packages/wire/src/frame_decoder.cc
@@ -130,10 +130,10 @@
   // to a small number.
   const size_t size = this->message_size + this->payload_size;
   if (size > limits::kMaxFrameBytes) {
-    this->failure =
-        Failure{FailureKind::kOversizedFrame, "/",
-                "frame of " + std::to_string(size) + " bytes, the limit is " +
-                    std::to_string(limits::kMaxFrameBytes)};
+    this->failure = Failure{FailureKind::kOversizedFrame, "/",
+                            "frame of " + std::to_string(size) +
+                                " bytes, must be at most " +
+                                std::to_string(limits::kMaxFrameBytes)};
     return;
   }
   if (this->message_size == 0 || this->message_size % kWordBytes != 0) {
--- a/packages/wire/src/frame_encoder.cc
+++ b/packages/wire/src/frame_encoder.cc
@@ -20,13 +20,13 @@
 constexpr size_t kScratchWords = 512;
 
 static_assert(std::endian::native == std::endian::little,
-              "sizes are copied from memory to the frame unchanged");
+              "sizes are written to the frame as they are in memory");
 
 using Segments = kj::ArrayPtr<const kj::ArrayPtr<const capnp::word>>;
 
 Failure Oversized(size_t size) {
   return {FailureKind::kOversizedFrame, "/",
-          "frame of " + std::to_string(size) + " bytes, the limit is " +
+          "frame of " + std::to_string(size) + " bytes, must be at most " +
               std::to_string(limits::kMaxFrameBytes)};
 }
 
--- a/packages/wire/src/link_mux.cc
+++ b/packages/wire/src/link_mux.cc
@@ -118,11 +118,11 @@
   if (this->own->size() >= this->peer_hello.max_streams ||
       this->queue->queued_bytes() >= limits::kLinkQueueBytes) {
     return LimitReached(
-        "the peer's stream limit or the send queue limit is reached");
+        "the link has reached the stream limit or the queue limit");
   }
   Stream* stream = this->own->Create();
   if (stream == nullptr) {
-    return LimitReached("all stream ids are in use");
+    return LimitReached("the maximum number of streams is open");
   }
   const StreamId id = stream->id;
   stream->in.window_left = this->options.hello.stream_window;
@@ -174,7 +174,7 @@
         "this side can't answer the stream, or has already done so");
   }
   if (answer.body.size() > stream->out.credit) {
-    return LimitReached("the body is larger than the peer's window");
+    return LimitReached("more octets than the peer's window allows");
   }
   const BodyFraming framing = answer.framing;
   const size_t inline_bytes = answer.body.size();
@@ -193,7 +193,7 @@
   }
   if (this->IsOwn(stream->id) || stream->out.head_sent) {
     return NotAllowedHere(
-        "this side can't refuse the stream, or has already answered");
+        "refusal of a stream that this side opened or has answered");
   }
   Result<void> queued = this->queue->PushUrgent(refused);
   if (queued) {
@@ -281,7 +281,7 @@
   }
   if (!stream->out.begun || !stream->out.body.End()) {
     return NotAllowedHere(
-        "the body has not begun, has already ended or is too short");
+        "end of a body that has not begun, has ended or is too short");
   }
   stream->out.trailers = std::move(trailers);
   stream->out.end_queued = true;
--- a/packages/wire/src/link_mux_receive.cc
+++ b/packages/wire/src/link_mux_receive.cc
@@ -68,7 +68,7 @@
 Result<void> LinkMux::ReceiveFirst(const PeerMessage& message) {
   const auto* hello = std::get_if<Hello>(&message);
   if (hello == nullptr) {
-    return Violation("the first message is not a Hello");
+    return Violation("the first message on the link is not a Hello");
   }
   if (hello->role != this->options.hello.role) {
     return Violation("the Hello has another link role than this side");
@@ -123,7 +123,7 @@
   if (this->options.hello.role != LinkRole::kData || this->go_away_received ||
       this->IsOwn(open.stream) ||
       this->accepted->size() >= this->options.hello.max_streams) {
-    return Violation("the peer may not open this stream");
+    return Violation("a stream may not be opened by the peer now");
   }
   Stream* stream = this->accepted->Adopt(open.stream);
   if (stream == nullptr) {
@@ -208,7 +208,7 @@
   }
   if (!stream->in.begun || !stream->in.body.End()) {
     return Violation(
-        "End of a body that has not begun, has ended or is too short");
+        "end of a body that has not begun, has ended or is too short");
   }
   const bool is_own = this->IsOwn(stream->id);
   this->Emit(LinkEventKind::kEnded, *stream, std::move(end));
@@ -229,7 +229,7 @@
   }
   const size_t spent = this->peer_hello.stream_window - stream->out.credit;
   if (credit.bytes > spent) {
-    return Violation("Credit exceeds the octets sent");
+    return Violation("more credit than octets were sent");
   }
   stream->out.credit += credit.bytes;
   this->NotifyWritable(*stream);
@@ -246,7 +246,7 @@
     return Done();
   }
   if (stream->in.begun) {
-    return Violation("Refused after the head of an answer");
+    return Violation("refusal after the head of an answer");
   }
   this->Emit(LinkEventKind::kRefused, *stream, refused);
   this->Close(*stream);
@@ -268,7 +268,7 @@
 
 Result<void> LinkMux::On(const Cancel& cancel) {
   if (this->IsOwn(cancel.stream)) {
-    return Violation("Cancel of a stream that the peer did not open");
+    return Violation("cancel of a stream that the peer did not open");
   }
   const Result<Stream*> found = this->FindForPeer(cancel.stream);
   if (!found) {
--- a/packages/wire/src/message_check.cc
+++ b/packages/wire/src/message_check.cc
@@ -84,9 +84,10 @@
     this->Require(framing.kind < BodyKind::kCount, "/framing",
                   "unknown body kind");
     this->Require(known || framing.length == 0, "/framing",
-                  "length given for a body kind that has none");
+                  "length without a body kind that has one");
     this->Require(framing.kind != BodyKind::kNone || (end && body.empty()),
-                  "/framing", "octets, or no end, with body kind kNone");
+                  "/framing",
+                  "body kind is none, but there are octets or no end");
     this->Require(!known || body.size() <= framing.length, "/body",
                   "longer than the length in framing");
     this->Require(!known || !end || body.size() == framing.length, "/body",
@@ -115,8 +116,9 @@
 
 void Check(Checker& check, const Hello& hello) {
   check.Require(hello.role < LinkRole::kCount, "/role", "unknown role");
-  check.Require(IsWord(hello.vm), "/vm",
-                "must be non-empty, without blanks or control characters");
+  check.Require(
+      IsWord(hello.vm), "/vm",
+      "not a valid name: empty, or with blanks or control characters");
   check.RequireName(hello.vm, "/vm");
   check.RequireName(hello.data_centre, "/data_centre");
   check.Require(hello.control.address.size() <= kMaxAddressLength, "/control",
--- a/packages/wire/src/message_reader.cc
+++ b/packages/wire/src/message_reader.cc
@@ -22,8 +22,8 @@
 /// @returns `size`. Throws FailureError if it is greater than `most`.
 unsigned CheckedSize(unsigned size, size_t most, const char* path) {
   if (size > most) {
-    Reject(path, "list of " + std::to_string(size) + " entries, the limit is " +
-                     std::to_string(most));
+    Reject(path, "list of " + std::to_string(size) +
+                     " entries, must be at most " + std::to_string(most));
   }
   return size;
 }
