--- a/packages/wire/src/link_mux_receive.cc
+++ b/packages/wire/src/link_mux_receive.cc
@@ -123,7 +123,7 @@
   if (this->options.hello.role != LinkRole::kData || this->go_away_received ||
       this->IsOwn(open.stream) ||
       this->accepted->size() >= this->options.hello.max_streams) {
-    return Violation("a stream may not be opened by the peer now");
+    return Violation("the stream may not be opened by the peer");
   }
   Stream* stream = this->accepted->Adopt(open.stream);
   if (stream == nullptr) {
