--- a/soak/upstreams.cc
+++ b/soak/upstreams.cc
@@ -78,7 +78,7 @@
   hooks.on_run = [this, number, service](const std::string& id) {
     this->seen.runs.push_back({id, number, service, MonotonicClock::now()});
   };
-  hooks.on_question = [this, number, data_centre] {
+  hooks.on_health_check = [this, number, data_centre] {
     this->seen.questions.push_back(
         {"", number, data_centre, MonotonicClock::now()});
   };
@@ -164,7 +164,7 @@
 boost::asio::awaitable<void> Upstreams::Leave(Place& place) {
   this->Write(place, "draining");
   this->seen.leaving.push_back({place.number, MonotonicClock::now()});
-  place.instance->conduct().leaving = true;
+  place.instance->behaviour().leaving = true;
   co_await Sleep(kServesOn);
   if (this->stopped) {
     co_return;
@@ -181,7 +181,7 @@
 boost::asio::awaitable<void> Upstreams::BeCold(Place& place, const Step& step) {
   const TimePoint from = MonotonicClock::now();
   const TimePoint to = from + step.lasts;
-  place.instance->conduct().cold_until = to;
+  place.instance->behaviour().cold_until = to;
   this->seen.colds.push_back({place.number, from, to});
   co_await Sleep(step.lasts);
 }
@@ -192,17 +192,17 @@
       kLimits.at(step.target / this->places.size() % kLimits.size());
   const TimePoint from = MonotonicClock::now();
   const TimePoint to = from + step.lasts + kLimitLasts;
-  place.instance->conduct().rate_limit = limit;
+  place.instance->behaviour().rate_limit = limit;
   this->seen.limits.push_back({place.number, limit, from, to});
   co_await Sleep(to - from);
   if (!this->stopped) {
-    place.instance->conduct().rate_limit = std::nullopt;
+    place.instance->behaviour().rate_limit = std::nullopt;
   }
 }
 
 boost::asio::awaitable<void> Upstreams::Misbehave(Place& place,
                                                   const Step& step) {
-  adapter::test::UpstreamConduct faulty;
+  adapter::test::FakeUpstreamBehaviour faulty;
   switch (step.fault) {
     case Fault::kUpstreamSlow:
       faulty.work = kSlowWork;
@@ -217,10 +217,10 @@
       faulty.cutting = kFaultyShare;
       break;
   }
-  place.instance->conduct() = faulty;
+  place.instance->behaviour() = faulty;
   co_await Sleep(step.lasts);
   if (!this->stopped) {
-    place.instance->conduct() = {};
+    place.instance->behaviour() = {};
   }
 }
 
