--- a/packages/node/src/admin_routes.cc
+++ b/packages/node/src/admin_routes.cc
@@ -31,9 +31,9 @@
 
 void AddReadinessRoute(AdminRouter& router,
                        std::string path,
-                       AskPhase ask_phase) {
+                       AskPhase query_phase) {
   router.Add({"GET", std::move(path),
-              AdminHandler([ask = std::move(ask_phase)](const AdminRequest&) {
+              AdminHandler([ask = std::move(query_phase)](const AdminRequest&) {
                 return AnswerReadiness(ask);
               })});
 }
@@ -43,7 +43,7 @@
               Immediately([phase = sources.phase](const AdminRequest&) {
                 return PhaseResponse(phase(), phase() != NodePhase::kDraining);
               })});
-  AddReadinessRoute(router, "/readyz", std::move(sources.ask_phase));
+  AddReadinessRoute(router, "/readyz", std::move(sources.query_phase));
   router.Add({"GET", "/metrics",
               Immediately([make = std::move(sources.metrics)](
                               const AdminRequest&) -> AdminResponse {
--- a/packages/node/src/admin_routes.h
+++ b/packages/node/src/admin_routes.h
@@ -31,7 +31,7 @@
 /// Called on the control thread for each request.
 struct AdminSources {
   std::function<NodePhase()> phase;  ///< As far as the control thread knows.
-  AskPhase ask_phase;
+  AskPhase query_phase;
   std::function<std::string()> metrics;      ///< Prometheus text.
   std::function<std::string()> debug_state;  ///< JSON text.
 };
@@ -44,7 +44,7 @@
 /// otherwise.
 void AddReadinessRoute(AdminRouter& router,
                        std::string path,
-                       AskPhase ask_phase);
+                       AskPhase query_phase);
 
 void AddNodeRoutes(AdminRouter& router, AdminSources sources);
 
--- a/packages/node/src/node.cc
+++ b/packages/node/src/node.cc
@@ -204,7 +204,7 @@
 Result<void> Node::CreateAdmin() {
   AdminSources sources;
   sources.phase = [this] { return this->phase(); };
-  sources.ask_phase = [this] { return this->PhaseWithWorkers(); };
+  sources.query_phase = [this] { return this->PhaseWithWorkers(); };
   sources.metrics = [this] { return this->metrics.Render(); };
   const bool has_log = this->log_source != nullptr;
   if (has_log) {
