--- a/packages/node/include/basilsill/node/log.h
+++ b/packages/node/include/basilsill/node/log.h
@@ -14,12 +14,14 @@
 #include "basilsill/base/event.h"
 #include "basilsill/base/reason.h"
 
-/// The log: numbered events, one line each, written through log4cplus by a
-/// thread of its own. Callable from every thread; never waits.
+/// Structured log of the process. Each event has a number and makes one line. A
+/// dedicated thread writes the lines through log4cplus, so that logging never
+/// blocks the calling thread. Any thread may log.
 
 namespace basilsill {
 
-/// One `name=value` of a line. Refers to its text only until Log returns.
+/// One `name=value` field of a line. Does not own its text, which must stay
+/// valid until Log returns.
 struct LogField {
   using Value = std::variant<int64_t, uint64_t, double, bool, std::string_view>;
 
@@ -48,31 +50,32 @@
       : name(name), value(FailureName(value)) {}
 };
 
-/// Writes one event. Without a started `Logging`, or below its level, nothing
-/// is written. Never blocks: when lines come faster than they can be written,
-/// or one event above its rate, they are left out and counted, and a line
-/// events-suppressed tells the count.
+/// Logs one event. Does nothing if no `Logging` is running or the event is
+/// below its level. Never blocks: lines are dropped and counted if the queue to
+/// the writing thread is full or the event exceeds its rate limit. The count is
+/// logged as an events-suppressed event.
 void Log(Event event, std::initializer_list<LogField> fields);
 
 struct LogOptions {
   Severity level = Severity::kInfo;
-  std::string file;                 ///< Empty for a standard stream.
-  uint32_t events_per_second = 20;  ///< Of one event, with as large a burst.
-  bool to_standard_output = false;  ///< Instead of standard error.
+  std::string file;                 ///< Empty: write to a standard stream.
+  uint32_t events_per_second = 20;  ///< Rate limit and burst of each event.
+  bool to_standard_output = false;  ///< Else to standard error.
 };
 
-/// The running log of the process; at most one exists at a time. Its
-/// destructor writes out what is pending; threads that log have ended by then.
+/// Runs the log of the process; at most one instance exists at a time. The
+/// destructor writes all pending lines. Every thread that logs must have ended
+/// before it runs.
 class Logging {
  public:
-  /// @returns kUnreadable if the file can't be written, kInUse if the process
-  /// has a running log already.
+  /// @returns kUnreadable if the file can't be opened for writing, kInUse if an
+  /// instance is already running.
   static Result<std::unique_ptr<Logging>> Start(const LogOptions& options);
   ~Logging();
   Logging(const Logging&) = delete;
   Logging& operator=(const Logging&) = delete;
 
-  /// What `Log` does.
+  /// Implements `Log`.
   static void Write(Event event, std::span<const LogField> fields);
 
  private:
--- a/packages/node/src/admin_connection.cc
+++ b/packages/node/src/admin_connection.cc
@@ -32,14 +32,14 @@
 constexpr size_t kReadBytes = 4096;
 constexpr unsigned kHttp11 = 11;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
-/// What is still read from a client that was told to go; see CloseGently.
+/// Limits on the input that CloseGently reads and discards.
 constexpr std::chrono::milliseconds kLingerTime{1000};
 constexpr size_t kMaxLingerBytes = 1024 * 1024;
 
 using Parser = http::request_parser<http::string_body>;
 using Reply = http::response<http::string_body>;
 
-/// One connection of a client.
+/// Socket and read buffer of one client connection.
 struct Session {
   explicit Session(tcp::socket socket)
       : stream(std::move(socket)), stopped(this->stream.get_executor()) {
@@ -54,18 +54,18 @@
 
   beast::tcp_stream stream;
   beast::flat_buffer buffer;
-  asio::steady_timer stopped;  ///< Never expires; cancelled by Stop.
+  asio::steady_timer stopped;  ///< Never expires; Stop cancels it.
 };
 
-/// What the wire needs to know of a request to answer it.
+/// Properties of a request that determine how its response is framed.
 struct Framing {
   unsigned version = kHttp11;
   bool keep_alive = false;
   bool head_only = false;
 };
 
-/// How a handler ended: with an answer, with the end of a stream (neither
-/// member set), or by throwing.
+/// Result of a handler: a response, an exception, or neither if a stream
+/// handler returned normally.
 struct HandlerOutcome {
   std::optional<AdminResponse> response;
   std::exception_ptr thrown;
@@ -99,7 +99,8 @@
   }
 }
 
-/// @returns the answer for input that Beast rejected.
+/// @returns 431 if the header is too large, 413 if the body is too large, 400
+/// for any other input that Beast rejects.
 AdminResponse MalformedResponse(error_code error) {
   const Failure failure{FailureKind::kSyntax, "", error.message()};
   if (error == http::error::header_limit) {
@@ -111,15 +112,15 @@
   return FailureResponse(400, failure);
 }
 
-/// @returns true if what arrived is no HTTP or above a limit, false if the
-/// connection itself failed.
+/// @returns true if the input is not valid HTTP or exceeds a limit, false if
+/// there is no error or the connection itself failed.
 bool IsMalformed(error_code error) {
   return error.category() ==
          http::make_error_code(http::error::bad_method).category();
 }
 
-/// Writes an answer of unknown length: chunked, or for HTTP/1.0 up to the end
-/// of the connection.
+/// Writes a response of unknown length: with chunked transfer coding, or for
+/// HTTP/1.0 delimited by the end of the connection.
 class ChunkedStream : public AdminStream {
  public:
   ChunkedStream(Session& session,
@@ -136,9 +137,9 @@
       co_await this->SendHead();
     }
     if (chunk.empty()) {
-      co_return;  // As a chunk it would end the answer.
+      co_return;  // An empty chunk would end the response.
     }
-    this->ExpectProgress();
+    this->RestartWriteTimeout();
     if (this->IsChunked()) {
       co_await asio::async_write(this->session.stream,
                                  http::make_chunk(asio::buffer(chunk)),
@@ -154,7 +155,7 @@
       co_await this->SendHead();
     }
     if (this->IsChunked()) {
-      this->ExpectProgress();
+      this->RestartWriteTimeout();
       co_await asio::async_write(this->session.stream, http::make_chunk_last(),
                                  use_awaitable);
     }
@@ -172,12 +173,12 @@
     message.keep_alive(this->IsChunked());
     http::response_serializer<http::empty_body> serializer(message);
     this->started = true;
-    this->ExpectProgress();
+    this->RestartWriteTimeout();
     co_await http::async_write_header(this->session.stream, serializer,
                                       use_awaitable);
   }
 
-  void ExpectProgress() {
+  void RestartWriteTimeout() {
     this->session.stream.expires_after(this->write_timeout);
   }
 
@@ -188,11 +189,12 @@
   bool started = false;
 };
 
-/// Waits until the client is gone or the server stops. Bytes that arrive
-/// meanwhile are the next request's and stay where they are.
-/// @param end_counts Whether the end of the client's sending means that it is
-/// gone. Simple clients end their sending and still wait for an answer.
-awaitable<void> WaitUntilGone(Session& session, bool end_counts) {
+/// Waits until the client disconnects or the server stops. Bytes that arrive
+/// meanwhile belong to the next request and are left in the socket.
+/// @param eof_means_gone Whether a half-closed connection counts as
+/// disconnected. Some simple clients shut down their sending side and still
+/// wait for the response.
+awaitable<void> WaitUntilGone(Session& session, bool eof_means_gone) {
   error_code error;
   co_await session.stream.socket().async_wait(
       tcp::socket::wait_read, asio::redirect_error(use_awaitable, error));
@@ -200,7 +202,7 @@
     co_return;
   }
   const bool ended = session.stream.socket().available(error) == 0;
-  if (error || (ended && end_counts)) {
+  if (error || (ended && eof_means_gone)) {
     co_return;
   }
   co_await session.stopped.async_wait(
@@ -232,7 +234,7 @@
 
 }  // namespace
 
-/// The exchange of requests and answers on one connection.
+/// Reads requests from one connection and writes the responses.
 struct AdminConnection::State {
   State(tcp::socket socket,
         const AdminOptions& options,
@@ -247,8 +249,8 @@
     co_await this->CloseGently();
   }
 
-  /// Reads and answers one request.
-  /// @returns false if the connection has to be closed.
+  /// Reads one request and writes its response.
+  /// @returns false if the connection must be closed.
   awaitable<bool> ServeOne() {
     co_await this->WaitForBytes();
     Parser parser;
@@ -268,10 +270,10 @@
     const Framing framing{parser.get().version(), keep_alive,
                           parser.get().method() == http::verb::head};
     const AdminRequest request = MakeRequest(parser.get());
-    co_return co_await this->Answer(request, framing);
+    co_return co_await this->HandleRequest(request, framing);
   }
 
-  /// Waits for a next request, for as long as a connection may be idle.
+  /// Waits for the first bytes of the next request, up to the idle timeout.
   awaitable<void> WaitForBytes() {
     if (this->session.buffer.size() > 0) {
       co_return;
@@ -300,64 +302,67 @@
     co_return error;
   }
 
-  awaitable<bool> Answer(const AdminRequest& request, const Framing& framing) {
-    // While the handler runs, only writes are timed.
+  awaitable<bool> HandleRequest(const AdminRequest& request,
+                                const Framing& framing) {
+    // No timeout applies to the handler itself, only to writes.
     this->session.stream.expires_never();
     const auto found = this->router.Find(request.method, request.path);
-    if (const NoRoute* const none = std::get_if<NoRoute>(&found)) {
-      const AdminResponse response = NoRouteResponse(*none, request);
+    if (const NoRoute* const no_route = std::get_if<NoRoute>(&found)) {
+      const AdminResponse response = NoRouteResponse(*no_route, request);
       co_return co_await this->Send(response, framing);
     }
     const AdminRoute& route = *std::get<const AdminRoute*>(found);
-    if (const auto* const whole = std::get_if<AdminHandler>(&route.handler)) {
-      co_return co_await this->AnswerWhole(*whole, request, framing);
+    if (const auto* const buffered =
+            std::get_if<AdminHandler>(&route.handler)) {
+      co_return co_await this->HandleBuffered(*buffered, request, framing);
     }
     if (framing.head_only) {
-      // A stream has no head without its body.
+      // A stream's head is only known once its handler runs.
       const AdminResponse response = NoRouteResponse({"GET"}, request);
       co_return co_await this->Send(response, framing);
     }
     const auto& streamed = std::get<AdminStreamHandler>(route.handler);
-    co_return co_await this->AnswerStream(streamed, request, framing);
+    co_return co_await this->HandleStreamed(streamed, request, framing);
   }
 
-  awaitable<bool> AnswerWhole(const AdminHandler& handler,
-                              const AdminRequest& request,
-                              const Framing& framing) {
+  awaitable<bool> HandleBuffered(const AdminHandler& handler,
+                                 const AdminRequest& request,
+                                 const Framing& framing) {
     using asio::experimental::awaitable_operators::operator||;
     auto outcome =
         co_await (CallHandler(handler, request) ||
-                  WaitUntilGone(this->session, /*end_counts=*/false));
+                  WaitUntilGone(this->session, /*eof_means_gone=*/false));
     if (outcome.index() != 0) {
       co_return false;
     }
     const HandlerOutcome ended = std::get<0>(std::move(outcome));
-    const AdminResponse response = ended.response
-                                       ? *ended.response
-                                       : ThrownResponse(ended.thrown, request);
+    const AdminResponse response =
+        ended.response ? *ended.response
+                       : ExceptionResponse(ended.thrown, request);
     co_return co_await this->Send(response, framing);
   }
 
-  awaitable<bool> AnswerStream(const AdminStreamHandler& handler,
-                               const AdminRequest& request,
-                               const Framing& framing) {
+  awaitable<bool> HandleStreamed(const AdminStreamHandler& handler,
+                                 const AdminRequest& request,
+                                 const Framing& framing) {
     using asio::experimental::awaitable_operators::operator||;
     ChunkedStream stream(this->session, framing.version,
                          this->options.write_timeout);
-    auto outcome = co_await (CallHandler(handler, request, stream) ||
-                             WaitUntilGone(this->session, /*end_counts=*/true));
+    auto outcome =
+        co_await (CallHandler(handler, request, stream) ||
+                  WaitUntilGone(this->session, /*eof_means_gone=*/true));
     if (outcome.index() != 0) {
       co_return false;
     }
     const std::exception_ptr thrown = std::get<0>(outcome).thrown;
     if (thrown && !stream.is_started()) {
-      const AdminResponse response = ThrownResponse(thrown, request);
+      const AdminResponse response = ExceptionResponse(thrown, request);
       co_return co_await this->Send(response, framing);
     }
     if (thrown) {
-      // The head is out: only an end without its last chunk can tell the
-      // client that the answer is not whole.
-      ThrownResponse(thrown, request);  // Logs it.
+      // The head has been sent. Closing the connection without the last chunk
+      // is the only way to show the client that the response is incomplete.
+      ExceptionResponse(thrown, request);  // Called to log the exception.
       this->session.Stop();
       co_return false;
     }
@@ -385,9 +390,9 @@
     co_return framing.keep_alive;
   }
 
-  /// Ends the sending side and reads on for a moment. Closing with bytes of
-  /// the client unread would make the kernel reset the connection, and the
-  /// client could lose the answer that tells it what was wrong.
+  /// Shuts down the sending side, then reads and discards input for a limited
+  /// time. If the socket were closed with unread input, the kernel would reset
+  /// the connection and the client could lose the error response.
   awaitable<void> CloseGently() {
     error_code error;
     this->session.stream.socket().shutdown(tcp::socket::shutdown_send, error);
--- a/packages/node/src/admin_connection.h
+++ b/packages/node/src/admin_connection.h
@@ -9,8 +9,8 @@
 #include "admin_router.h"
 #include "admin_server.h"
 
-/// One client of the admin port, from its first request to its last. The only
-/// place of the admin side that knows Beast.
+/// One client connection of the admin port. No other part of the admin server
+/// depends on Boost.Beast.
 
 namespace basilsill {
 
@@ -22,12 +22,12 @@
                   const AdminRouter& router);
   ~AdminConnection();
 
-  /// Answers requests until the client goes, misbehaves or is stopped. Throws
-  /// system_error when the connection fails. The connection must live until
-  /// then.
+  /// Serves requests until the connection ends. Throws system_error if it
+  /// fails, times out or is closed by the client between requests. This object
+  /// must outlive the returned coroutine.
   boost::asio::awaitable<void> Serve();
 
-  /// Closes the connection; a handler that runs is cancelled.
+  /// Closes the connection and cancels a running handler.
   void Stop();
 
  private:
--- a/packages/node/src/admin_responses.cc
+++ b/packages/node/src/admin_responses.cc
@@ -25,7 +25,7 @@
   uint16_t status;
 };
 
-/// Kinds that are not the request's own fault, or not a plain 400.
+/// Statuses of the failure kinds; kinds not listed here give 400.
 constexpr std::array kStatuses = {
     KindStatus{FailureKind::kInUse, 409},
     KindStatus{FailureKind::kConflict, 409},
@@ -38,13 +38,13 @@
     KindStatus{FailureKind::kNetwork, 502},
 };
 
-AdminResponse InternalError(const AdminRequest& request,
-                            std::string_view fault) {
+AdminResponse InternalErrorResponse(const AdminRequest& request,
+                                    std::string_view fault) {
   Log(Event::kAdminRequestFailed,
       {{"method", request.method}, {"path", request.path}, {"fault", fault}});
   return FailureResponse(kInternalError,
                          {FailureKind::kInternal, request.path,
-                          "the node met a fault of its own; see its log"});
+                          "internal error; see the log of the node"});
 }
 
 }  // namespace
@@ -65,7 +65,7 @@
   return response;
 }
 
-uint16_t StatusOf(FailureKind kind) {
+uint16_t HttpStatusOf(FailureKind kind) {
   const auto row =
       std::find_if(kStatuses.begin(), kStatuses.end(),
                    [kind](const KindStatus& s) { return s.kind == kind; });
@@ -76,30 +76,32 @@
   return FailureResponse(status, std::span(&failure, 1));
 }
 
-AdminResponse NoRouteResponse(const NoRoute& none,
+AdminResponse NoRouteResponse(const NoRoute& no_route,
                               const AdminRequest& request) {
-  if (none.allowed_methods.empty()) {
-    return FailureResponse(kNotFound, {FailureKind::kNotFound, request.path,
-                                       "the admin port has no such path"});
+  if (no_route.allowed_methods.empty()) {
+    return FailureResponse(kNotFound,
+                           {FailureKind::kNotFound, request.path,
+                            "the admin port has no route for this path"});
   }
   AdminResponse response = FailureResponse(
       kMethodNotAllowed,
       {FailureKind::kNotFound, request.path,
-       "found " + request.method + ", allowed is " + none.allowed_methods});
-  response.head.headers.push_back({"Allow", none.allowed_methods});
+       "method " + request.method +
+           " is not allowed; allowed methods: " + no_route.allowed_methods});
+  response.head.headers.push_back({"Allow", no_route.allowed_methods});
   return response;
 }
 
-AdminResponse ThrownResponse(const std::exception_ptr& thrown,
-                             const AdminRequest& request) {
+AdminResponse ExceptionResponse(const std::exception_ptr& thrown,
+                                const AdminRequest& request) {
   try {
     std::rethrow_exception(thrown);
   } catch (const FailureError& error) {
-    return FailureResponse(StatusOf(error.failure().kind), error.failure());
+    return FailureResponse(HttpStatusOf(error.failure().kind), error.failure());
   } catch (const std::exception& error) {
-    return InternalError(request, error.what());
+    return InternalErrorResponse(request, error.what());
   } catch (...) {
-    return InternalError(request, "unknown");
+    return InternalErrorResponse(request, "unknown");
   }
 }
 
--- a/packages/node/src/admin_responses.h
+++ b/packages/node/src/admin_responses.h
@@ -8,7 +8,7 @@
 #include "admin_router.h"
 #include "basilsill/base/error.h"
 
-/// Answers of the admin port that tell of a failure.
+/// Error responses of the admin port.
 
 namespace basilsill {
 
@@ -17,17 +17,18 @@
                               std::span<const Failure> failures);
 AdminResponse FailureResponse(uint16_t status, const Failure& failure);
 
-/// @returns the HTTP status that a failure of this kind has.
-uint16_t StatusOf(FailureKind kind);
+/// @returns the HTTP status for a failure of `kind`.
+uint16_t HttpStatusOf(FailureKind kind);
 
-/// @returns 404, or 405 with `Allow`.
-AdminResponse NoRouteResponse(const NoRoute& none, const AdminRequest& request);
+/// @returns 404 if the path has no route, else 405 with an `Allow` header.
+AdminResponse NoRouteResponse(const NoRoute& no_route,
+                              const AdminRequest& request);
 
-/// @returns the answer for what a handler threw: a FailureError as
-/// FailureResponse with its StatusOf, anything else as 500, which is also
-/// logged.
-AdminResponse ThrownResponse(const std::exception_ptr& thrown,
-                             const AdminRequest& request);
+/// @returns the response to a request whose handler threw: for a FailureError a
+/// FailureResponse with the status from HttpStatusOf, for any other exception
+/// one with status 500. The latter exceptions are also logged.
+AdminResponse ExceptionResponse(const std::exception_ptr& thrown,
+                                const AdminRequest& request);
 
 }  // namespace basilsill
 
--- a/packages/node/src/admin_router.cc
+++ b/packages/node/src/admin_router.cc
@@ -48,9 +48,9 @@
 std::variant<const AdminRoute*, NoRoute> AdminRouter::Find(
     std::string_view method,
     std::string_view path) const {
-  const std::string_view wanted = method == "HEAD" ? "GET" : method;
+  const std::string_view effective_method = method == "HEAD" ? "GET" : method;
   const AdminRoute* best = nullptr;
-  NoRoute none;
+  NoRoute no_route;
   size_t longest = 0;
   for (const AdminRoute& route : this->routes) {
     if (!Matches(route, path) || route.path.size() < longest) {
@@ -59,21 +59,21 @@
     if (route.path.size() > longest) {
       longest = route.path.size();
       best = nullptr;
-      none = {};
+      no_route = {};
     }
-    if (route.method == wanted) {
+    if (route.method == effective_method) {
       best = &route;
     }
-    none.allowed_methods +=
-        (none.allowed_methods.empty() ? "" : ", ") + route.method;
+    no_route.allowed_methods +=
+        (no_route.allowed_methods.empty() ? "" : ", ") + route.method;
   }
   if (best != nullptr) {
     return best;
   }
-  return none;
+  return no_route;
 }
 
-AdminHandler Immediately(
+AdminHandler SynchronousHandler(
     std::function<AdminResponse(const AdminRequest&)> make) {
   return
       [make = std::move(make)](const AdminRequest& request)
--- a/packages/node/src/admin_router.h
+++ b/packages/node/src/admin_router.h
@@ -13,30 +13,32 @@
 
 #include "basilsill/base/http_header.h"
 
-/// What the admin port answers: a table of routes with their handlers. Knows
-/// nothing of HTTP on the wire (admin_server.h does). Control thread.
+/// Routing table of the admin port: maps methods and paths to handlers. HTTP
+/// parsing and framing are in admin_connection.h. Runs on the control thread.
 
 namespace basilsill {
 
 struct AdminRequest {
   std::string method;
-  std::string path;   ///< Target up to the `?`, as sent.
-  std::string query;  ///< Target after the `?`.
+  std::string path;   ///< Request target before the `?`, undecoded.
+  std::string query;  ///< Request target after the `?`, undecoded.
   std::vector<HttpHeader> headers;
   std::string body;
 
-  /// @returns the first header `name`, whatever its case; empty if absent.
+  /// @returns the value of the first header `name`, compared without regard to
+  /// case; empty if absent.
   std::string_view Header(std::string_view name) const;
 
-  /// @returns the query parameter `name`, undecoded; empty if absent.
+  /// @returns the value of the first query parameter `name`, undecoded; empty
+  /// if absent.
   std::string_view Parameter(std::string_view name) const;
 };
 
-/// The head of an answer.
+/// Status and headers of a response.
 struct AdminHead {
   uint16_t status = 200;
   std::string content_type = "application/json";
-  std::vector<HttpHeader> headers;  ///< Further ones, such as ETag.
+  std::vector<HttpHeader> headers;  ///< Additional headers, such as ETag.
 };
 
 struct AdminResponse {
@@ -44,46 +46,49 @@
   std::string body;
 };
 
-/// An answer that is sent while it is made, for instance a watch.
+/// A response that is sent piece by piece, such as a watch.
 class AdminStream {
  public:
   virtual ~AdminStream() = default;
 
-  /// Sets the head, which goes out with the first Write.
-  /// @remarks Not awaited on purpose: gcc 12 destroys a braced temporary in an
-  /// awaited call twice.
+  /// Sets the head, which is sent with the first Write.
+  /// @remarks Deliberately not a coroutine: gcc 12 destroys a braced temporary
+  /// in an awaited call twice.
   virtual void SetHead(AdminHead head) = 0;
 
-  /// Sends `chunk` and waits until the client's connection took it. An empty
-  /// one only sends the head, if that is still due.
+  /// Sends `chunk` and waits until it is written to the client's connection. An
+  /// empty chunk only sends the head, unless it has been sent already.
   virtual boost::asio::awaitable<void> Write(std::string_view chunk) = 0;
 };
 
-/// Makes a whole answer.
+/// Returns the complete response.
 using AdminHandler =
     std::function<boost::asio::awaitable<AdminResponse>(const AdminRequest&)>;
 
-/// Makes an answer piece by piece. Returning ends it well; throwing breaks
-/// the connection, so that the client sees that the answer is not whole.
+/// Writes the response piece by piece. A normal return completes the response.
+/// An exception after the first Write aborts the connection, so that the client
+/// can detect the incomplete response.
 using AdminStreamHandler =
     std::function<boost::asio::awaitable<void>(const AdminRequest&,
                                                AdminStream&)>;
 
-/// Both kinds of handler run on the control thread. When the client goes away
-/// or the server stops, whatever a handler awaits is cancelled: Asio throws
-/// system_error (operation_aborted) out of it, which a handler lets pass.
-/// A FailureError becomes a FailureResponse with its StatusOf; any other
-/// exception 500.
+/// Both kinds of handler run on the control thread. When the client disconnects
+/// or the server stops, the operation that a handler awaits is cancelled: Asio
+/// throws system_error (operation_aborted) from it, which a handler must
+/// propagate. Other exceptions become responses as ExceptionResponse defines
+/// them.
 struct AdminRoute {
   std::string method;
-  /// One that ends in `/` matches everything below, others only themselves.
+  /// A path that ends in `/` matches every path with this prefix; any other
+  /// matches exactly.
   std::string path;
   std::variant<AdminHandler, AdminStreamHandler> handler;
 };
 
-/// Why no handler was found.
+/// Result of a lookup that found no handler.
 struct NoRoute {
-  /// Methods that the path has, for `Allow`; empty: no such path.
+  /// Methods that the path supports, as an `Allow` value; empty if no route
+  /// matches the path.
   std::string allowed_methods;
 };
 
@@ -91,7 +96,8 @@
  public:
   void Add(AdminRoute route);
 
-  /// Finds the route with the longest path that matches. HEAD finds GET.
+  /// Finds the route with the longest matching path. A HEAD request matches the
+  /// GET route.
   std::variant<const AdminRoute*, NoRoute> Find(std::string_view method,
                                                 std::string_view path) const;
 
@@ -99,8 +105,9 @@
   std::vector<AdminRoute> routes;
 };
 
-/// @returns a handler that answers at once with what `make` returns.
-AdminHandler Immediately(
+/// @returns a handler that responds with the result of `make` without
+/// suspending.
+AdminHandler SynchronousHandler(
     std::function<AdminResponse(const AdminRequest&)> make);
 
 }  // namespace basilsill
--- a/packages/node/src/admin_routes.cc
+++ b/packages/node/src/admin_routes.cc
@@ -13,13 +13,14 @@
 constexpr char kPlainText[] = "text/plain; charset=utf-8";
 constexpr char kPrometheusText[] = "text/plain; version=0.0.4; charset=utf-8";
 
-AdminResponse PhaseResponse(NodePhase phase, bool good) {
-  return {{good ? kOk : kServiceUnavailable, kPlainText, {}},
+AdminResponse PhaseResponse(NodePhase phase, bool healthy) {
+  return {{healthy ? kOk : kServiceUnavailable, kPlainText, {}},
           std::string(NameOf(phase)) + "\n"};
 }
 
-boost::asio::awaitable<AdminResponse> AnswerReadiness(const AskPhase& ask) {
-  const NodePhase phase = co_await ask();
+boost::asio::awaitable<AdminResponse> ReadinessResponse(
+    const PhaseQuery& query) {
+  const NodePhase phase = co_await query();
   co_return PhaseResponse(phase, phase == NodePhase::kReady);
 }
 
@@ -31,11 +32,12 @@
 
 void AddReadinessRoute(AdminRouter& router,
                        std::string path,
-                       AskPhase query_phase) {
-  router.Add({"GET", std::move(path),
-              AdminHandler([ask = std::move(query_phase)](const AdminRequest&) {
-                return AnswerReadiness(ask);
-              })});
+                       PhaseQuery query_phase) {
+  router.Add(
+      {"GET", std::move(path),
+       AdminHandler([query = std::move(query_phase)](const AdminRequest&) {
+         return ReadinessResponse(query);
+       })});
 }
 
 void AddNodeRoutes(AdminRouter& router, AdminSources sources) {
--- a/packages/node/src/admin_routes.h
+++ b/packages/node/src/admin_routes.h
@@ -9,43 +9,44 @@
 
 #include "admin_router.h"
 
-/// The routes that every node has: health, metrics and state.
+/// Routes of every node: health, readiness, metrics and debug state.
 
 namespace basilsill {
 
-/// Where a node stands in its life.
+/// Lifecycle phase of a node.
 enum class NodePhase : uint8_t {
-  kStarting,  ///< Has no configuration yet, or no callers' port.
+  kStarting,  ///< No configuration yet, or the port for callers is not open.
   kReady,
-  kDraining,  ///< Ends what it has; the balancer shall look away.
-  kBusy,      ///< Would be ready, but takes no further callers now.
+  kDraining,  ///< Finishes its requests; should get no new callers.
+  kBusy,      ///< Otherwise ready, but accepts no further callers.
   kCount
 };
 
-/// @returns the name of `phase` as answers carry it.
+/// @returns the name of `phase` in response bodies.
 std::string_view NameOf(NodePhase phase);
 
-/// Asks where a node stands, its traffic threads included.
-using AskPhase = std::function<boost::asio::awaitable<NodePhase>()>;
+/// Queries the phase of the node, including the state of its traffic threads.
+using PhaseQuery = std::function<boost::asio::awaitable<NodePhase>()>;
 
-/// Called on the control thread for each request.
+/// Data sources of the routes. Each is called on the control thread, once or
+/// more for each request that needs it.
 struct AdminSources {
-  std::function<NodePhase()> phase;  ///< As far as the control thread knows.
-  AskPhase query_phase;
+  std::function<NodePhase()> phase;  ///< As known to the control thread.
+  PhaseQuery query_phase;
   std::function<std::string()> metrics;      ///< Prometheus text.
-  std::function<std::string()> debug_state;  ///< JSON text.
+  std::function<std::string()> debug_state;  ///< JSON text; optional.
 };
 
-/// Adds
-/// - `GET /healthz`: 200, or 503 from the start of a shutdown on;
-/// - `GET /readyz`: 200 only while callers are served;
-/// - `GET /metrics` and `GET /debug/state`.
-/// Adds GET `path`, which answers 200 while the phase is kReady and 503
+/// Adds GET `path`, which returns 200 while the phase is kReady and 503
 /// otherwise.
 void AddReadinessRoute(AdminRouter& router,
                        std::string path,
-                       AskPhase query_phase);
+                       PhaseQuery query_phase);
 
+/// Adds
+/// - `GET /healthz`: 200, or 503 while the phase is kDraining;
+/// - `GET /readyz`: see AddReadinessRoute;
+/// - `GET /metrics`, and `GET /debug/state` if `sources` has it.
 void AddNodeRoutes(AdminRouter& router, AdminSources sources);
 
 }  // namespace basilsill
--- a/packages/node/src/admin_server.cc
+++ b/packages/node/src/admin_server.cc
@@ -22,9 +22,9 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-/// After an accept that failed, for want of descriptors for instance, until
-/// the next: accepting again at once would only spin.
-constexpr std::chrono::milliseconds kAcceptPause{100};
+/// Delay after a failed accept, for example when the process has no free file
+/// descriptors. An immediate retry would busy-loop.
+constexpr std::chrono::milliseconds kAcceptRetryDelay{100};
 
 struct ConnectionTag;
 using ConnectionHandle = Handle<ConnectionTag>;
@@ -69,12 +69,13 @@
   }
 
   awaitable<void> Pause() {
-    asio::steady_timer timer(this->context, kAcceptPause);
+    asio::steady_timer timer(this->context, kAcceptRetryDelay);
     error_code ignored;
     co_await timer.async_wait(asio::redirect_error(use_awaitable, ignored));
   }
 
-  /// Serves the connection; one too many is closed without an answer.
+  /// Serves the connection. Closes it without a response if max_connections are
+  /// open already.
   void Admit(tcp::socket socket) {
     auto connection = std::make_shared<AdminConnection>(
         std::move(socket), this->options, this->router);
@@ -85,7 +86,8 @@
     asio::co_spawn(this->context, connection->Serve(),
                    [self = this->shared_from_this(), connection,
                     handle](const std::exception_ptr&) {
-                     // An error of the connection: nobody is left to tell.
+                     // An error of the connection is ignored: the client is
+                     // gone.
                      self->connections.Destroy(handle);
                    });
   }
--- a/packages/node/src/admin_server.h
+++ b/packages/node/src/admin_server.h
@@ -12,29 +12,30 @@
 #include "basilsill/base/error.h"
 #include "basilsill/decision/view.h"
 
-/// The HTTP server of the admin port. Runs on the control thread.
+/// HTTP server of the admin port. Runs on the control thread.
 
 namespace basilsill {
 
 struct AdminOptions {
-  Endpoint listen;  ///< Port 0 lets the kernel choose.
+  Endpoint listen;  ///< With port 0 the kernel chooses a port.
   size_t max_header_bytes = 16 * 1024;
   size_t max_body_bytes = 1024 * 1024;
   size_t max_connections = 256;
-  /// For one request to arrive whole.
+  /// To receive one complete request.
   std::chrono::milliseconds read_timeout{10000};
-  /// For a client to take one piece of an answer.
+  /// To write one response, or one piece of a streamed response.
   std::chrono::milliseconds write_timeout{30000};
-  /// For the next request on an open connection.
+  /// To receive the first bytes of the next request on an open connection.
   std::chrono::milliseconds idle_timeout{60000};
 };
 
-/// Answers requests from a router's table. What is no HTTP, or above a limit,
-/// gets 400, 413 or 431, and its connection is closed.
+/// Dispatches requests to the routes of an AdminRouter. Responds to malformed
+/// HTTP with 400, to a body above the limit with 413 and to a header above the
+/// limit with 431, then closes the connection.
 class AdminServer {
  public:
-  /// @param router Has all its routes already and outlives the server.
-  /// @returns kNetwork if it can't listen.
+  /// @param router Must have all its routes and outlive the server.
+  /// @returns kNetwork if the server can't listen on the endpoint.
   static Result<std::unique_ptr<AdminServer>> Create(
       boost::asio::io_context& context,
       const AdminOptions& options,
@@ -43,7 +44,7 @@
 
   uint16_t port() const;
 
-  /// Closes the port and all connections; streams are cancelled.
+  /// Closes the port and all connections, and cancels running handlers.
   void Stop();
 
  private:
--- a/packages/node/src/debug_state.h
+++ b/packages/node/src/debug_state.h
@@ -8,8 +8,10 @@
 
 namespace basilsill {
 
-/// @returns the tables of the control side as JSON, for people who look into
-/// a node: VMs, data centres, teams, services with their shards and owners.
+/// @returns the state of the control thread as JSON, for debugging: the status
+/// document, services with their shards and owners, and the numbers of teams
+/// and rules. Services and numbers are absent until there is a routing
+/// view.
 std::string MakeDebugState(const Control& control, const LogSource& log);
 
 }  // namespace basilsill
--- a/packages/node/src/json_duplicates.cc
+++ b/packages/node/src/json_duplicates.cc
@@ -15,11 +15,12 @@
 constexpr json::parse_options kOptions = {.allow_comments = true,
                                           .allow_trailing_commas = true};
 
-/// Handler of Boost.JSON's event parser that keeps the path of each object
-/// and array that is open.
+/// Handler for Boost.JSON's event parser. Tracks the path and the keys of each
+/// object and array that is open.
 class DuplicateFinder {
  public:
-  // Limits that the parser asks for; the tree parser has applied its own.
+  // Limits required by the parser. None apply here, since the text has already
+  // passed the limits of the DOM parser.
   static constexpr size_t max_object_size = -1;  // NOLINT: the library's name.
   static constexpr size_t max_array_size = -1;   // NOLINT: the library's name.
   static constexpr size_t max_key_size = -1;     // NOLINT: the library's name.
@@ -38,7 +39,7 @@
   }
   bool on_key(string_view part, size_t, error_code&) {
     this->key += part;
-    this->TakeKey(std::exchange(this->key, {}));
+    this->AddKey(std::exchange(this->key, {}));
     return true;
   }
   bool on_string_part(string_view, size_t, error_code&) { return true; }
@@ -59,8 +60,8 @@
   struct Level {
     std::string path;
     std::set<std::string> keys;
-    std::string entry;  ///< Key now read; empty in an array.
-    size_t items = 0;   ///< Whole values read.
+    std::string current_key;  ///< Last key read; empty in an array.
+    size_t items = 0;         ///< Number of values read.
   };
 
   bool Open() {
@@ -80,9 +81,9 @@
     return true;
   }
 
-  void TakeKey(std::string name) {
+  void AddKey(std::string name) {
     Level& level = this->levels.back();
-    level.entry = name;
+    level.current_key = name;
     if (!level.keys.insert(std::move(name)).second) {
       this->duplicates.push_back(this->EntryPath());
     }
@@ -94,7 +95,8 @@
     }
     const Level& level = this->levels.back();
     return level.path + "/" +
-           (level.keys.empty() ? std::to_string(level.items) : level.entry);
+           (level.keys.empty() ? std::to_string(level.items)
+                               : level.current_key);
   }
 
   std::vector<Level> levels;
--- a/packages/node/src/json_duplicates.h
+++ b/packages/node/src/json_duplicates.h
@@ -5,13 +5,13 @@
 #include <string_view>
 #include <vector>
 
-/// Boost.JSON keeps the last of two equal keys without a word. An operator who
-/// edits one of them and sees no effect would search for long.
+/// Detects duplicate keys in JSON text. Boost.JSON silently keeps the last one,
+/// so that an operator's edit of an earlier one would have no effect.
 
 namespace basilsill {
 
-/// @param text Valid JSON, comments and trailing commas allowed.
-/// @returns the JSON pointer of each key that its object has had before.
+/// @param text Valid JSON; comments and trailing commas are allowed.
+/// @returns the JSON pointer of each repeated occurrence of a key in an object.
 std::vector<std::string> FindDuplicateKeys(std::string_view text);
 
 }  // namespace basilsill
--- a/packages/node/src/log.cc
+++ b/packages/node/src/log.cc
@@ -29,20 +29,20 @@
 using LogTime = log4cplus::helpers::Time;
 
 constexpr size_t kMaxPendingLines = 1024;
-/// How often left-out lines are told; also bounds the delay of a line whose
-/// wake-up was lost.
+/// Interval of the events-suppressed reports. Also bounds the delay of a line
+/// whose wake-up was missed.
 constexpr std::chrono::seconds kReportInterval{1};
-/// Time in UTC, severity, then the text made by FormatLogLine.
+/// Time in UTC, severity, then the text from FormatLogLine.
 constexpr char kLinePattern[] = "%d{%Y-%m-%dT%H:%M:%S.%q}Z %p %m%n";
 
-/// By Severity.
+/// log4cplus levels, indexed by Severity.
 constexpr std::array kLevels = {
     log4cplus::DEBUG_LOG_LEVEL, log4cplus::INFO_LOG_LEVEL,
     log4cplus::WARN_LOG_LEVEL, log4cplus::ERROR_LOG_LEVEL};
 static_assert(kLevels.size() == static_cast<size_t>(Severity::kCount));
 
-/// A finished line on its way to the writing thread. Trivial, as the
-/// lock-free queue demands.
+/// A formatted line in the queue to the writing thread. Trivial, as the
+/// lock-free queue requires.
 struct PendingLine {
   LogTime::duration::rep time;
   Severity severity;
@@ -86,10 +86,11 @@
 
 }  // namespace
 
-/// A line goes through a bounded lock-free queue to a thread that only
-/// writes. The AsyncAppender of log4cplus would let the logging thread wait
-/// when its queue is full: a log file or pipe that stalls would then stall
-/// the traffic. Here such a line is left out and counted.
+/// Lines pass through a bounded lock-free queue to a dedicated writing thread.
+/// The AsyncAppender of log4cplus is not used because it blocks the logging
+/// thread when its queue is full, so that a stalled log file or pipe would
+/// stall the traffic. Here a line that finds the queue full is dropped and
+/// counted.
 struct Logging::State {
   explicit State(const LogOptions& options)
       : level(options.level), appender(MakeAppender(options)) {
@@ -117,7 +118,7 @@
     }
   }
 
-  /// Body of the writing thread.
+  /// Main loop of the writing thread.
   void Run() {
     TimePoint next_report = MonotonicClock::now() + kReportInterval;
     while (!this->stopping.load()) {
@@ -166,14 +167,15 @@
 
   const Severity level;
   log4cplus::SharedAppenderPtr appender;
-  std::vector<std::unique_ptr<LogLimiter>> limiters;  ///< As in AllEvents().
+  /// One for each event, in the order of AllEvents().
+  std::vector<std::unique_ptr<LogLimiter>> limiters;
   PendingLines pending;
   std::atomic<bool> woken{false};
   std::atomic<bool> stopping{false};
   std::binary_semaphore wake{0};
   std::thread writer;
 
-  /// The running log, where `Log` finds it.
+  /// The running instance, which `Log` uses; null if there is none.
   static inline std::atomic<State*> running{nullptr};
 };
 
@@ -181,17 +183,17 @@
   if (!options.file.empty() &&
       !std::ofstream(options.file, std::ios_base::app)) {
     return Failure{FailureKind::kUnreadable, options.file,
-                   "the log file can't be opened for writing"};
+                   "cannot open the log file for writing"};
   }
-  // Never undone: an Initializer that ends leaves the library unusable for a
-  // second log of the process, as tests have. What is pending is written and
-  // the appender closed by ~Logging.
+  // Never deinitialized: destroying a log4cplus Initializer leaves the library
+  // unusable for a second Logging in the process, which tests need. ~Logging
+  // writes the pending lines and closes the appender.
   log4cplus::initialize();
   auto state = std::make_unique<State>(options);
-  State* nothing = nullptr;
-  if (!State::running.compare_exchange_strong(nothing, state.get())) {
+  State* expected = nullptr;
+  if (!State::running.compare_exchange_strong(expected, state.get())) {
     return Failure{FailureKind::kInUse, options.file,
-                   "the process has a running log already"};
+                   "logging is already running in this process"};
   }
   state->writer = std::thread(&State::Run, state.get());
   return std::unique_ptr<Logging>(new Logging(std::move(state)));
--- a/packages/node/src/log_format.cc
+++ b/packages/node/src/log_format.cc
@@ -9,18 +9,19 @@
 namespace basilsill {
 namespace {
 
-constexpr std::string_view kCutMark = "...";
+constexpr std::string_view kTruncationMark = "...";
 constexpr std::string_view kHexDigits = "0123456789abcdef";
 
-/// Appends to a fixed buffer; keeps room for the mark of a cut line.
+/// Appends to a buffer of fixed size. Reserves space for the truncation mark
+/// and ignores all text after the first that does not fit.
 class LineWriter {
  public:
   explicit LineWriter(std::span<char> line) : line(line) {}
 
   void Put(std::string_view text) {
-    const size_t room = this->line.size() - kCutMark.size() - this->used;
-    this->cut = this->cut || text.size() > room;
-    if (this->cut) {
+    const size_t room = this->line.size() - kTruncationMark.size() - this->used;
+    this->truncated = this->truncated || text.size() > room;
+    if (this->truncated) {
       return;
     }
     std::copy(text.begin(), text.end(), this->line.begin() + this->used);
@@ -35,10 +36,10 @@
   }
 
   std::string_view Finish() {
-    if (this->cut) {
-      std::copy(kCutMark.begin(), kCutMark.end(),
+    if (this->truncated) {
+      std::copy(kTruncationMark.begin(), kTruncationMark.end(),
                 this->line.begin() + this->used);
-      this->used += kCutMark.size();
+      this->used += kTruncationMark.size();
     }
     return {this->line.data(), this->used};
   }
@@ -46,7 +47,7 @@
  private:
   std::span<char> line;
   size_t used = 0;
-  bool cut = false;
+  bool truncated = false;
 };
 
 bool IsPlain(char c) {
--- a/packages/node/src/log_format.h
+++ b/packages/node/src/log_format.h
@@ -9,18 +9,19 @@
 
 #include "basilsill/node/log.h"
 
-/// The text of a log line.
+/// Formats the text of a log line.
 
 namespace basilsill {
 
-/// Longest text of one line; what is beyond is cut and marked by `...`.
+/// Maximum size of one line. A longer line is truncated and ends in `...`.
 inline constexpr size_t kMaxLogLineBytes = 960;
 
-/// Writes `number name field=value ...` into `line`. A value that holds
-/// anything but plain characters is quoted, with quotes, backslashes and
-/// control characters escaped, so that a caller's bytes can't forge a line
+/// Writes `number name field=value ...` into `line` without allocating. A text
+/// value that is empty or contains a space, `=`, a quote, a backslash or a byte
+/// outside of printable ASCII is quoted. Within the quotes, quotes, backslashes
+/// and such bytes are escaped, so that input from a caller can't forge a line
 /// or a field.
-/// @returns the part of `line` that was written; never allocates.
+/// @returns the part of `line` that was written.
 std::string_view FormatLogLine(Event event,
                                std::span<const LogField> fields,
                                std::span<char, kMaxLogLineBytes> line);
--- a/packages/node/src/log_limiter.h
+++ b/packages/node/src/log_limiter.h
@@ -6,27 +6,29 @@
 
 #include "basilsill/base/time.h"
 
-/// The rate limit of one log event. Pure: time is an argument.
+/// Rate limiter for one log event. Does not read a clock: the caller passes the
+/// time.
 
 namespace basilsill {
 
-/// Lets through a burst of one second's worth of lines, then an even rate
-/// (the generic cell rate algorithm), and counts what it held back.
+/// Implements the generic cell rate algorithm (GCRA): admits a burst of one
+/// second's worth of lines, then an even rate, and counts the suppressed lines.
 /// @remarks Lock-free; any thread may call any member.
 class LogLimiter {
  public:
-  /// @param lines_per_second Rate, and size of the burst; at least 1.
+  /// @param lines_per_second Rate and burst size; 0 is treated as 1.
   explicit LogLimiter(uint32_t lines_per_second);
 
-  /// @returns true if a line may be written at `now`.
+  /// @returns true if a line may be written at `now`; otherwise counts the line
+  /// as suppressed.
   bool Admit(TimePoint now);
 
-  /// Counts a line that was left out for another cause.
+  /// Counts a line that the caller dropped for another reason.
   void CountSuppressed() {
     this->suppressed.fetch_add(1, std::memory_order_relaxed);
   }
 
-  /// @returns the lines held back since the last call.
+  /// @returns the number of lines suppressed since the last call.
   uint64_t TakeSuppressed() {
     return this->suppressed.exchange(0, std::memory_order_relaxed);
   }
@@ -34,8 +36,9 @@
  private:
   Duration interval;
   Duration tolerance;
-  /// When the lines admitted so far would have ended at an even rate.
-  std::atomic<Duration::rep> spent_until;
+  /// Theoretical arrival time of the next line: the time at which the admitted
+  /// lines would end if they were evenly spaced.
+  std::atomic<Duration::rep> theoretical_arrival;
   std::atomic<uint64_t> suppressed{0};
 };
 
--- a/packages/node/src/metrics.h
+++ b/packages/node/src/metrics.h
@@ -13,22 +13,23 @@
 #include "basilsill/node/state_source.h"
 #include "metrics_latency.h"
 
-/// What a node counts. Each worker has one `WorkerMetrics` that it alone
-/// writes, the control thread one `ControlMetrics`; the admin server reads
-/// them at any time. docs/METRICS.md lists what is made from them
-/// (metrics_table.h).
+/// Counters and gauges of a node. Each worker has one `WorkerMetrics`, which
+/// only that worker writes; the control thread has one `ControlMetrics`. The
+/// admin server may read them at any time. metrics_table.h defines the exported
+/// metrics, which docs/METRICS.md lists.
 
 namespace basilsill {
 
-/// A number with one writing thread and any number of readers.
+/// A counter with one writing thread and any number of reading threads.
 class Counter {
  public:
-  /// Only from the writing thread: a load and a store, no locked instruction.
+  /// For the writing thread only: a separate load and store instead of a locked
+  /// instruction.
   void Add(uint64_t amount = 1) {
     const uint64_t old = this->number.load(std::memory_order_relaxed);
     this->number.store(old + amount, std::memory_order_relaxed);
   }
-  /// Takes over a total that something else counts.
+  /// Sets the value to a total that is counted elsewhere.
   void Set(uint64_t total) {
     this->number.store(total, std::memory_order_relaxed);
   }
@@ -40,7 +41,8 @@
   std::atomic<uint64_t> number{0};
 };
 
-/// A level that rises and falls; one writing thread.
+/// A value that can rise and fall; one writing thread, any number of reading
+/// threads.
 class Gauge {
  public:
   void Set(int64_t value) {
@@ -53,23 +55,23 @@
   std::atomic<int64_t> level{0};
 };
 
-/// How a caller's request ended.
+/// How a request of a caller ended.
 enum class Outcome : uint8_t {
-  kAnswered,    ///< The upstream's whole answer went to the caller.
-  kRefused,     ///< The system answered itself.
-  kBroken,      ///< The answer broke half-way and looks broken.
-  kCallerGone,  ///< The caller went away first.
+  kAnswered,    ///< The caller got the complete response of the upstream.
+  kRefused,     ///< basilsill itself responded with a refusal.
+  kBroken,      ///< Response aborted midway, visibly to the caller.
+  kCallerGone,  ///< The caller disconnected before the end.
   kCount
 };
 
-/// @returns the name of `outcome` as metrics carry it.
+/// @returns the name of `outcome` in metric labels.
 std::string_view NameOf(Outcome outcome);
 
-/// One T for each value of a closed enum.
+/// One T for each value of an enum that ends in kCount.
 template <typename T, typename Enum>
 using PerEnum = std::array<T, static_cast<size_t>(Enum::kCount)>;
 
-/// What the links of one thread count.
+/// Counters of the links of one thread.
 struct LinkCounters {
   Gauge open;
   Counter messages_sent;
@@ -85,14 +87,14 @@
   PerEnum<Counter, Retry> retries;
   Counter caller_connections_opened;
   Gauge caller_connections;
-  Counter accept_failures;  ///< At the ports of callers and of links.
+  Counter accept_failures;  ///< On the ports for callers and links.
   Gauge requests_in_flight;
-  Gauge peer_requests;
+  Gauge peer_requests;  ///< Received from peers and not ended.
   Counter caller_bytes_received;
   Counter caller_bytes_sent;
 
   // Dispatching and upstreams.
-  Gauge queued;
+  Gauge queued;  ///< Requests that wait for a slot of an upstream.
   Gauge attempts_in_flight;
   Counter attempts;
   Counter upstream_connections_opened;
@@ -100,26 +102,26 @@
   Counter upstream_bytes_sent;
   Counter upstream_bytes_received;
 
-  // Cost of measuring.
-  Counter probes;
-  Counter probe_bytes;
-  /// Sent to upstreams that name a rate limit.
+  // Cost of measuring upstreams.
+  Counter probes;       ///< Requests sent to upstreams only to measure them.
+  Counter probe_bytes;  ///< Sent and received.
+  /// Upstreams with an advertised rate limit, and the traffic to them.
   Gauge rate_limited_upstreams;
   Counter rate_limited_requests;
   Counter rate_limited_probes;
-  Counter held_for_rate;
+  Counter held_for_rate;  ///< Requests that waited because of rate limits.
 
   // Links to other workers.
   LinkCounters links;
 
   // Time spent.
-  LatencyRecorder request_latency;   ///< Head in to last byte of answer out.
-  LatencyRecorder queue_latency;     ///< Wait for a slot at the dispatcher.
-  LatencyRecorder upstream_latency;  ///< Attempt out to its answer's end.
-  Counter cpu_nanoseconds;           ///< Of the worker's thread.
+  LatencyRecorder request_latency;   ///< Head received to response sent.
+  LatencyRecorder queue_latency;     ///< Wait for an upstream's slot.
+  LatencyRecorder upstream_latency;  ///< Attempt start to response end.
+  Counter cpu_nanoseconds;           ///< CPU time of the worker's thread.
 
-  /// Hands over latencies and takes the thread's processor time. Call once a
-  /// tick on the worker's thread.
+  /// Hands the recorded latencies to the reader and updates the CPU time. To be
+  /// called once per tick on the worker's thread.
   void Tick(TimePoint now);
 
   void CountOutcome(TrafficClass traffic_class, Outcome outcome) {
@@ -135,19 +137,19 @@
   }
 };
 
-/// What the control thread counts.
+/// Counters and gauges of the control thread.
 struct ControlMetrics {
   Gauge view_version;
   Gauge applied_offset;
   PerEnum<Gauge, VmState> vms;
   Gauge drained_data_centres;
-  /// How old the configuration may be, in ms; 0 where that is not followed.
+  /// Upper bound on the age of the configuration, in ms; 0 if the age is not
+  /// tracked.
   Gauge configuration_age;
-  Gauge lends_quotas;
+  Gauge lends_quotas;  ///< 1 while this VM lends its data centre's quotas.
   LinkCounters links;
   Counter accept_failures;
-  Gauge
-      callers_not_taken;  ///< 1 while it would be no use to send callers here.
+  Gauge callers_not_taken;  ///< 1 while the node accepts no further callers.
   Counter log_reads;
   Counter log_appends;
   Counter platform_failures;
@@ -155,10 +157,10 @@
   PerEnum<Counter, FailureKind> records_ignored;
 };
 
-/// @returns the name of `state` as metrics carry it.
+/// @returns the name of `state` in metric labels.
 std::string_view NameOf(VmState state);
 
-/// @returns the processor time that the calling thread has used.
+/// @returns the CPU time used by the calling thread.
 Duration ThreadCpuTime();
 
 }  // namespace basilsill
--- a/packages/node/src/metrics_latency.cc
+++ b/packages/node/src/metrics_latency.cc
@@ -17,7 +17,7 @@
 
 namespace acc = boost::accumulators;
 
-/// In nanoseconds: an integer, so that a sum has no rounding.
+/// In nanoseconds, as an integer, so that sums are exact.
 using DurationAccumulator = acc::accumulator_set<
     Duration::rep,
     acc::stats<acc::tag::count, acc::tag::sum, acc::tag::max>>;
@@ -33,16 +33,16 @@
   return Duration(static_cast<Duration::rep>(std::exp(logarithm)));
 }
 
-/// `tag::density` spans its bins over the first samples it sees. Two
-/// sentinels make all windows have the same bins, so that they can be merged.
+/// `tag::density` derives the range of its bins from the first samples. Two
+/// sentinel samples give all windows the same bins, so that they can be merged.
 constexpr size_t kSentinels = 2;
 
 struct ClassWindow {
   ClassWindow()
       : bins(acc::tag::density::cache_size = kSentinels,
              acc::tag::density::num_bins = LatencyDigest::kInnerBins) {
-    this->bins(LogOf(LatencyDigest::kLeast));
-    this->bins(LogOf(LatencyDigest::kMost));
+    this->bins(LogOf(LatencyDigest::kLowerBound));
+    this->bins(LogOf(LatencyDigest::kUpperBound));
   }
 
   void Record(Duration duration) {
@@ -63,8 +63,8 @@
       digest.bins[position++] =
           static_cast<uint64_t>(std::llround(share * samples));
     }
-    // The sentinels: the least stands in the first inner bin, the most beyond
-    // the last one.
+    // Remove the sentinels: the lower bound is in the first inner bin, the
+    // upper bound in the bin above the last inner one.
     --digest.bins[1];
     --digest.bins[LatencyDigest::kBins - 1];
     return digest;
@@ -92,8 +92,8 @@
 
 Duration LatencyDigest::Quantile(double ratio) const {
   const double target = ratio * static_cast<double>(this->count);
-  const double first = LogOf(kLeast);
-  const double width = (LogOf(kMost) - first) / kInnerBins;
+  const double first = LogOf(kLowerBound);
+  const double width = (LogOf(kUpperBound) - first) / kInnerBins;
   double below = 0;
   for (size_t i = 0; i + 1 < kBins; ++i) {
     const auto inside = static_cast<double>(this->bins[i]);
@@ -104,13 +104,13 @@
     }
     below += inside;
   }
-  return this->longest;  // In the last bin, which has no upper bound.
+  return this->longest;  // The last bin has no upper bound.
 }
 
 struct LatencyRecorder::State {
   std::array<Window, 2> windows;
-  Window* filling = &this->windows[0];  ///< Worker's.
-  TimePoint due{};                      ///< Worker's.
+  Window* filling = &this->windows[0];  ///< Worker's thread only.
+  TimePoint due{};                      ///< Worker's thread only.
   std::atomic<Window*> handed_over{nullptr};
   std::atomic<Window*> returned{&this->windows[1]};
 };
--- a/packages/node/src/metrics_latency.h
+++ b/packages/node/src/metrics_latency.h
@@ -10,28 +10,29 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/view.h"
 
-/// Latency as one worker measures it, in Boost.Accumulators that go to the
-/// admin server without locks. docs/design/latency-quantiles.md has the ways
-/// weighed.
+/// Latency measurement of one worker, in Boost.Accumulators that are passed to
+/// the admin server without locks. docs/design/latency-quantiles.md compares
+/// the alternatives.
 
 namespace basilsill {
 
-/// Latencies of some span, of one worker or of several merged. Bins are of
-/// equal width on a logarithmic scale, so that a quantile is off by less than
-/// one bin (5%) however the latencies move meanwhile.
+/// Histogram of the latencies in a time span, of one worker or merged over
+/// several. The bins have equal width on a logarithmic scale, so that the error
+/// of a quantile is less than one bin (5%) even if the latencies shift during
+/// the span.
 class LatencyDigest {
  public:
-  /// Durations outside of these bounds fall into the outer bins.
-  static constexpr Duration kLeast = std::chrono::microseconds(10);
-  static constexpr Duration kMost = std::chrono::seconds(1000);
-  /// Steps of 5% from the least to the most.
+  /// Durations outside of these bounds are counted in the two outer bins.
+  static constexpr Duration kLowerBound = std::chrono::microseconds(10);
+  static constexpr Duration kUpperBound = std::chrono::seconds(1000);
+  /// Bins of 5% each from the lower to the upper bound.
   static constexpr size_t kInnerBins = 378;
   static constexpr size_t kBins = kInnerBins + 2;
 
   void Merge(const LatencyDigest& other);
 
-  /// @param ratio 0 to 1: 0.99 asks for what 99 of 100 stay below.
-  /// @returns zero if there are no samples.
+  /// @param ratio 0 to 1: 0.99 gives the 99th percentile.
+  /// @returns the quantile, zero if there are no samples.
   Duration Quantile(double ratio) const;
 
   std::array<uint64_t, kBins> bins{};
@@ -43,13 +44,12 @@
 using LatencyDigests =
     std::array<LatencyDigest, static_cast<size_t>(TrafficClass::kCount)>;
 
-/// Two windows of accumulators change hands between the worker, which fills
-/// one, and the reader, which empties the other. A worker that finds its spare
-/// not yet back goes on with the window it has: nobody waits and nothing is
-/// lost.
+/// Double buffer of accumulator windows: the worker fills one while the reader
+/// empties the other. If the reader has not yet returned its window, the worker
+/// continues to fill its own. Neither thread blocks and no sample is lost.
 class LatencyRecorder {
  public:
-  /// How often a window is handed over.
+  /// Minimum interval between two handovers.
   static constexpr Duration kWindow = std::chrono::seconds(1);
 
   LatencyRecorder();
@@ -57,13 +57,15 @@
   LatencyRecorder(const LatencyRecorder&) = delete;
   LatencyRecorder& operator=(const LatencyRecorder&) = delete;
 
-  /// Takes in one duration. Worker's thread; does not allocate.
+  /// Records one duration without allocating. Worker's thread only.
   void Record(TrafficClass traffic_class, Duration duration);
 
-  /// Hands over the window if it is due. Worker's thread, once a tick.
+  /// Hands the window to the reader if it is due, not empty, and the other one
+  /// was returned. Worker's thread only, once per tick.
   void HandOver(TimePoint now);
 
-  /// Adds what was handed over since the last call. Reader's thread.
+  /// Adds the window that was handed over since the last call, if any, to
+  /// `digests` and returns it to the worker. Reader's thread only.
   void Collect(LatencyDigests& digests);
 
  private:
--- a/packages/node/src/metrics_page.cc
+++ b/packages/node/src/metrics_page.cc
@@ -9,12 +9,12 @@
 namespace {
 
 void CollectInto(LatencyHistory& history, LatencyRecorder& recorder) {
-  LatencyDigests fresh;
-  recorder.Collect(fresh);
-  for (size_t i = 0; i < fresh.size(); ++i) {
-    history.current[i].Merge(fresh[i]);
-    history.counts[i] += fresh[i].count;
-    history.sums[i] += fresh[i].sum;
+  LatencyDigests collected;
+  recorder.Collect(collected);
+  for (size_t i = 0; i < collected.size(); ++i) {
+    history.current[i].Merge(collected[i]);
+    history.counts[i] += collected[i].count;
+    history.sums[i] += collected[i].sum;
   }
 }
 
--- a/packages/node/src/metrics_page.h
+++ b/packages/node/src/metrics_page.h
@@ -9,11 +9,12 @@
 #include "basilsill/base/time.h"
 #include "metrics.h"
 
-/// The Prometheus text made from the counters of a node. Control thread.
+/// Renders the metrics of a node in the Prometheus text format. Runs on the
+/// control thread.
 
 namespace basilsill {
 
-/// What `basilsill_info` tells of the node.
+/// Labels of the metric `basilsill_info`.
 struct NodeIdentity {
   std::string version;
   std::string tenant;
@@ -21,7 +22,8 @@
   std::string data_centre;
 };
 
-/// Latencies kept for the page: the last span, and totals since the start.
+/// Latencies for the page: digests of the previous and the current span, and
+/// totals since the start of the process.
 struct LatencyHistory {
   LatencyDigests previous;
   LatencyDigests current;
@@ -31,25 +33,26 @@
 
 class MetricsPage {
  public:
-  /// Quantiles cover the last one to two of these.
+  /// Quantiles cover the current and the previous span of this length.
   static constexpr Duration kQuantileSpan = std::chrono::seconds(15);
 
   explicit MetricsPage(NodeIdentity identity);
 
-  /// Adds a worker, in the order of their numbers, which label its gauges.
+  /// Adds a worker. Workers must be added in the order of their numbers, which
+  /// become the `worker` labels of their gauges.
   void AddWorker(std::shared_ptr<WorkerMetrics> worker);
 
-  /// Takes over the latencies that workers handed over. Call once a control
-  /// tick.
+  /// Collects the latencies that the workers have handed over. To be called
+  /// once per control tick.
   void Tick(TimePoint now);
 
-  /// @returns the whole page. Also reads the processor time of the calling
-  /// thread, which it reports as the control thread's.
+  /// @returns the page with all metrics. Reports the CPU time of the calling
+  /// thread as that of the control thread.
   std::string Render() const;
 
   ControlMetrics control;
 
-  // For the renderers of the table (metrics_table.h).
+  // For the render functions in metrics_table.cc.
   const NodeIdentity& node() const { return this->identity; }
   const std::vector<std::shared_ptr<WorkerMetrics>>& worker_list() const {
     return this->workers;
--- a/packages/node/src/metrics_table.cc
+++ b/packages/node/src/metrics_table.cc
@@ -25,7 +25,7 @@
   return NameOf(reason);
 }
 
-/// Calls `visit(value)` for each value of a closed enum.
+/// Calls `visit(value)` for each value of an enum that ends in kCount.
 template <typename Enum, typename Visit>
 void ForEachValue(Visit&& visit) {
   for (size_t i = 0; i < static_cast<size_t>(Enum::kCount); ++i) {
@@ -33,7 +33,7 @@
   }
 }
 
-/// @returns a counter summed over the workers.
+/// @returns the sum over all workers of the counter that `pick` selects.
 template <typename Pick>
 uint64_t SumOver(const MetricsPage& page, Pick&& pick) {
   uint64_t sum = 0;
@@ -44,9 +44,10 @@
   return sum;
 }
 
-// Renderers; one for each kind of row in the table below.
+// Render functions for the rows of the table below.
 
-/// Follows a path of members, as in At<&Worker::links, &LinkCounters::open>.
+/// Follows a path of member pointers, such as
+/// At<&Worker::links, &LinkCounters::open>.
 template <auto First, auto... Rest, typename Object>
 const auto& At(const Object& object) {
   if constexpr (sizeof...(Rest) == 0) {
@@ -126,10 +127,10 @@
                       Seconds(recent.Quantile(quantile.ratio)));
       }
     }
-    writer.SampleOf("_sum", {{"class", class_name}},
-                    Seconds(history.sums[position]));
-    writer.SampleOf("_count", {{"class", class_name}},
-                    static_cast<double>(history.counts[position]));
+    writer.SampleWithSuffix("_sum", {{"class", class_name}},
+                            Seconds(history.sums[position]));
+    writer.SampleWithSuffix("_count", {{"class", class_name}},
+                            static_cast<double>(history.counts[position]));
   });
 }
 
@@ -175,9 +176,9 @@
 
 void WorkerCpu(const MetricsPage& page, MetricsWriter& writer) {
   for (size_t i = 0; i < page.worker_list().size(); ++i) {
-    const auto used = static_cast<Duration::rep>(
+    const auto cpu_time = static_cast<Duration::rep>(
         page.worker_list()[i]->cpu_nanoseconds.value());
-    writer.Sample({{"worker", std::to_string(i)}}, Seconds(Duration(used)));
+    writer.Sample({{"worker", std::to_string(i)}}, Seconds(Duration(cpu_time)));
   }
 }
 
@@ -312,7 +313,7 @@
                "Bytes received from upstreams.",
                WorkerCounter<&Worker::upstream_bytes_received>),
 
-    // Cost of measuring.
+    // Cost of measuring upstreams.
     CounterRow("basilsill_probes_total",
                "",
                "Requests sent to upstreams only to measure them.",
--- a/packages/node/src/metrics_table.h
+++ b/packages/node/src/metrics_table.h
@@ -4,25 +4,25 @@
 #include <span>
 #include <string_view>
 
-/// The table of all metrics. The page that the admin port serves and
-/// docs/METRICS.md are made from it.
+/// Table of all metrics. Defines the page that the admin port serves and the
+/// contents of docs/METRICS.md.
 
 namespace basilsill {
 
 class MetricsPage;
 class MetricsWriter;
 
-/// What docs/METRICS.md tells of one metric.
+/// Description of one metric, as listed in docs/METRICS.md.
 struct MetricInfo {
   std::string_view name;
   std::string_view type;    ///< counter, gauge or summary.
-  std::string_view labels;  ///< Separated by ", "; empty for none.
+  std::string_view labels;  ///< Label names, separated by ", "; may be empty.
   std::string_view help;
 };
 
 struct MetricRow {
   MetricInfo info;
-  /// Writes the samples.
+  /// Writes the samples of the metric.
   void (*render)(const MetricsPage& page, MetricsWriter& writer);
 };
 
--- a/packages/node/src/metrics_writer.cc
+++ b/packages/node/src/metrics_writer.cc
@@ -38,27 +38,27 @@
 }
 
 void MetricsWriter::Sample(MetricLabels labels, uint64_t value) {
-  this->Name({}, labels);
-  this->Value(value);
+  this->AppendName({}, labels);
+  this->AppendValue(value);
 }
 
 void MetricsWriter::Sample(MetricLabels labels, int64_t value) {
-  this->Name({}, labels);
-  this->Value(value);
+  this->AppendName({}, labels);
+  this->AppendValue(value);
 }
 
 void MetricsWriter::Sample(MetricLabels labels, double value) {
-  this->SampleOf({}, labels, value);
+  this->SampleWithSuffix({}, labels, value);
 }
 
-void MetricsWriter::SampleOf(std::string_view suffix,
-                             MetricLabels labels,
-                             double value) {
-  this->Name(suffix, labels);
-  this->Value(value);
+void MetricsWriter::SampleWithSuffix(std::string_view suffix,
+                                     MetricLabels labels,
+                                     double value) {
+  this->AppendName(suffix, labels);
+  this->AppendValue(value);
 }
 
-void MetricsWriter::Name(std::string_view suffix, MetricLabels labels) {
+void MetricsWriter::AppendName(std::string_view suffix, MetricLabels labels) {
   this->page += this->name;
   this->page += suffix;
   char separator = '{';
@@ -76,7 +76,7 @@
 }
 
 template <typename Number>
-void MetricsWriter::Value(Number value) {
+void MetricsWriter::AppendValue(Number value) {
   std::array<char, 32> digits{};
   const auto end = std::to_chars(digits.begin(), digits.end(), value);
   this->page += ' ';
--- a/packages/node/src/metrics_writer.h
+++ b/packages/node/src/metrics_writer.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-/// The Prometheus text format.
+/// Writer for the Prometheus text format.
 
 namespace basilsill {
 
@@ -20,7 +20,7 @@
 /// Appends the samples of one metric to a page.
 class MetricsWriter {
  public:
-  /// Writes the HELP and TYPE lines.
+  /// Writes the HELP and TYPE lines. `page` and `name` must outlive the writer.
   MetricsWriter(std::string& page,
                 std::string_view name,
                 std::string_view type,
@@ -30,13 +30,16 @@
   void Sample(MetricLabels labels, int64_t value);
   void Sample(MetricLabels labels, double value);
 
-  /// A sample of a summary's `_sum` or `_count`.
-  void SampleOf(std::string_view suffix, MetricLabels labels, double value);
+  /// Writes a sample whose name has `suffix` appended: `_sum` or `_count` of a
+  /// summary.
+  void SampleWithSuffix(std::string_view suffix,
+                        MetricLabels labels,
+                        double value);
 
  private:
-  void Name(std::string_view suffix, MetricLabels labels);
+  void AppendName(std::string_view suffix, MetricLabels labels);
   template <typename Number>
-  void Value(Number value);
+  void AppendValue(Number value);
 
   std::string& page;
   std::string_view name;
--- a/packages/node/src/resource_api.cc
+++ b/packages/node/src/resource_api.cc
@@ -20,26 +20,26 @@
 
 constexpr std::string_view kPrefix = "/api/v1/";
 constexpr milliseconds kChangeTimeout{8000};
-constexpr milliseconds kWatchIdle{15000};
-constexpr milliseconds kInForcePoll{200};
+constexpr milliseconds kWatchIdleInterval{15000};
+constexpr milliseconds kInForcePollInterval{200};
 constexpr size_t kEventsPerPage = 256;
 constexpr size_t kMaxChangeIdBytes = 64;
 
-std::string Line(const json::object& object) {
+std::string JsonLine(const json::object& object) {
   return json::serialize(object) + "\n";
 }
 
 AdminResponse JsonResponse(uint16_t status, const json::object& object) {
   AdminResponse response;
   response.head.status = status;
-  response.body = Line(object);
+  response.body = JsonLine(object);
   return response;
 }
 
-// What a path below the prefix names.
+// A parsed path below the prefix.
 struct ResourcePath {
   ResourceKind kind = ResourceKind::kCount;
-  std::string name;  ///< Empty for the whole kind.
+  std::string name;  ///< Empty: all resources of the kind.
 };
 
 ResourcePath ParsePath(const AdminRequest& request) {
@@ -48,7 +48,8 @@
   const size_t slash = rest.find('/');
   const std::optional<ResourceKind> kind = KindOfPath(rest.substr(0, slash));
   if (!kind) {
-    throw FailureError({FailureKind::kNotFound, request.path, "no such kind"});
+    throw FailureError(
+        {FailureKind::kNotFound, request.path, "unknown resource kind"});
   }
   ResourcePath path{*kind, ""};
   if (slash != std::string_view::npos) {
@@ -61,20 +62,22 @@
   const ResourcePath path = ParsePath(request);
   if (!IsResourceName(path.name)) {
     throw FailureError(
-        {FailureKind::kNotFound, request.path, "not the name of a resource"});
+        {FailureKind::kNotFound, request.path, "not a valid resource name"});
   }
   return {path.kind, path.name};
 }
 
-uint64_t NeedNumber(std::string_view text, const std::string& where) {
+uint64_t RequireNumber(std::string_view text, const std::string& path) {
   const std::optional<uint64_t> number = ParseNumber<uint64_t>(text);
   if (!number) {
-    throw FailureError({FailureKind::kSyntax, where, "not a whole number"});
+    throw FailureError(
+        {FailureKind::kSyntax, path, "expected a non-negative integer"});
   }
   return *number;
 }
 
-// @returns the version in `If-Match: "17"`, absent without that header.
+// @returns the version in a header such as `If-Match: "17"`; none if the header
+// is absent.
 std::optional<uint64_t> ParseIfMatch(const AdminRequest& request) {
   std::string_view tag = request.Header("If-Match");
   if (tag.empty()) {
@@ -83,20 +86,21 @@
   if (tag.size() >= 2 && tag.front() == '"' && tag.back() == '"') {
     tag = tag.substr(1, tag.size() - 2);
   }
-  return NeedNumber(tag, "If-Match");
+  return RequireNumber(tag, "If-Match");
 }
 
-// @returns the client's name for this change, empty without one.
+// @returns the client's id for this change, from the Change-Id header; empty if
+// absent.
 std::string ParseChangeId(const AdminRequest& request) {
   const std::string_view id = request.Header("Change-Id");
   if (id.size() > kMaxChangeIdBytes) {
-    throw FailureError(
-        {FailureKind::kOutOfRange, "Change-Id", "longer than an id may be"});
+    throw FailureError({FailureKind::kOutOfRange, "Change-Id",
+                        "the change id exceeds 64 bytes"});
   }
   return std::string(id);
 }
 
-AdminResponse OutcomeFailure(const ChangeOutcome& outcome) {
+AdminResponse ChangeFailureResponse(const ChangeOutcome& outcome) {
   std::vector<Failure> failures = outcome.failures;
   const auto add = [&failures](FailureKind kind, std::string detail) {
     if (failures.empty()) {
@@ -105,26 +109,27 @@
   };
   switch (outcome.status) {
     case ChangeStatus::kConflict:
-      add(FailureKind::kConflict, "another change came first");
-      return FailureResponse(StatusOf(FailureKind::kConflict), failures);
+      add(FailureKind::kConflict, "a conflicting change was accepted first");
+      return FailureResponse(HttpStatusOf(FailureKind::kConflict), failures);
     case ChangeStatus::kRejected:
-      add(FailureKind::kOutOfRange, "not valid");
-      return FailureResponse(StatusOf(failures.front().kind), failures);
+      add(FailureKind::kOutOfRange, "the change is not valid");
+      return FailureResponse(HttpStatusOf(failures.front().kind), failures);
     case ChangeStatus::kVoid:
       add(FailureKind::kPlatformUnavailable, "the change had no effect");
       break;
     default:
-      // First of all that is known, since the status follows it: the change is
-      // still open, whatever else stands against it.
-      failures.insert(failures.begin(),
-                      {FailureKind::kUnresolved, "",
-                       "the change may or may not take effect"});
+      // Goes first, since the HTTP status follows the first failure: the
+      // outcome of the change is open, whatever other failures there are.
+      failures.insert(
+          failures.begin(),
+          {FailureKind::kUnresolved, "",
+           "the outcome is unknown; the change may still take effect"});
       break;
   }
-  return FailureResponse(StatusOf(failures.front().kind), failures);
+  return FailureResponse(HttpStatusOf(failures.front().kind), failures);
 }
 
-// Handlers of the API. Lives as long as the router that calls it.
+// Handlers of the API. The routes share ownership of it.
 class ResourceApi {
  public:
   ResourceApi(Control& control, LogSource& log) : control(control), log(log) {}
@@ -135,7 +140,7 @@
       co_return this->List(path.kind);
     }
     const ResourceId id = ParseId(request);
-    co_return this->Show(200, id);
+    co_return this->ResourceResponse(200, id);
   }
 
   awaitable<AdminResponse> Put(const AdminRequest& request) const {
@@ -147,7 +152,7 @@
         ReadResource(change.resource, request.body);
     if (!resource) {
       const std::vector<Failure>& faults = resource.error();
-      co_return FailureResponse(StatusOf(faults.front().kind), faults);
+      co_return FailureResponse(HttpStatusOf(faults.front().kind), faults);
     }
     change.body = std::move(resource).value();
     const ResourceId id = change.resource;
@@ -156,9 +161,9 @@
     const ChangeOutcome outcome =
         co_await this->Propose(std::move(change), change_id);
     if (outcome.status != ChangeStatus::kAccepted) {
-      co_return OutcomeFailure(outcome);
+      co_return ChangeFailureResponse(outcome);
     }
-    co_return this->Show(status, id);
+    co_return this->ResourceResponse(status, id);
   }
 
   awaitable<AdminResponse> Delete(const AdminRequest& request) const {
@@ -168,17 +173,18 @@
     change.base = ParseIfMatch(request);
     if (!change.base) {
       throw FailureError({FailureKind::kSyntax, "If-Match",
-                          "a deletion names the version it deletes"});
+                          "a deletion requires the version to be deleted"});
     }
     const std::string change_id = ParseChangeId(request);
     if (change_id.empty()) {
-      // With an id, a deletion that was accepted already is told so.
+      // Skipped for a deletion with an id, since it may be a retry of one that
+      // was already accepted and must then report success instead of 404.
       this->Find(change.resource);
     }
     const ChangeOutcome outcome =
         co_await this->Propose(std::move(change), change_id);
     if (outcome.status != ChangeStatus::kAccepted) {
-      co_return OutcomeFailure(outcome);
+      co_return ChangeFailureResponse(outcome);
     }
     co_return JsonResponse(200, {{"version", *outcome.version}});
   }
@@ -189,33 +195,34 @@
 
   awaitable<void> Watch(const AdminRequest& request,
                         AdminStream& stream) const {
-    uint64_t next = NeedNumber(request.Parameter("from"), "from");
+    uint64_t next = RequireNumber(request.Parameter("from"), "from");
     AdminHead head;
     head.content_type = "application/x-ndjson";
     stream.SetHead(std::move(head));
-    std::vector<WatchEvent> waiting;
-    TimePoint spoken = MonotonicClock::now();
+    std::vector<WatchEvent> pending;
+    TimePoint last_write = MonotonicClock::now();
     for (;;) {
       const WatchPage page = this->log.feed().Read(next, kEventsPerPage);
       next = page.next;
       std::string lines = this->EventLines(page);
-      waiting.insert(waiting.end(), page.events.begin(), page.events.end());
-      lines += this->InForceLines(waiting, next);
+      pending.insert(pending.end(), page.events.begin(), page.events.end());
+      lines += this->InForceLines(pending, next);
       const TimePoint now = MonotonicClock::now();
       if (page.must_restart) {
-        lines += Line({{"event", "restart"}, {"next", next}});
-      } else if (lines.empty() && now - spoken >= kWatchIdle) {
-        lines = Line({{"event", "idle"}, {"next", next}});
+        lines += JsonLine({{"event", "restart"}, {"next", next}});
+      } else if (lines.empty() && now - last_write >= kWatchIdleInterval) {
+        lines = JsonLine({{"event", "idle"}, {"next", next}});
       }
       if (!lines.empty()) {
         co_await stream.Write(lines);
-        spoken = now;
+        last_write = now;
       }
       if (page.must_restart) {
         co_return;
       }
-      const milliseconds patience = waiting.empty() ? kWatchIdle : kInForcePoll;
-      co_await this->log.configuration_host().AwaitBeyond(next, patience);
+      const milliseconds timeout =
+          pending.empty() ? kWatchIdleInterval : kInForcePollInterval;
+      co_await this->log.configuration_host().AwaitBeyond(next, timeout);
     }
   }
 
@@ -227,7 +234,7 @@
     }
   }
 
-  // @param id The client's name for the change; empty: it gave none.
+  // @param id The client's id for the change; empty: one is generated.
   awaitable<ChangeOutcome> Propose(Change change, const std::string& id) const {
     ConfigurationHost& host = this->log.configuration_host();
     const bool may_be_resend = !id.empty();
@@ -246,7 +253,7 @@
     return *entry;
   }
 
-  AdminResponse Show(uint16_t status, const ResourceId& id) const {
+  AdminResponse ResourceResponse(uint16_t status, const ResourceId& id) const {
     const ResourceEntry& entry = this->Find(id);
     AdminResponse response =
         JsonResponse(status, MakeResourceDocument(this->control, id, entry));
@@ -277,7 +284,8 @@
         object["name"] = event.id.name;
         object["version"] = event.offset;
       } else {
-        // A later change may have replaced it; the event shows what it was.
+        // A later change may have replaced the resource; the event shows the
+        // version and body of its own change.
         ResourceEntry shown = entry != nullptr ? *entry : ResourceEntry{};
         shown.version = event.offset;
         shown.resource = event.body;
@@ -285,24 +293,25 @@
         object["resource"] =
             MakeResourceDocument(this->control, event.id, shown);
       }
-      lines += Line(object);
+      lines += JsonLine(object);
     }
     return lines;
   }
 
-  // Takes out of `waiting` what is in force everywhere by now.
-  std::string InForceLines(std::vector<WatchEvent>& waiting,
+  // Removes from `pending` the events that are in force on every VM.
+  // @returns an in-force line for each of them.
+  std::string InForceLines(std::vector<WatchEvent>& pending,
                            uint64_t next) const {
     std::string lines;
-    std::erase_if(waiting, [&](const WatchEvent& event) {
+    std::erase_if(pending, [&](const WatchEvent& event) {
       const bool everywhere =
           this->control.in_force().StatusOf(event.offset).everywhere;
       if (everywhere) {
-        lines += Line({{"event", "in-force"},
-                       {"kind", PathNameOf(event.id.kind)},
-                       {"name", event.id.name},
-                       {"version", event.offset},
-                       {"next", next}});
+        lines += JsonLine({{"event", "in-force"},
+                           {"kind", PathNameOf(event.id.kind)},
+                           {"name", event.id.name},
+                           {"version", event.offset},
+                           {"next", next}});
       }
       return everywhere;
     });
--- a/packages/node/src/resource_api.h
+++ b/packages/node/src/resource_api.h
@@ -5,12 +5,12 @@
 #include "control.h"
 #include "log_source.h"
 
-/// The resource API of a node, docs/RESOURCE-API.md. Control thread.
+/// Resource API of a node; see docs/RESOURCE-API.md. Runs on the control
+/// thread.
 
 namespace basilsill {
 
-/// Adds all routes below /api/v1/.
-/// @param control Must outlive the router, as must `log`.
+/// Adds all routes below /api/v1/. `control` and `log` must outlive the router.
 void AddResourceRoutes(AdminRouter& router, Control& control, LogSource& log);
 
 }  // namespace basilsill
--- a/packages/node/src/resource_document.h
+++ b/packages/node/src/resource_document.h
@@ -10,22 +10,22 @@
 #include "control.h"
 #include "log_source.h"
 
-/// Resources as the API's answers show them.
+/// JSON documents in the responses of the resource API.
 
 namespace basilsill {
 
-/// @returns the name of `kind` in paths, such as "upstream-sets".
+/// @returns the name of `kind` in API paths, such as "upstream-sets".
 std::string PathNameOf(ResourceKind kind);
 
-/// @returns the kind that a path calls `name`.
+/// @returns the kind whose PathNameOf is `name`; none if there is no such kind.
 std::optional<ResourceKind> KindOfPath(std::string_view name);
 
-/// @returns the resource with its version, body and status.
+/// @returns the resource with its kind, name, version, body and status.
 boost::json::object MakeResourceDocument(const Control& control,
                                          const ResourceId& id,
                                          const ResourceEntry& entry);
 
-/// @returns what `GET /api/v1/status` answers.
+/// @returns the response body of `GET /api/v1/status`.
 boost::json::object MakeStatusDocument(const Control& control,
                                        const LogSource& log);
 
--- a/packages/node/test/admin_fixture.h
+++ b/packages/node/test/admin_fixture.h
@@ -16,12 +16,12 @@
 
 #include "admin_server.h"
 
-/// An admin server on a thread of its own, and a client that sends bytes as
-/// they are.
+/// An admin server on its own thread, and a client that sends raw bytes.
 
 namespace basilsill {
 
-/// Blocks until each step is done; a test that hangs ends by its time limit.
+/// Client with blocking calls. If one hangs, the time limit of the test ends
+/// it.
 class RawClient {
  public:
   explicit RawClient(uint16_t port) : socket(this->context) {
@@ -29,7 +29,7 @@
   }
 
   void Send(std::string_view bytes) {
-    // A server that has rejected the start may close before it reads the end.
+    // The server may reject the input and close before it has read all of it.
     boost::system::error_code ignored;
     boost::asio::write(this->socket, boost::asio::buffer(bytes), ignored);
   }
@@ -42,7 +42,7 @@
     return std::move(this->received);
   }
 
-  /// @returns the bytes up to and with `mark`.
+  /// @returns the bytes up to and including `mark`.
   std::string ReadUntil(std::string_view mark) {
     const size_t size = boost::asio::read_until(
         this->socket, boost::asio::dynamic_buffer(this->received), mark);
@@ -62,7 +62,7 @@
   std::string received;
 };
 
-/// Runs while it lives.
+/// Runs an admin server on its own thread until destruction.
 class RunningAdmin {
  public:
   explicit RunningAdmin(AdminOptions options, const AdminRouter& router) {
@@ -77,21 +77,22 @@
     this->thread.join();
   }
 
-  /// Stops the server; its thread ends once all handlers have.
+  /// Stops the server; its thread ends once all handlers have ended.
   void Stop() {
     boost::asio::post(this->context, [this] { this->server->Stop(); });
   }
 
   uint16_t port() const { return this->number; }
 
-  /// @returns all that the server sends for `bytes` until it closes.
+  /// Sends `bytes` on a new connection.
+  /// @returns all bytes that the server sends until it closes the connection.
   std::string Exchange(std::string_view bytes) const {
     RawClient client(this->number);
     client.Send(bytes);
     return client.ReadToEnd();
   }
 
-  /// @returns the answer to one request of an ordinary client.
+  /// @returns the response to a well-formed request on a new connection.
   std::string Request(const std::string& method,
                       const std::string& target,
                       const std::string& body = "") const {
--- a/packages/node/test/admin_server_test.cc
+++ b/packages/node/test/admin_server_test.cc
@@ -1,4 +1,4 @@
-// Tests of the admin port, over sockets within the process.
+// Tests of the admin server over loopback sockets.
 
 #include "admin_server.h"
 
@@ -28,17 +28,17 @@
 using basilsill::AdminStream;
 using basilsill::FailureError;
 using basilsill::FailureKind;
-using basilsill::Immediately;
 using basilsill::NodePhase;
 using basilsill::RawClient;
 using basilsill::RunningAdmin;
+using basilsill::SynchronousHandler;
 using boost::asio::awaitable;
 
 constexpr uint32_t kSeed = 20250310;
 constexpr int kInputs = 300;
 
-bool HasStatus(const std::string& answer, int status) {
-  return answer.starts_with("HTTP/1.1 " + std::to_string(status) + " ");
+bool HasStatus(const std::string& response, int status) {
+  return response.starts_with("HTTP/1.1 " + std::to_string(status) + " ");
 }
 
 AdminResponse Echo(const AdminRequest& request) {
@@ -63,17 +63,17 @@
   }
 }
 
-awaitable<void> BreakHalfWay(const AdminRequest&, AdminStream& stream) {
+awaitable<void> ThrowAfterFirstChunk(const AdminRequest&, AdminStream& stream) {
   co_await stream.Write("half");
   throw std::runtime_error("broken");
 }
 
-/// Waits for what never comes, and tells when it is cancelled.
-struct Waiting {
+/// Handlers that wait forever and report when they are cancelled.
+struct WaitingHandlers {
   std::promise<void> entered;
   std::promise<void> cancelled;
 
-  awaitable<void> Forever() {
+  awaitable<void> WaitForever() {
     this->entered.set_value();
     boost::asio::steady_timer timer(
         co_await boost::asio::this_coro::executor,
@@ -87,13 +87,13 @@
   }
 
   awaitable<AdminResponse> Whole(const AdminRequest&) {
-    co_await this->Forever();
+    co_await this->WaitForever();
     co_return AdminResponse{};
   }
 
   awaitable<void> Stream(const AdminRequest&, AdminStream& stream) {
     co_await stream.Write("first\n");
-    co_await this->Forever();
+    co_await this->WaitForever();
   }
 };
 
@@ -101,25 +101,25 @@
 
 TEST_GROUP(AdminServer) {
   AdminRouter router;
-  Waiting waiting;
+  WaitingHandlers waiting_handlers;
   std::atomic<NodePhase> phase{NodePhase::kStarting};
   AdminOptions options;
   std::unique_ptr<RunningAdmin> admin;
 
   void setup() override {
-    this->router.Add({"GET", "/echo", Immediately(Echo)});
-    this->router.Add({"POST", "/echo", Immediately(Echo)});
-    this->router.Add({"GET", "/below/", Immediately(Echo)});
-    this->router.Add({"GET", "/not-found", Immediately(ThrowNotFound)});
-    this->router.Add({"GET", "/fault", Immediately(ThrowOther)});
+    this->router.Add({"GET", "/echo", SynchronousHandler(Echo)});
+    this->router.Add({"POST", "/echo", SynchronousHandler(Echo)});
+    this->router.Add({"GET", "/below/", SynchronousHandler(Echo)});
+    this->router.Add({"GET", "/not-found", SynchronousHandler(ThrowNotFound)});
+    this->router.Add({"GET", "/fault", SynchronousHandler(ThrowOther)});
     this->router.Add({"GET", "/count", CountToThree});
-    this->router.Add({"GET", "/break", BreakHalfWay});
+    this->router.Add({"GET", "/break", ThrowAfterFirstChunk});
     this->router.Add({"GET", "/wait", [this](const AdminRequest& request) {
-                        return this->waiting.Whole(request);
+                        return this->waiting_handlers.Whole(request);
                       }});
     this->router.Add({"GET", "/watch",
                       [this](const AdminRequest& request, AdminStream& stream) {
-                        return this->waiting.Stream(request, stream);
+                        return this->waiting_handlers.Stream(request, stream);
                       }});
     AddNodeRoutes(this->router, {[this] { return this->phase.load(); },
                                  [this]() -> boost::asio::awaitable<NodePhase> {
@@ -136,32 +136,32 @@
   }
 };
 
-TEST(AdminServer, Request_Handler_SeesAllOfIt) {
+TEST(AdminServer, Request_WithQueryHeaderAndBody_ReachesTheHandler) {
   RawClient client(this->admin->port());
   client.Send(
       "POST /echo?a=b&from=17 HTTP/1.1\r\nHost: a\r\nX-Team: north\r\n"
       "Connection: close\r\nContent-Length: 4\r\n\r\nbody");
-  const std::string answer = client.ReadToEnd();
-  CHECK(HasStatus(answer, 200));
-  CHECK(answer.ends_with("\r\n\r\nPOST /echo 17 north body"));
+  const std::string response = client.ReadToEnd();
+  CHECK(HasStatus(response, 200));
+  CHECK(response.ends_with("\r\n\r\nPOST /echo 17 north body"));
 }
 
-TEST(AdminServer, Request_SeveralOnOneConnection_AreAnsweredInOrder) {
-  const std::string answers = this->admin->Exchange(
+TEST(AdminServer, Request_PipelinedOnOneConnection_AreServedInOrder) {
+  const std::string responses = this->admin->Exchange(
       "GET /echo?from=1 HTTP/1.1\r\nHost: a\r\n\r\n"
       "GET /count HTTP/1.1\r\nHost: a\r\n\r\n"
       "HEAD /echo HTTP/1.1\r\nHost: a\r\n\r\n"
       "GET /below/x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-  const size_t first = answers.find("GET /echo 1");
-  const size_t second = answers.find("4\r\none\n\r\n4\r\ntwo\n\r\n");
-  const size_t last = answers.find("GET /below/x");
+  const size_t first = responses.find("GET /echo 1");
+  const size_t second = responses.find("4\r\none\n\r\n4\r\ntwo\n\r\n");
+  const size_t last = responses.find("GET /below/x");
   CHECK(first < second);
   CHECK(second < last);
   CHECK(last != std::string::npos);
-  CHECK(answers.find("HEAD /echo") == std::string::npos);
+  CHECK(responses.find("HEAD /echo") == std::string::npos);
 }
 
-TEST(AdminServer, Request_ExpectContinue_IsToldToGoOn) {
+TEST(AdminServer, Request_ExpectContinue_Gets100Continue) {
   RawClient client(this->admin->port());
   client.Send(
       "POST /echo HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
@@ -171,75 +171,76 @@
   CHECK(client.ReadToEnd().ends_with("ab"));
 }
 
-TEST(AdminServer, Request_UnknownPathOrMethod_IsTold) {
+TEST(AdminServer, Request_UnknownPathOrMethod_Gets404Or405) {
   CHECK(HasStatus(this->admin->Request("GET", "/echo/x"), 404));
   CHECK(HasStatus(this->admin->Request("GET", "/belowx"), 404));
-  const std::string answer = this->admin->Request("DELETE", "/echo");
-  CHECK(HasStatus(answer, 405));
-  STRCMP_CONTAINS("\r\nAllow: GET, POST\r\n", answer.c_str());
+  const std::string response = this->admin->Request("DELETE", "/echo");
+  CHECK(HasStatus(response, 405));
+  STRCMP_CONTAINS("\r\nAllow: GET, POST\r\n", response.c_str());
   CHECK(HasStatus(this->admin->Request("HEAD", "/count"), 405));
 }
 
-TEST(AdminServer, Handler_ThrowsFailure_BecomesItsStatus) {
-  const std::string answer = this->admin->Request("GET", "/not-found");
-  CHECK(HasStatus(answer, 404));
+TEST(AdminServer, Handler_ThrowsFailureError_GivesItsStatus) {
+  const std::string response = this->admin->Request("GET", "/not-found");
+  CHECK(HasStatus(response, 404));
   STRCMP_CONTAINS(
       "{\"failures\":[{\"kind\":\"not-found\",\"path\":\"/not-found\","
       "\"detail\":\"no such team\"}]}",
-      answer.c_str());
+      response.c_str());
 }
 
-TEST(AdminServer, Handler_ThrowsOther_IsA500WithoutInsides) {
-  const std::string answer = this->admin->Request("GET", "/fault");
-  CHECK(HasStatus(answer, 500));
-  CHECK(answer.find("secret") == std::string::npos);
+TEST(AdminServer, Handler_ThrowsOtherException_Gives500WithoutItsText) {
+  const std::string response = this->admin->Request("GET", "/fault");
+  CHECK(HasStatus(response, 500));
+  CHECK(response.find("secret") == std::string::npos);
 }
 
 TEST(AdminServer, Stream_Http10_EndsWithTheConnection) {
-  const std::string answer =
+  const std::string response =
       this->admin->Exchange("GET /count HTTP/1.0\r\n\r\n");
-  CHECK(answer.find("chunked") == std::string::npos);
-  CHECK(answer.ends_with("\r\n\r\none\ntwo\nthree\n"));
+  CHECK(response.find("chunked") == std::string::npos);
+  CHECK(response.ends_with("\r\n\r\none\ntwo\nthree\n"));
 }
 
-// Story: a watch breaks because the node meets a fault in the midst of it. If
-// the stream ended like a whole one, the watcher would believe that it has
-// seen everything.
-TEST(AdminServer, Stream_HandlerThrows_NeverLooksWhole) {
-  const std::string answer = this->admin->Request("GET", "/break");
-  CHECK(answer.ends_with("4\r\nhalf\r\n"));
+// Failure: a stream handler throws after part of the response was sent. If the
+// stream still ended with a last chunk, the client would take the incomplete
+// response for a complete one.
+TEST(AdminServer, Stream_HandlerThrows_HasNoLastChunk) {
+  const std::string response = this->admin->Request("GET", "/break");
+  CHECK(response.ends_with("4\r\nhalf\r\n"));
 }
 
-// Story: a watcher goes away without a word. Its handler waits for a change
-// that may not come for days, and would keep its place until then.
-TEST(AdminServer, Stream_ClientGoes_CancelsTheHandler) {
+// Failure: the client of a watch disconnects while the handler waits for a
+// change. Without cancellation the handler would hold its connection slot until
+// the next change, possibly for days.
+TEST(AdminServer, Stream_ClientDisconnects_CancelsTheHandler) {
   RawClient client(this->admin->port());
   client.Send("GET /watch HTTP/1.1\r\nHost: a\r\n\r\n");
   client.ReadUntil("first\n");
   client.Close();
-  this->waiting.cancelled.get_future().wait();
+  this->waiting_handlers.cancelled.get_future().wait();
 }
 
-TEST(AdminServer, Stop_HandlersAreWaiting_CancelsThem) {
+TEST(AdminServer, Stop_StreamHandlerWaits_CancelsIt) {
   RawClient client(this->admin->port());
   client.Send("GET /watch HTTP/1.1\r\nHost: a\r\n\r\n");
   client.ReadUntil("first\n");
   this->admin->Stop();
-  this->waiting.cancelled.get_future().wait();
+  this->waiting_handlers.cancelled.get_future().wait();
   client.ReadToEnd();
 }
 
-TEST(AdminServer, Stop_WholeAnswerIsAwaited_CancelsIt) {
+TEST(AdminServer, Stop_BufferedHandlerWaits_CancelsIt) {
   RawClient client(this->admin->port());
   client.Send("GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
-  client.EndSending();  // A simple client; it still waits for its answer.
-  this->waiting.entered.get_future().wait();
+  client.EndSending();  // Half-closed; still waits for the response.
+  this->waiting_handlers.entered.get_future().wait();
   this->admin->Stop();
-  this->waiting.cancelled.get_future().wait();
+  this->waiting_handlers.cancelled.get_future().wait();
   STRCMP_EQUAL("", client.ReadToEnd().c_str());
 }
 
-TEST(AdminServer, Health_OfEachPhase_IsTold) {
+TEST(AdminServer, Health_EachPhase_GivesItsStatus) {
   CHECK(HasStatus(this->admin->Request("GET", "/healthz"), 200));
   CHECK(HasStatus(this->admin->Request("GET", "/readyz"), 503));
   this->phase = NodePhase::kReady;
@@ -247,12 +248,12 @@
   CHECK(HasStatus(this->admin->Request("GET", "/readyz"), 200));
   this->phase = NodePhase::kDraining;
   CHECK(HasStatus(this->admin->Request("GET", "/healthz"), 503));
-  const std::string answer = this->admin->Request("GET", "/readyz");
-  CHECK(HasStatus(answer, 503));
-  CHECK(answer.ends_with("\r\n\r\ndraining\n"));
+  const std::string response = this->admin->Request("GET", "/readyz");
+  CHECK(HasStatus(response, 503));
+  CHECK(response.ends_with("\r\n\r\ndraining\n"));
 }
 
-TEST(AdminServer, Pages_OfTheNode_HaveTheirTypes) {
+TEST(AdminServer, NodeRoutes_MetricsAndState_HaveTheirContentTypes) {
   const std::string metrics = this->admin->Request("GET", "/metrics");
   STRCMP_CONTAINS("Content-Type: text/plain; version=0.0.4", metrics.c_str());
   CHECK(metrics.ends_with("\r\n\r\nmetric 1\n"));
@@ -287,13 +288,14 @@
       {"GET /echo HTTP/1.1\r\nA: " + std::string(3000, 'x') + "\r\n\r\n", 431},
   };
   for (const Case& item : cases) {
-    const std::string answer = this->admin->Exchange(item.bytes);
-    CHECK_TEXT(HasStatus(answer, item.status), (item.bytes + answer).c_str());
-    STRCMP_CONTAINS("\r\nConnection: close\r\n", answer.c_str());
+    const std::string response = this->admin->Exchange(item.bytes);
+    CHECK_TEXT(HasStatus(response, item.status),
+               (item.bytes + response).c_str());
+    STRCMP_CONTAINS("\r\nConnection: close\r\n", response.c_str());
   }
 }
 
-TEST(AdminServer, Input_RandomBytes_NeverStopTheServer) {
+TEST(AdminServer, Input_RandomlyCorrupted_ServerKeepsServing) {
   std::mt19937 random(kSeed);
   const std::string whole =
       "POST /echo?from=1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n"
@@ -306,13 +308,13 @@
     RawClient client(this->admin->port());
     client.Send(bytes);
     client.EndSending();
-    const std::string answer = client.ReadToEnd();
-    CHECK(answer.empty() || answer.starts_with("HTTP/1."));
+    const std::string response = client.ReadToEnd();
+    CHECK(response.empty() || response.starts_with("HTTP/1."));
   }
   CHECK(HasStatus(this->admin->Request("GET", "/echo"), 200));
 }
 
-TEST(AdminServer, Create_PortInUse_IsAFailure) {
+TEST(AdminServer, Create_PortInUse_Fails) {
   boost::asio::io_context context;
   AdminOptions taken;
   taken.listen = {"127.0.0.1", this->admin->port()};
@@ -321,7 +323,7 @@
   CHECK(server.error().kind == FailureKind::kNetwork);
 }
 
-TEST(AdminServer, Connections_OneTooMany_IsClosed) {
+TEST(AdminServer, Connections_AboveTheLimit_AreClosed) {
   AdminOptions few;
   few.max_connections = 1;
   RunningAdmin small(few, this->router);
@@ -331,9 +333,10 @@
   STRCMP_EQUAL("", small.Request("GET", "/echo").c_str());
 }
 
-// Story: a scraper opens a connection and hangs. Each such one would hold a
-// place until no other could ask for metrics or health.
-TEST(AdminServer, Connections_IdleOne_IsClosedInTime) {
+// Failure: a scraper opens a connection and sends nothing. Without a timeout
+// such connections would use up max_connections, and requests for metrics and
+// health would be rejected.
+TEST(AdminServer, Connections_Idle_AreClosedAfterTheTimeout) {
   AdminOptions quick;
   quick.idle_timeout = std::chrono::milliseconds(1);
   quick.read_timeout = std::chrono::milliseconds(1);
--- a/packages/node/test/log_test.cc
+++ b/packages/node/test/log_test.cc
@@ -1,5 +1,5 @@
-// Tests of the log: rate limit in virtual time, line format, and the whole
-// way into a file.
+// Tests of the log: rate limiter in virtual time, line format, and output to a
+// file.
 
 #include "basilsill/node/log.h"
 
@@ -34,8 +34,8 @@
 using basilsill::TimePoint;
 
 constexpr int kThreads = 4;
-constexpr int kLinesEach = 5000;
-constexpr int kLines = 9000;
+constexpr int kLinesPerThread = 5000;
+constexpr int kLinesWhileStalled = 9000;
 
 TimePoint At(std::chrono::milliseconds offset) {
   return TimePoint(std::chrono::hours(1)) + offset;
@@ -56,7 +56,7 @@
   return count;
 }
 
-/// Adds up the counts of the events-suppressed lines of one event.
+/// @returns the sum of the counts in all events-suppressed lines of `event`.
 uint64_t SuppressedCount(const std::string& text, const std::string& event) {
   const std::regex pattern("events-suppressed event=" + event +
                            " count=([0-9]+)");
@@ -72,18 +72,18 @@
 
 TEST_GROUP(LogLimiter){};
 
-TEST(LogLimiter, Admit_BurstThenStorm_KeepsTheRate) {
+TEST(LogLimiter, Admit_SustainedOverload_AllowsBurstThenEvenRate) {
   LogLimiter limiter(10);
   int admitted = 0;
-  for (int i = 0; i < 3000; ++i) {  // One a millisecond, for 3 s.
+  for (int i = 0; i < 3000; ++i) {  // One per millisecond for 3 s.
     admitted += limiter.Admit(At(std::chrono::milliseconds(i))) ? 1 : 0;
   }
-  CHECK_EQUAL(10 + 29, admitted);  // Burst, then one each 100 ms.
+  CHECK_EQUAL(10 + 29, admitted);  // Burst, then one per 100 ms.
   CHECK_EQUAL(3000U - 39U, limiter.TakeSuppressed());
   CHECK_EQUAL(0U, limiter.TakeSuppressed());
 }
 
-TEST(LogLimiter, Admit_AfterQuiet_AllowsAWholeBurstAgain) {
+TEST(LogLimiter, Admit_AfterIdlePeriod_AllowsFullBurst) {
   LogLimiter limiter(5);
   for (const auto start : {std::chrono::seconds(0), std::chrono::seconds(60)}) {
     for (int i = 0; i < 5; ++i) {
@@ -93,7 +93,7 @@
   }
 }
 
-TEST(LogLimiter, Admit_ZeroRate_StillAllowsOneASecond) {
+TEST(LogLimiter, Admit_ZeroRate_AllowsOneLinePerSecond) {
   LogLimiter limiter(0);
   CHECK(limiter.Admit(At(std::chrono::milliseconds(0))));
   CHECK_FALSE(limiter.Admit(At(std::chrono::milliseconds(999))));
@@ -116,16 +116,16 @@
           .c_str());
 }
 
-// Story: a caller puts a line break and ` reason=none` into its request id.
-// Written as it came, the log would show a second event that never happened.
-TEST(LogFormat, Line_HostileText_CanNotForgeALineOrField) {
+// Failure: a caller puts a line break and log fields into its request id. If
+// the id were written unescaped, the log would show a second, forged event.
+TEST(LogFormat, Line_UntrustedText_IsEscaped) {
   STRCMP_EQUAL(
       "200 request-refused id=\"a\\x0a2024 INFO 101 x=\\\"y\\\\\\xff\" "
       "empty=\"\"",
       Format({{"id", "a\n2024 INFO 101 x=\"y\\\xff"}, {"empty", ""}}).c_str());
 }
 
-TEST(LogFormat, Line_TooLong_IsCutWithAMark) {
+TEST(LogFormat, Line_TooLong_IsTruncatedWithEllipsis) {
   for (const size_t length : {900U, 920U, 930U, 940U, 960U, 5000U}) {
     const std::string line =
         Format({{"text", std::string(length, 'x')}, {"last", "y"}});
@@ -177,7 +177,7 @@
   STRCMP_EQUAL("", this->Text().c_str());
 }
 
-TEST(Logging, Start_SecondLogOrBadFile_IsAFailure) {
+TEST(Logging, Start_SecondLogOrUnwritableFile_Fails) {
   const auto logging = this->Start(10);
   CHECK(Logging::Start({}).error().kind == basilsill::FailureKind::kInUse);
   CHECK(Logging::Start({basilsill::Severity::kInfo, "/nonexistent/log", 1})
@@ -185,13 +185,13 @@
             .kind == basilsill::FailureKind::kUnreadable);
 }
 
-TEST(Logging, Log_StormFromManyThreads_IsLimitedAndCounted) {
+TEST(Logging, Log_FloodFromManyThreads_IsLimitedAndCounted) {
   auto logging = this->Start(20);
   std::vector<std::thread> threads;
   threads.reserve(kThreads);
   for (int i = 0; i < kThreads; ++i) {
     threads.emplace_back([i] {
-      for (int line = 0; line < kLinesEach; ++line) {
+      for (int line = 0; line < kLinesPerThread; ++line) {
         Log(Event::kRequestRefused, {{"thread", i}, {"line", line}});
       }
     });
@@ -203,20 +203,21 @@
   const std::string text = this->Text();
   const size_t written = CountLines(text, " 200 request-refused ");
   CHECK(written >= 20);
-  CHECK_EQUAL(static_cast<uint64_t>(kThreads) * kLinesEach,
+  CHECK_EQUAL(static_cast<uint64_t>(kThreads) * kLinesPerThread,
               written + SuppressedCount(text, "request-refused"));
 }
 
-// Story: the reader of the log stalls, so that writing to it blocks. If the
-// threads that log waited for it, all callers would wait for a log collector.
-// They must go on, and what was left out must be counted once it reads again.
-TEST(Logging, Log_ReaderStalls_LeavesOutLinesInsteadOfWaiting) {
+// Failure: the process that reads the log stalls, so that writes to it block.
+// If logging threads waited for the writes, a stalled log collector would stall
+// all callers. The threads must continue, and the dropped lines must be counted
+// once the reader resumes.
+TEST(Logging, Log_ReaderStalls_DropsLinesInsteadOfBlocking) {
   unlink(this->path.c_str());
   CHECK_EQUAL(0, mkfifo(this->path.c_str(), 0600));
   const int reader = open(this->path.c_str(), O_RDONLY | O_NONBLOCK);
   auto logging = this->Start(10000);
   const std::string filler(200, 'x');
-  for (int i = 0; i < kLines; ++i) {
+  for (int i = 0; i < kLinesWhileStalled; ++i) {
     Log(Event::kRequestRefused, {{"filler", filler}});
   }
   std::string text;
@@ -234,7 +235,7 @@
   stop.join();
   close(reader);
   const size_t written = CountLines(text, " 200 request-refused ");
-  CHECK(written < kLines);
-  CHECK_EQUAL(static_cast<uint64_t>(kLines),
+  CHECK(written < kLinesWhileStalled);
+  CHECK_EQUAL(static_cast<uint64_t>(kLinesWhileStalled),
               written + SuppressedCount(text, "request-refused"));
 }
--- a/packages/node/test/metrics_test.cc
+++ b/packages/node/test/metrics_test.cc
@@ -39,14 +39,14 @@
   return TimePoint(std::chrono::hours(1)) + offset;
 }
 
-/// Exact quantile of `sorted`.
+/// @returns the exact quantile of `sorted` by nearest rank.
 Duration ExactQuantile(const std::vector<Duration>& sorted, double ratio) {
   const auto rank = static_cast<size_t>(
       std::ceil(ratio * static_cast<double>(sorted.size())));
   return sorted[std::max<size_t>(rank, 1) - 1];
 }
 
-/// Values of samples by their name with labels.
+/// @returns the value of each sample on `page`, by its name with labels.
 std::map<std::string, std::string> Samples(const std::string& page) {
   std::map<std::string, std::string> samples;
   std::istringstream lines(page);
@@ -73,17 +73,16 @@
   }
 };
 
-// Story: a service becomes eight times slower within one window. An estimator
-// that adapts its markers as samples come (P-square) then reports a median
-// and tail that no request ever had.
-TEST(LatencyRecorder, Quantile_LatencyShiftsInAWindow_StaysWithinABin) {
+// Failure: the latency of a service rises eightfold within one window. An
+// estimator with adaptive markers (P-square) then reports a median and a tail
+// latency that no request had.
+TEST(LatencyRecorder, Quantile_LatencyShiftsInAWindow_IsWithinOneBin) {
   std::mt19937_64 random(kSeed);
-  std::lognormal_distribution<double> milliseconds_of(1.0, 1.0);
+  std::lognormal_distribution<double> latency_ms(1.0, 1.0);
   std::vector<Duration> all;
   for (int i = 0; i < 20000; ++i) {
-    const double slow = i < 10000 ? 1 : 8;
-    all.emplace_back(
-        static_cast<int64_t>(milliseconds_of(random) * slow * 1e6));
+    const double slowdown = i < 10000 ? 1 : 8;
+    all.emplace_back(static_cast<int64_t>(latency_ms(random) * slowdown * 1e6));
     this->Record(all.back());
   }
   this->recorder.HandOver(At(seconds(0)));
@@ -99,30 +98,30 @@
   CHECK(this->digest().longest == all.back());
 }
 
-TEST(LatencyRecorder, Quantile_BeyondTheBins_IsTheLongest) {
+TEST(LatencyRecorder, Quantile_OutsideTheBins_UsesTheOuterBins) {
   this->Record(std::chrono::hours(5));
   this->Record(Duration(0));
   this->recorder.HandOver(At(seconds(0)));
   this->recorder.Collect(this->digests);
   CHECK(this->digest().Quantile(1) == std::chrono::hours(5));
-  CHECK(this->digest().Quantile(0.1) < LatencyDigest::kLeast);
+  CHECK(this->digest().Quantile(0.1) < LatencyDigest::kLowerBound);
   CHECK(LatencyDigest().Quantile(0.5) == Duration(0));
 }
 
-TEST(LatencyRecorder, HandOver_ReaderIsLate_LosesNothing) {
+TEST(LatencyRecorder, HandOver_ReaderIsLate_LosesNoSamples) {
   for (int i = 0; i < 10; ++i) {
     this->Record(milliseconds(1));
     this->recorder.HandOver(At(seconds(i)));
   }
   this->recorder.Collect(this->digests);
-  CHECK_EQUAL(1U, this->digest().count);  // The window of the first second.
+  CHECK_EQUAL(1U, this->digest().count);  // Only the first window.
   this->recorder.HandOver(At(seconds(10)));
   this->recorder.Collect(this->digests);
   CHECK_EQUAL(10U, this->digest().count);
   CHECK(this->digest().sum == milliseconds(10));
 }
 
-TEST(LatencyRecorder, Collect_WhileWorkerRecords_CountsEachOnce) {
+TEST(LatencyRecorder, Collect_WhileWorkerRecords_CountsEachSampleOnce) {
   std::atomic<bool> done{false};
   std::thread worker([this, &done] {
     for (int i = 0; i < kSamples; ++i) {
@@ -169,7 +168,7 @@
   STRCMP_EQUAL("5", this->Value("basilsill_probes_total").c_str());
 }
 
-TEST(MetricsPage, Render_GaugesOfWorkers_StayApart) {
+TEST(MetricsPage, Render_GaugesOfWorkers_AreLabelledByWorker) {
   this->first->queued.Add(3);
   this->second->queued.Add(-1);
   STRCMP_EQUAL("3",
@@ -230,7 +229,7 @@
   }
 }
 
-TEST(MetricsPage, Page_EachMetric_HasItsRow) {
+TEST(MetricsPage, MetricsDocument_EachMetric_HasARow) {
   std::ifstream file(BASILSILL_METRICS_PAGE);
   std::string line;
   std::vector<std::string> rows;
