--- a/packages/node/src/admin_responses.cc
+++ b/packages/node/src/admin_responses.cc
@@ -44,7 +44,7 @@
       {{"method", request.method}, {"path", request.path}, {"fault", fault}});
   return FailureResponse(kInternalError,
                          {FailureKind::kInternal, request.path,
-                          "internal error; see the log of the node"});
+                          "internal fault; see the log of the node"});
 }
 
 }  // namespace
--- a/packages/node/src/admin_router.h
+++ b/packages/node/src/admin_router.h
@@ -75,8 +75,8 @@
 /// Both kinds of handler run on the control thread. When the client disconnects
 /// or the server stops, the operation that a handler awaits is cancelled: Asio
 /// throws system_error (operation_aborted) from it, which a handler must
-/// propagate. Other exceptions become responses as ExceptionResponse defines
-/// them.
+/// propagate. A FailureError becomes a FailureResponse, any other exception a
+/// response with status 500.
 struct AdminRoute {
   std::string method;
   /// A path that ends in `/` matches every path with this prefix; any other
--- a/packages/node/src/debug_state.h
+++ b/packages/node/src/debug_state.h
@@ -10,7 +10,7 @@
 
 /// @returns the state of the control thread as JSON, for debugging: the status
 /// document, services with their shards and owners, and the numbers of teams
-/// and rules. Services and numbers are absent until there is a routing
+/// and rules. All but the status document are absent until the first routing
 /// view.
 std::string MakeDebugState(const Control& control, const LogSource& log);
 
--- a/packages/node/src/log.cc
+++ b/packages/node/src/log.cc
@@ -183,7 +183,7 @@
   if (!options.file.empty() &&
       !std::ofstream(options.file, std::ios_base::app)) {
     return Failure{FailureKind::kUnreadable, options.file,
-                   "cannot open the log file for writing"};
+                   "the log file can't be opened for writing"};
   }
   // Never deinitialized: destroying a log4cplus Initializer leaves the library
   // unusable for a second Logging in the process, which tests need. ~Logging
@@ -193,7 +193,7 @@
   State* expected = nullptr;
   if (!State::running.compare_exchange_strong(expected, state.get())) {
     return Failure{FailureKind::kInUse, options.file,
-                   "logging is already running in this process"};
+                   "the process already has a running log"};
   }
   state->writer = std::thread(&State::Run, state.get());
   return std::unique_ptr<Logging>(new Logging(std::move(state)));
--- a/packages/node/src/resource_api.cc
+++ b/packages/node/src/resource_api.cc
@@ -49,7 +49,7 @@
   const std::optional<ResourceKind> kind = KindOfPath(rest.substr(0, slash));
   if (!kind) {
     throw FailureError(
-        {FailureKind::kNotFound, request.path, "unknown resource kind"});
+        {FailureKind::kNotFound, request.path, "no such resource kind"});
   }
   ResourcePath path{*kind, ""};
   if (slash != std::string_view::npos) {
@@ -67,11 +67,11 @@
   return {path.kind, path.name};
 }
 
-uint64_t RequireNumber(std::string_view text, const std::string& path) {
+uint64_t RequireNumber(std::string_view text, const std::string& field) {
   const std::optional<uint64_t> number = ParseNumber<uint64_t>(text);
   if (!number) {
     throw FailureError(
-        {FailureKind::kSyntax, path, "expected a non-negative integer"});
+        {FailureKind::kSyntax, field, "not a non-negative whole number"});
   }
   return *number;
 }
