--- a/packages/node/src/accept_loop.cc
+++ b/packages/node/src/accept_loop.cc
@@ -15,45 +15,45 @@
 
 // A descriptor that is given up for a moment when there is no other, to take a
 // connection and turn it away. Left waiting, its caller would not know.
-class Reserve {
+class ReservedDescriptor {
  public:
-  explicit Reserve(Acceptor& acceptor)
-      : acceptor(acceptor), held(acceptor.get_executor()) {
+  explicit ReservedDescriptor(Acceptor& acceptor)
+      : acceptor(acceptor), placeholder(acceptor.get_executor()) {
     NetError ignored;
     this->acceptor.non_blocking(true, ignored);
-    this->Take();
+    this->Acquire();
   }
 
   // @returns no error if the next connection was turned away, would_block if
   // none waits, or why it can't be had even so.
-  NetError TurnAway() {
+  NetError ResetNextConnection() {
     NetError error;
-    this->held.close(error);
+    this->placeholder.close(error);
     Socket caller(this->acceptor.get_executor());
     this->acceptor.accept(caller, error);
     if (!error) {
       CloseWithReset(caller);
     }
-    this->Take();
+    this->Acquire();
     return error;
   }
 
  private:
-  void Take() {
+  void Acquire() {
     NetError ignored;
-    this->held.open(Tcp::v4(), ignored);
+    this->placeholder.open(Tcp::v4(), ignored);
   }
 
   Acceptor& acceptor;
-  Socket held;
+  Socket placeholder;
 };
 
-Task<void> AfterFailure(Acceptor& acceptor,
-                        Reserve& reserve,
-                        const NetError& failure) {
+Task<void> RecoverFromFailure(Acceptor& acceptor,
+                              ReservedDescriptor& reserved,
+                              const NetError& failure) {
   NetError error = failure;
   if (failure == boost::asio::error::no_descriptors) {
-    error = reserve.TurnAway();
+    error = reserved.ResetNextConnection();
   }
   if (error == boost::asio::error::would_block) {
     co_await acceptor.async_wait(Acceptor::wait_read, kTask);
@@ -66,7 +66,7 @@
 }  // namespace
 
 Task<void> AcceptLoop(Acceptor& acceptor, AcceptLoopOptions options) {
-  Reserve reserve(acceptor);
+  ReservedDescriptor reserved(acceptor);
   while (acceptor.is_open()) {
     Socket socket(acceptor.get_executor());
     const auto [error] = co_await acceptor.async_accept(socket, kTask);
@@ -78,7 +78,7 @@
       if (options.on_failure) {
         options.on_failure();
       }
-      co_await AfterFailure(acceptor, reserve, error);
+      co_await RecoverFromFailure(acceptor, reserved, error);
     }
   }
 }
--- a/packages/node/src/caller_exchange.cc
+++ b/packages/node/src/caller_exchange.cc
@@ -24,7 +24,7 @@
 
 // A body up to this size is held whole: it can be sent again on a retry and
 // goes out with its head in one write.
-constexpr uint64_t kHeldBodyBytes = 16 * 1024;
+constexpr uint64_t kBufferedBodyBytes = 16 * 1024;
 // A request that must not repeat is compared by body with its resends, so its
 // body is held whole up to this size and refused above it.
 constexpr uint64_t kOnceBodyBytes = 64 * 1024;
@@ -87,7 +87,7 @@
   host.OnRequestStarted();
 }
 
-void CallerExchange::TakeFault(Refusal refusal) {
+void CallerExchange::SetFault(Refusal refusal) {
   this->fault = refusal;
   this->must_close = true;
 }
@@ -106,7 +106,7 @@
     this->request.request_id = std::string(id);
   }
   if (!HasOneHost(message, this->http_1_0)) {
-    this->TakeFault(Refusal::kMalformedRequest);
+    this->SetFault(Refusal::kMalformedRequest);
     return false;
   }
   const RoutingViewPtr view = this->host.view();
@@ -126,7 +126,7 @@
     this->fault = Refusal::kNoRoute;
     return false;
   }
-  if (!this->Identify(message, *rule)) {
+  if (!this->CheckApiKey(message, *rule)) {
     return false;
   }
   this->FillRequest(parser, *rule);
@@ -136,7 +136,7 @@
       rule->once && (!known || framing.length > kOnceBodyBytes);
   if (too_large_for_once ||
       framing.length > this->host.caller_limits().body_bytes) {
-    this->TakeFault(Refusal::kBodyTooLarge);
+    this->SetFault(Refusal::kBodyTooLarge);
     return false;
   }
   return true;
@@ -145,7 +145,8 @@
 // Each request of a connection is judged by its own key. One that no team has
 // may be of a configuration that has not come yet, so it is called unknown only
 // while the configuration is known to be a new one.
-bool CallerExchange::Identify(const HttpFields& headers, const RuleRow& rule) {
+bool CallerExchange::CheckApiKey(const HttpFields& headers,
+                                 const RuleRow& rule) {
   if (!rule.requires_api_key) {
     return true;
   }
@@ -171,7 +172,7 @@
 }
 
 // Upstreams hear which team asks from here alone.
-void CallerExchange::FillTeam(const RuleRow& rule) {
+void CallerExchange::SetTeam(const RuleRow& rule) {
   const RoutingView& view = *this->host.view();
   const HeaderNames& names = this->host.names();
   HttpFields& headers = this->request.headers;
@@ -208,7 +209,7 @@
   EntryRequest& entry = this->request.entry;
   entry.service = this->host.ChooseService(rule);
   entry.max_attempts = rule.max_attempts;
-  this->FillTeam(rule);
+  this->SetTeam(rule);
   if (rule.target_latency > milliseconds(0)) {
     this->request.good_until = this->began + rule.target_latency;
   }
@@ -217,12 +218,13 @@
       (rule.idempotent ||
        (rule.max_attempts == 0 && IsIdempotentMethod(this->request.method)));
   const bool known = this->request.framing.kind != BodyKind::kChunked;
-  entry.replayable = known && this->request.framing.length <= kHeldBodyBytes;
-  this->FillDeadline(message, rule);
+  entry.replayable =
+      known && this->request.framing.length <= kBufferedBodyBytes;
+  this->SetDeadline(message, rule);
 }
 
-void CallerExchange::FillDeadline(const HttpFields& headers,
-                                  const RuleRow& rule) {
+void CallerExchange::SetDeadline(const HttpFields& headers,
+                                 const RuleRow& rule) {
   milliseconds time =
       DeadlineOf(HeaderValue(headers, this->host.names().deadline), rule);
   time = std::min(time, this->host.request_total());
@@ -232,7 +234,7 @@
   this->request.entry.deadline = this->began + time;
 }
 
-void CallerExchange::HoldBody(std::string body) {
+void CallerExchange::SetWholeBody(std::string body) {
   this->request.framing = {BodyKind::kLength, body.size()};
   this->request.whole_body = std::move(body);
   this->request.entry.replayable = true;
@@ -258,16 +260,16 @@
       this->request.entry.fingerprint = FingerprintOf(this->request, *rule);
     }
     outcome = co_await this->ServeWithinQuota();
-    outcome = this->Judge(outcome);
+    outcome = this->MapExpiredOutcome(outcome);
   }
-  this->Done(outcome.answered ? Refusal::kNone : outcome.refusal);
+  this->ReportEnd(outcome.answered ? Refusal::kNone : outcome.refusal);
   if (!outcome.answered && !this->abandoned && !this->has_started) {
     co_await this->Refuse(outcome);
   }
 }
 
 // What the caller is told of a request that was ended from here.
-ServeOutcome CallerExchange::Judge(ServeOutcome outcome) const {
+ServeOutcome CallerExchange::MapExpiredOutcome(ServeOutcome outcome) const {
   const bool ended_here =
       this->expired && outcome.refusal == Refusal::kCallerGone;
   if (!outcome.answered && ended_here) {
@@ -276,11 +278,11 @@
   return outcome;
 }
 
-void CallerExchange::Done(Refusal refusal) {
+void CallerExchange::ReportEnd(Refusal refusal) {
   this->request.caller_gone = this->abandoned;
   this->host.OnRequestDone(
       this->request,
-      {refusal, this->cut_off, MonotonicClock::now() - this->began});
+      {refusal, this->answer_aborted, MonotonicClock::now() - this->began});
 }
 
 // A request counts as soon as it goes on, wherever it waits from then on: it
@@ -324,8 +326,9 @@
   const TeamRow* team = FindTeam(*this->host.view(), this->request.entry.team);
   const std::string team_name = team != nullptr ? team->name : "";
   const uint64_t sequence = this->host.NextOnceSequence();
-  ServeFunction serve = [&entry](RequestMessage& message, AnswerSink& keeping) {
-    return entry.Serve(message, keeping);
+  ServeFunction serve = [&entry](RequestMessage& message,
+                                 AnswerSink& recording) {
+    return entry.Serve(message, recording);
   };
   OnceServices services = this->host.once_services();
   const ServeOutcome outcome =
@@ -423,9 +426,9 @@
 }
 
 void CallerExchange::Break() {
-  this->cut_off = true;
+  this->answer_aborted = true;
   this->abandoned = true;
-  this->writer.BreakOff();
+  this->writer.AbortConnection();
 }
 
 void CallerExchange::Abandon() {
@@ -437,7 +440,7 @@
   this->abandoned = true;
   this->turn.Set();
   if (!this->request.once) {
-    this->EndWork();
+    this->CancelWork();
   }
 }
 
@@ -447,13 +450,13 @@
   if (late && !this->has_started && !this->expired && !this->abandoned &&
       !this->request.once) {
     this->expired = true;
-    this->EndWork();
+    this->CancelWork();
   }
 }
 
 // Closing the connection alone would leave whoever waits for a silent upstream
 // waiting.
-void CallerExchange::EndWork() {
+void CallerExchange::CancelWork() {
   this->request.caller_gone = true;
   if (this->request.on_caller_gone) {
     // The callee may replace the function while it runs.
--- a/packages/node/src/caller_exchange.h
+++ b/packages/node/src/caller_exchange.h
@@ -29,7 +29,7 @@
       std::span<const boost::asio::const_buffer> buffers) = 0;
 
   /// The answer can't be finished: the caller must see that.
-  virtual void BreakOff() = 0;
+  virtual void AbortConnection() = 0;
 };
 
 class CallerExchange : public std::enable_shared_from_this<CallerExchange>,
@@ -45,13 +45,13 @@
   bool TakeHead(RequestReader& reader);
 
   /// The request can't be read; `Serve` only refuses it.
-  void TakeFault(Refusal refusal);
+  void SetFault(Refusal refusal);
 
   /// The rest of the body stays unread: the connection ends with the answer.
   void LeaveBodyUnread() { this->must_close = true; }
 
   /// Gives the whole body of a request that came in chunks.
-  void HoldBody(std::string body);
+  void SetWholeBody(std::string body);
 
   /// Has the request served and its answer written.
   Task<void> Serve();
@@ -75,17 +75,17 @@
   TimePoint began_at() const { return this->began; }
 
  private:
-  bool Identify(const HttpFields& headers, const RuleRow& rule);
+  bool CheckApiKey(const HttpFields& headers, const RuleRow& rule);
   void FillRequest(const RequestReader::Parser& parser, const RuleRow& rule);
-  void FillDeadline(const HttpFields& headers, const RuleRow& rule);
-  void FillTeam(const RuleRow& rule);
+  void SetDeadline(const HttpFields& headers, const RuleRow& rule);
+  void SetTeam(const RuleRow& rule);
   Task<ServeOutcome> ServeWithinQuota();
   Task<ServeOutcome> ServeByRule();
   Task<void> Refuse(const ServeOutcome& outcome);
-  ServeOutcome Judge(ServeOutcome outcome) const;
-  void Done(Refusal refusal);
+  ServeOutcome MapExpiredOutcome(ServeOutcome outcome) const;
+  void ReportEnd(Refusal refusal);
   Task<NetError> WriteLastChunk(const HttpFields* trailers);
-  void EndWork();
+  void CancelWork();
 
   // AnswerSink
   Task<bool> Start(const AnswerHead& head,
@@ -112,7 +112,7 @@
   bool has_started = false;
   bool expired = false;
   bool abandoned = false;
-  bool cut_off = false;  ///< The answer, by this side.
+  bool answer_aborted = false;  ///< The answer, by this side.
 };
 
 }  // namespace basilsill
--- a/packages/node/src/caller_host.h
+++ b/packages/node/src/caller_host.h
@@ -34,7 +34,7 @@
   virtual const Executor& executor() const = 0;
 
   /// @returns true if also bodies without a length are held until they end.
-  virtual bool holds_open_ended() const = 0;
+  virtual bool buffers_unsized_bodies() const = 0;
 
   /// @returns true once answers should ask callers to come back on another
   /// connection: this node is about to leave.
--- a/packages/node/src/caller_session.cc
+++ b/packages/node/src/caller_session.cc
@@ -17,7 +17,7 @@
 // unread. A caller that sends more than it takes is held up by its own window.
 constexpr size_t kMaxInFlight = 16;
 // A chunked body up to this size is held whole, like one with a length.
-constexpr size_t kHeldBodyBytes = 16 * 1024;
+constexpr size_t kBufferedBodyBytes = 16 * 1024;
 // How long the caller may take to close after the last answer. Closing before
 // it has read that answer, with bytes of its own still unread here, would
 // reset the connection and destroy what is on its way: 90 KB take a tenth of a
@@ -45,9 +45,9 @@
   const auto self = this->shared_from_this();
   NetError ignored;
   this->socket.set_option(Tcp::no_delay(true), ignored);
-  bool go_on = true;
-  while (go_on) {
-    go_on = co_await this->ReadOne();
+  bool keep_reading = true;
+  while (keep_reading) {
+    keep_reading = co_await this->ReadOne();
   }
   while (!this->exchanges.empty()) {
     co_await this->changed.Wait();
@@ -55,7 +55,7 @@
   if (this->broken) {
     CloseWithReset(this->socket);
   } else if (this->closing) {
-    co_await this->CloseGently();
+    co_await this->ShutdownAndLinger();
   } else {
     // Nobody was told that this connection closes, so a request may be on its
     // way. Reading it would be taking it in; unread, it is reset, and the
@@ -75,16 +75,16 @@
     this->Abandon();
     co_return false;
   }
-  this->closing = this->closing || this->IsLeftUnread();
+  this->closing = this->closing || this->LeavesRequestUnread();
   if (this->closing) {
     co_return false;
   }
   if (status != HeadStatus::kOk) {
-    this->RefuseFault(status);
+    this->RefuseUnreadable(status);
     co_return false;
   }
   const ExchangePtr exchange = this->Add();
-  const bool proper = exchange->TakeHead(this->reader);
+  const bool accepted = exchange->TakeHead(this->reader);
   const auto& message = this->reader.message().get();
   this->awaits_continue = !HeaderValue(message, "Expect").empty();
   const bool keep = this->reader.message().keep_alive();
@@ -93,18 +93,18 @@
     // Never begun, but counted: without its end the worker would not come to
     // rest again.
     exchange->Abandon();
-    co_await this->ServeHere(exchange);
+    co_await this->ServeInline(exchange);
     co_return false;
   }
   if (!whole) {
-    if (!proper) {
+    if (!accepted) {
       exchange->LeaveBodyUnread();
     }
     exchange->message().source = this;
-    co_await this->ServeHere(exchange);
+    co_await this->ServeInline(exchange);
     co_return !this->broken && this->reader.done() && !this->closing;
   }
-  this->ServeBeside(exchange);
+  this->ServeConcurrently(exchange);
   while (this->exchanges.size() >= kMaxInFlight) {
     co_await this->changed.Wait();
   }
@@ -117,16 +117,16 @@
 // behind a request at work is left unread: not served and not answered, and the
 // caller sends it again elsewhere, as it does once it was told that the
 // connection closes.
-bool CallerSession::IsLeftUnread() const {
+bool CallerSession::LeavesRequestUnread() const {
   return this->host.draining() && !this->exchanges.empty();
 }
 
-void CallerSession::RefuseFault(HeadStatus status) {
+void CallerSession::RefuseUnreadable(HeadStatus status) {
   const ExchangePtr exchange = this->Add();
-  exchange->TakeFault(status == HeadStatus::kTooLarge
-                          ? Refusal::kHeaderTooLarge
-                          : Refusal::kMalformedRequest);
-  this->ServeBeside(exchange);
+  exchange->SetFault(status == HeadStatus::kTooLarge
+                         ? Refusal::kHeaderTooLarge
+                         : Refusal::kMalformedRequest);
+  this->ServeConcurrently(exchange);
 }
 
 CallerSession::ExchangePtr CallerSession::Add() {
@@ -151,7 +151,7 @@
   this->changed.Notify();
 }
 
-void CallerSession::ServeBeside(const ExchangePtr& exchange) {
+void CallerSession::ServeConcurrently(const ExchangePtr& exchange) {
   const auto self = this->shared_from_this();
   boost::asio::co_spawn(this->host.executor(), exchange->Serve(),
                         [self, exchange](const std::exception_ptr& /*error*/) {
@@ -159,7 +159,7 @@
                         });
 }
 
-Task<void> CallerSession::ServeHere(ExchangePtr exchange) {
+Task<void> CallerSession::ServeInline(ExchangePtr exchange) {
   co_await exchange->Serve();
   this->Remove(exchange);
 }
@@ -169,11 +169,11 @@
   const BodyFraming framing = this->reader.framing();
   std::string& body = exchange.message().whole_body;
   const bool chunked = framing.kind == BodyKind::kChunked;
-  if (chunked && this->host.holds_open_ended()) {
+  if (chunked && this->host.buffers_unsized_bodies()) {
     const bool whole = co_await this->ReadChunkedBody(exchange);
     co_return whole;
   }
-  const bool too_long = chunked || framing.length > kHeldBodyBytes;
+  const bool too_long = chunked || framing.length > kBufferedBodyBytes;
   if (!exchange.wants_whole_body() && too_long) {
     co_return false;
   }
@@ -201,7 +201,7 @@
 Task<bool> CallerSession::ReadChunkedBody(CallerExchange& exchange) {
   std::string body;
   BodyPiece piece;
-  std::vector<char> buffer(kHeldBodyBytes);
+  std::vector<char> buffer(kBufferedBodyBytes);
   do {
     piece = co_await this->Read(buffer);
     if (!piece.ok) {
@@ -209,12 +209,12 @@
       co_return false;
     }
     body.append(buffer.data(), piece.size);
-  } while (!piece.last && body.size() < kHeldBodyBytes);
+  } while (!piece.last && body.size() < kBufferedBodyBytes);
   if (!piece.last || this->reader.trailers() != nullptr) {
     this->body_prefix = std::move(body);
     co_return false;
   }
-  exchange.HoldBody(std::move(body));
+  exchange.SetWholeBody(std::move(body));
   co_return true;
 }
 
@@ -224,11 +224,12 @@
     std::copy_n(this->body_prefix.begin(), size, buffer.begin());
     this->body_prefix.erase(0, size);
     const bool last = this->body_prefix.empty() && this->reader.done();
-    this->TakeTrailers(last);
+    this->FilterTrailers(last);
     co_return BodyPiece{true, last, size};
   }
-  const bool waits_for_go = this->awaits_continue && !this->reader.has_more();
-  if (waits_for_go && this->exchanges.size() == 1) {
+  const bool expects_continue =
+      this->awaits_continue && !this->reader.has_more();
+  if (expects_continue && this->exchanges.size() == 1) {
     this->awaits_continue = false;
     const auto [error, size] = co_await boost::asio::async_write(
         this->socket, boost::asio::buffer(kContinue), kTask);
@@ -239,18 +240,18 @@
   this->reading_since = MonotonicClock::now();
   const BodyPiece piece = co_await this->reader.ReadBody(this->socket, buffer);
   this->reading_since = kNever;
-  this->TakeTrailers(piece.last);
+  this->FilterTrailers(piece.last);
   co_return piece;
 }
 
 // What only this VM may say of a request it may say at its end, too.
-void CallerSession::TakeTrailers(bool at_end) {
+void CallerSession::FilterTrailers(bool at_end) {
   const HttpFields* trailers = at_end ? this->reader.trailers() : nullptr;
-  this->passed_trailers.reset();
+  this->forwarded_trailers.reset();
   if (trailers != nullptr) {
-    this->passed_trailers = *trailers;
-    this->passed_trailers->erase(this->host.names().api_key);
-    this->passed_trailers->erase(this->host.names().team);
+    this->forwarded_trailers = *trailers;
+    this->forwarded_trailers->erase(this->host.names().api_key);
+    this->forwarded_trailers->erase(this->host.names().team);
   }
 }
 
@@ -284,7 +285,7 @@
   co_return error;
 }
 
-void CallerSession::BreakOff() {
+void CallerSession::AbortConnection() {
   this->broken = true;
   CloseWithReset(this->socket);
 }
@@ -300,9 +301,9 @@
 // overtake the answer and destroy it before the caller has read it. So the
 // sending side is closed first, and what still comes is read and dropped, for
 // a short while.
-Task<void> CallerSession::CloseGently() {
+Task<void> CallerSession::ShutdownAndLinger() {
   this->BeginLinger();
-  std::vector<char> dropped(kHeldBodyBytes);
+  std::vector<char> dropped(kBufferedBodyBytes);
   NetError error;
   while (!error) {
     error = std::get<0>(co_await this->socket.async_read_some(
@@ -314,7 +315,8 @@
 
 // From here on the caller has to close; `Tick` does it for one that does not.
 void CallerSession::BeginLinger() {
-  this->lingers_since = std::min(this->lingers_since, MonotonicClock::now());
+  this->lingering_since =
+      std::min(this->lingering_since, MonotonicClock::now());
   NetError ignored;
   this->socket.shutdown(Tcp::socket::shutdown_send, ignored);
 }
@@ -324,15 +326,15 @@
 // answer, where bytes of the caller come behind it. One that lingers closes by
 // itself.
 void CallerSession::Drain() {
-  const bool lingers = this->lingers_since != kNever;
-  if (!lingers && this->exchanges.empty() && !this->reader.has_more()) {
+  const bool is_lingering = this->lingering_since != kNever;
+  if (!is_lingering && this->exchanges.empty() && !this->reader.has_more()) {
     NetError ignored;
     this->socket.cancel(ignored);
   }
 }
 
-void CallerSession::CutOff() {
-  this->BreakOff();
+void CallerSession::AbortRequests() {
+  this->AbortConnection();
   this->Abandon();
 }
 
@@ -340,7 +342,7 @@
   if (this->broken) {
     return;
   }
-  if (this->lingers_since != kNever) {
+  if (this->lingering_since != kNever) {
     this->CheckLinger(now);
     return;
   }
@@ -355,25 +357,25 @@
   const CallerExchange& first = *open.front();
   const bool too_long =
       now - first.began_at() > this->host.request_total() + milliseconds(100);
-  if (too_long || this->Stalls(now)) {
-    this->CutOff();
+  if (too_long || this->IsStalled(now)) {
+    this->AbortRequests();
   }
 }
 
 // A caller that does not read its answer, or stops sending its body, would
 // hold memory for ever.
-bool CallerSession::Stalls(TimePoint now) const {
-  const milliseconds patience = this->host.caller_limits().idle_timeout;
+bool CallerSession::IsStalled(TimePoint now) const {
+  const milliseconds stall_timeout = this->host.caller_limits().idle_timeout;
   const CallerExchange& first = *this->exchanges.front();
   const bool answer_stalls =
-      first.answer_started() && now - first.last_written() > patience;
-  const bool body_stalls =
-      this->reading_since != kNever && now - this->reading_since > patience;
+      first.answer_started() && now - first.last_written() > stall_timeout;
+  const bool body_stalls = this->reading_since != kNever &&
+                           now - this->reading_since > stall_timeout;
   return answer_stalls || (body_stalls && !first.answer_started());
 }
 
 void CallerSession::CheckLinger(TimePoint now) {
-  if (now - this->lingers_since > kLingerTime) {
+  if (now - this->lingering_since > kLingerTime) {
     NetError ignored;
     this->socket.close(ignored);
   }
--- a/packages/node/src/caller_session.h
+++ b/packages/node/src/caller_session.h
@@ -40,33 +40,33 @@
   Task<bool> ReadWholeBody(CallerExchange& exchange);
   Task<bool> ReadKnownBody(std::string& body, uint64_t length);
   Task<bool> ReadChunkedBody(CallerExchange& exchange);
-  Task<void> ServeHere(ExchangePtr exchange);
-  void ServeBeside(const ExchangePtr& exchange);
-  void RefuseFault(HeadStatus status);
+  Task<void> ServeInline(ExchangePtr exchange);
+  void ServeConcurrently(const ExchangePtr& exchange);
+  void RefuseUnreadable(HeadStatus status);
   ExchangePtr Add();
   void Remove(const ExchangePtr& exchange);
   void Abandon();
-  Task<void> CloseGently();
+  Task<void> ShutdownAndLinger();
   void BeginLinger();
   void CheckLinger(TimePoint now);
-  bool IsLeftUnread() const;
-  void CutOff();
-  bool Stalls(TimePoint now) const;
+  bool LeavesRequestUnread() const;
+  void AbortRequests();
+  bool IsStalled(TimePoint now) const;
   void CheckIdle(TimePoint now);
 
   // CallerWriter
   bool DecideClose(bool must_close) override;
   Task<NetError> Write(
       std::span<const boost::asio::const_buffer> buffers) override;
-  void BreakOff() override;
+  void AbortConnection() override;
 
-  void TakeTrailers(bool at_end);
+  void FilterTrailers(bool at_end);
 
   // BodySource
   Task<BodyPiece> Read(std::span<char> buffer) override;
   void Stop() override;
   const HttpFields* trailers() const override {
-    return this->passed_trailers ? &*this->passed_trailers : nullptr;
+    return this->forwarded_trailers ? &*this->forwarded_trailers : nullptr;
   }
 
   CallerHost& host;
@@ -75,14 +75,14 @@
   std::deque<ExchangePtr> exchanges;  ///< The first one may write.
   AsyncBroadcast changed;             ///< Of `exchanges`.
   /// Of the body that was read last, without what callers may not say.
-  std::optional<HttpFields> passed_trailers;
+  std::optional<HttpFields> forwarded_trailers;
   std::string body_prefix;  ///< Read already, of the body being streamed.
   TimePoint idle_since;
   TimePoint head_since = kNever;  ///< First byte of a head that is not whole.
-  TimePoint reading_since = kNever;  ///< Of the body read that is pending.
-  bool awaits_continue = false;      ///< And was not told yet.
-  TimePoint lingers_since = kNever;  ///< The caller has to close since then.
-  bool closing = false;              ///< No further request is taken.
+  TimePoint reading_since = kNever;    ///< Of the body read that is pending.
+  bool awaits_continue = false;        ///< And was not told yet.
+  TimePoint lingering_since = kNever;  ///< The caller has to close since then.
+  bool closing = false;                ///< No further request is taken.
   bool broken = false;
 };
 
--- a/packages/node/src/claim_host.cc
+++ b/packages/node/src/claim_host.cc
@@ -18,8 +18,8 @@
 
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
 // Ticks come at least so often, and never closer together than the least.
-constexpr milliseconds kLongestTick{100};
-constexpr milliseconds kLeastTick{1};
+constexpr milliseconds kMaxTickInterval{100};
+constexpr milliseconds kMinTickInterval{1};
 
 WallTime WallNow() {
   return std::chrono::time_point_cast<milliseconds>(
@@ -85,11 +85,12 @@
   this->tick.cancel();
 }
 
-void ClaimHost::Ask(ClaimRequest request, OnVerdict tell) {
+void ClaimHost::RequestClaim(ClaimRequest request, OnVerdict on_verdict) {
   boost::asio::post(
-      this->context, [this, request, tell = std::move(tell)]() mutable {
+      this->context,
+      [this, request, on_verdict = std::move(on_verdict)]() mutable {
         request.cookie = this->next_cookie++;
-        this->waiting.emplace(request.cookie, std::move(tell));
+        this->waiting.emplace(request.cookie, std::move(on_verdict));
         this->table->Request(MonotonicClock::now(), WallNow(), request);
         this->Pump();
       });
@@ -114,7 +115,7 @@
     this->Pump();
     const TimePoint next = this->table->NextTick(now);
     const Duration wait =
-        std::clamp<Duration>(next - now, kLeastTick, kLongestTick);
+        std::clamp<Duration>(next - now, kMinTickInterval, kMaxTickInterval);
     this->tick.expires_after(wait);
     co_await this->tick.async_wait(kAwait);
   }
@@ -136,7 +137,7 @@
   this->pumping = false;
   // What was asked for may be due sooner than the tick that is waited for.
   const TimePoint now = MonotonicClock::now();
-  if (this->table->NextTick(now) - now < kLongestTick) {
+  if (this->table->NextTick(now) - now < kMaxTickInterval) {
     this->tick.cancel();
   }
 }
@@ -156,33 +157,34 @@
                             Unattended{"claim"});
       break;
     case ClaimActionKind::kGrant:
-      this->Tell(
+      this->DeliverVerdict(
           action.cookie,
           {ClaimVerdict::Kind::kGranted, Refusal::kNone, Duration(0), {}});
       break;
     case ClaimActionKind::kRefuse:
-      this->Tell(action.cookie, {ClaimVerdict::Kind::kRefused,
-                                 action.refusal,
-                                 action.retry_after,
-                                 {}});
+      this->DeliverVerdict(action.cookie, {ClaimVerdict::Kind::kRefused,
+                                           action.refusal,
+                                           action.retry_after,
+                                           {}});
       break;
     case ClaimActionKind::kReplay:
-      this->Tell(action.cookie, {ClaimVerdict::Kind::kReplay, Refusal::kNone,
-                                 Duration(0), std::move(action.answer)});
+      this->DeliverVerdict(action.cookie,
+                           {ClaimVerdict::Kind::kReplay, Refusal::kNone,
+                            Duration(0), std::move(action.answer)});
       break;
     default:
       break;
   }
 }
 
-void ClaimHost::Tell(uint64_t cookie, ClaimVerdict verdict) {
+void ClaimHost::DeliverVerdict(uint64_t cookie, ClaimVerdict verdict) {
   const auto found = this->waiting.find(cookie);
   if (found == this->waiting.end()) {
     return;
   }
-  const OnVerdict tell = std::move(found->second);
+  const OnVerdict on_verdict = std::move(found->second);
   this->waiting.erase(found);
-  tell(std::move(verdict));
+  on_verdict(std::move(verdict));
 }
 
 boost::asio::awaitable<void> ClaimHost::Append(
--- a/packages/node/src/claim_host.h
+++ b/packages/node/src/claim_host.h
@@ -46,7 +46,7 @@
 
   /// Asks for a claim.
   /// @param tell Called once, on the control thread.
-  void Ask(ClaimRequest request, OnVerdict tell);
+  void RequestClaim(ClaimRequest request, OnVerdict on_verdict);
 
   /// Tells how a granted attempt ended.
   void Finish(ClaimEnd end);
@@ -70,7 +70,7 @@
                                     std::chrono::milliseconds wait);
   void Pump();
   void Perform(ClaimAction& action);
-  void Tell(uint64_t cookie, ClaimVerdict verdict);
+  void DeliverVerdict(uint64_t cookie, ClaimVerdict verdict);
 
   boost::asio::io_context& context;
   LogClient& log;
--- a/packages/node/src/dispatch_host.cc
+++ b/packages/node/src/dispatch_host.cc
@@ -59,7 +59,7 @@
 }
 
 // Passes a held answer on, piece by piece.
-Task<bool> Deliver(const HeldAnswer& answer, AnswerSink& sink) {
+Task<bool> Deliver(const BufferedAnswer& answer, AnswerSink& sink) {
   std::span<const char> rest(answer.body);
   std::span<const char> piece =
       rest.first(std::min(rest.size(), limits::kBodyChunkBytes));
@@ -92,7 +92,7 @@
   std::vector<RunningAttempt> attempts;
   AttemptHandle winner;
   /// An upstream's answer that it failed, for when no better one comes.
-  std::optional<HeldAnswer> failed_answer;
+  std::optional<BufferedAnswer> failed_answer;
   TimePoint offered;
   bool was_started = false;
   bool settled = false;
@@ -190,7 +190,8 @@
   if (found.row == nullptr) {
     co_return ServeOutcome{false, Refusal::kNoUpstream, Duration(0)};
   }
-  const RoutingViewPtr held = this->view;  // Keeps `found` while it runs.
+  const RoutingViewPtr pinned_view =
+      this->view;  // Keeps `found` while it runs.
   AttemptTarget where = found.target();
   UpstreamAttempt attempt(this->pool, std::move(where), request, sink,
                           {[] { return true; }, [] { return false; }});
@@ -210,8 +211,8 @@
         MonotonicClock::now(),
         MakeRateLimitReport(*found.service, *found.row, report.rate_limit));
   }
-  if (attempt.held()) {
-    co_await Deliver(*attempt.held(), sink);
+  if (attempt.buffered()) {
+    co_await Deliver(*attempt.buffered(), sink);
   }
   const bool answered =
       report.end == AttemptEnd::kAnswered || report.answer_started;
@@ -282,7 +283,7 @@
 
 void DispatchHost::Perform(const DispatchAction& action) {
   if (action.kind == DispatchActionKind::kQueryLoad) {
-    this->StartAsking(action);
+    this->StartLoadQuery(action);
     return;
   }
   const auto found = this->jobs.find(action.cookie);
@@ -306,24 +307,24 @@
   }
 }
 
-void DispatchHost::StartAsking(const DispatchAction& action) {
+void DispatchHost::StartLoadQuery(const DispatchAction& action) {
   const FoundUpstream found = LocateAnywhere(*this->view, action.upstream);
   if (found.row != nullptr && !found.service->health_path.empty()) {
     this->pool.metrics().rate_limited_probes.Add(action.rate_limited ? 1 : 0);
     boost::asio::co_spawn(this->pool.executor(),
-                          this->AskUpstream(action.upstream, found.target(),
-                                            found.service->health_path),
+                          this->RunLoadQuery(action.upstream, found.target(),
+                                             found.service->health_path),
                           Unattended{"ask-upstream"});
     return;
   }
   this->dispatcher->OnLoadQueryEnd(MonotonicClock::now(), action.upstream, {});
 }
 
-Task<void> DispatchHost::AskUpstream(UpstreamHandle upstream,
-                                     AttemptTarget target,
-                                     std::string health_path) {
+Task<void> DispatchHost::RunLoadQuery(UpstreamHandle upstream,
+                                      AttemptTarget target,
+                                      std::string health_path) {
   const LoadQueryReport report =
-      co_await AskForLoad(this->pool, std::move(target), health_path);
+      co_await QueryUpstreamLoad(this->pool, std::move(target), health_path);
   this->dispatcher->OnLoadQueryEnd(MonotonicClock::now(), upstream, report);
   this->Pump();
 }
@@ -342,7 +343,7 @@
   hooks.on_answer = [this, job, attempt = action.attempt] {
     return this->OnAnswer(*job, attempt);
   };
-  hooks.may_send_again = [this, attempt = action.attempt] {
+  hooks.may_resend = [this, attempt = action.attempt] {
     return this->dispatcher->MaySendAgain(MonotonicClock::now(), attempt);
   };
   AttemptTarget target = found.target();
@@ -384,14 +385,14 @@
     metrics.upstream_latency.Record(job->request.entry.traffic_class,
                                     MonotonicClock::now() - started);
   }
-  if (!running->held()) {
+  if (!running->buffered()) {
     this->OnAttemptDone(*job, attempt, report);
     co_return;
   }
   // The attempt stays on the list until its answer is delivered: the request
   // must not end before.
-  HeldAnswer answer = *std::move(running->held());
-  if (!this->OnHeldAnswer(*job, attempt, report)) {
+  BufferedAnswer answer = *std::move(running->buffered());
+  if (!this->OnBufferedAnswer(*job, attempt, report)) {
     job->failed_answer = std::move(answer);
     this->Forget(*job, attempt);
     co_return;
@@ -402,9 +403,9 @@
 }
 
 // @returns true if the answer is the one to deliver.
-bool DispatchHost::OnHeldAnswer(Job& job,
-                                AttemptHandle attempt,
-                                const AttemptReport& report) {
+bool DispatchHost::OnBufferedAnswer(Job& job,
+                                    AttemptHandle attempt,
+                                    const AttemptReport& report) {
   const bool late = IsValid(job.winner) || job.settled;
   const bool goes_on =
       this->dispatcher->OnAttemptEnd(MonotonicClock::now(), attempt, report);
--- a/packages/node/src/dispatch_host.h
+++ b/packages/node/src/dispatch_host.h
@@ -79,10 +79,10 @@
   void Perform(const DispatchAction& action);
   void Report(const UpstreamEvent& event) const;
   void StartAttempt(const JobPtr& job, const DispatchAction& action);
-  void StartAsking(const DispatchAction& action);
-  Task<void> AskUpstream(UpstreamHandle upstream,
-                         AttemptTarget target,
-                         std::string health_path);
+  void StartLoadQuery(const DispatchAction& action);
+  Task<void> RunLoadQuery(UpstreamHandle upstream,
+                          AttemptTarget target,
+                          std::string health_path);
   void CancelAttempt(Job& job, AttemptHandle attempt);
   Task<void> RunAttempt(JobPtr job,
                         DispatchAction action,
@@ -92,9 +92,9 @@
                      AttemptHandle attempt,
                      const AttemptReport& report);
   bool OnAnswer(Job& job, AttemptHandle attempt);
-  bool OnHeldAnswer(Job& job,
-                    AttemptHandle attempt,
-                    const AttemptReport& report);
+  bool OnBufferedAnswer(Job& job,
+                        AttemptHandle attempt,
+                        const AttemptReport& report);
   static void Forget(Job& job, AttemptHandle attempt);
   void ExpireDirectAttempts(TimePoint now);
 
--- a/packages/node/src/link_exchange.cc
+++ b/packages/node/src/link_exchange.cc
@@ -94,8 +94,8 @@
 }
 
 Task<ServeOutcome> LinkExchange::ReceiveAnswer() {
-  Step step = Step::kGoOn;
-  while (step == Step::kGoOn) {
+  Step step = Step::kContinue;
+  while (step == Step::kContinue) {
     wire::LinkEvent event = co_await this->stream->Next();
     switch (event.kind) {
       case wire::LinkEventKind::kAnswered:
@@ -132,14 +132,14 @@
   co_return this->outcome;
 }
 
-LinkExchange::Step LinkExchange::Passed(bool receiver_there, bool last) {
+LinkExchange::Step LinkExchange::NextStep(bool receiver_there, bool last) {
   if (!receiver_there) {
     this->outcome.answered = true;
     this->outcome.refusal = Refusal::kCallerGone;
     return Step::kDone;
   }
   this->outcome.answered = this->outcome.answered || last;
-  return last ? Step::kDone : Step::kGoOn;
+  return last ? Step::kDone : Step::kContinue;
 }
 
 Task<LinkExchange::Step> LinkExchange::OnAnswer(wire::Answer answer) {
@@ -149,9 +149,10 @@
   head.headers = FromHeaderList(answer.headers);
   head.framing = FromWireFraming(answer.framing);
   this->answer_started = true;
-  const bool there = co_await this->sink.Start(head, answer.body, answer.end);
+  const bool receiver_there =
+      co_await this->sink.Start(head, answer.body, answer.end);
   this->link->Consumed(*this->stream, answer.body.size());
-  co_return this->Passed(there, answer.end);
+  co_return this->NextStep(receiver_there, answer.end);
 }
 
 Task<LinkExchange::Step> LinkExchange::OnData(wire::Data data) {
@@ -166,15 +167,16 @@
         std::get<wire::End>(this->stream->events.front().message).trailers);
     this->stream->events.pop_front();
   }
-  const bool there = co_await this->sink.Continue(data.bytes, ends, &trailers);
+  const bool receiver_there =
+      co_await this->sink.Continue(data.bytes, ends, &trailers);
   this->link->Consumed(*this->stream, data.bytes.size());
-  co_return this->Passed(there, ends);
+  co_return this->NextStep(receiver_there, ends);
 }
 
 Task<LinkExchange::Step> LinkExchange::OnEnd(const wire::End& end) {
   const HttpFields trailers = FromHeaderList(end.trailers);
-  const bool there = co_await this->sink.Continue({}, true, &trailers);
-  co_return this->Passed(there, true);
+  const bool receiver_there = co_await this->sink.Continue({}, true, &trailers);
+  co_return this->NextStep(receiver_there, true);
 }
 
 void LinkExchange::OnRefused(const wire::Refused& refused) {
--- a/packages/node/src/link_exchange.h
+++ b/packages/node/src/link_exchange.h
@@ -21,7 +21,7 @@
   Task<ServeOutcome> Run(size_t inlined);
 
  private:
-  enum class Step : uint8_t { kGoOn, kDone, kCount };
+  enum class Step : uint8_t { kContinue, kDone, kCount };
 
   Task<void> SendBody(size_t inlined);
   Task<void> StopBody();
@@ -31,7 +31,7 @@
   Task<Step> OnEnd(const wire::End& end);
   void OnRefused(const wire::Refused& refused);
   void OnLost(wire::StreamProgress progress);
-  Step Passed(bool receiver_there, bool last);
+  Step NextStep(bool receiver_there, bool last);
 
   PeerLinkPtr link;
   LinkStreamPtr stream;
--- a/packages/node/src/once_exchange.cc
+++ b/packages/node/src/once_exchange.cc
@@ -18,15 +18,15 @@
 //
 // A caller that goes away does not end the request: its resend is to get the
 // answer, so the upstream is heard to the end.
-class KeepingSink final : public AnswerSink {
+class RecordingSink final : public AnswerSink {
  public:
-  KeepingSink(AnswerSink& next, size_t limit) : next(next), limit(limit) {}
+  RecordingSink(AnswerSink& next, size_t limit) : next(next), limit(limit) {}
 
   Task<bool> Start(const AnswerHead& head,
                    std::span<const char> piece,
                    bool last) override {
-    this->KeepHead(head);
-    this->KeepPiece(piece, last);
+    this->RecordHead(head);
+    this->RecordPiece(piece, last);
     this->receiver_there = co_await this->next.Start(head, piece, last);
     co_return true;
   }
@@ -34,7 +34,7 @@
   Task<bool> Continue(std::span<const char> piece,
                       bool last,
                       const HttpFields* trailers) override {
-    this->KeepPiece(piece, last);
+    this->RecordPiece(piece, last);
     if (this->receiver_there) {
       this->receiver_there =
           co_await this->next.Continue(piece, last, trailers);
@@ -44,60 +44,61 @@
 
   void Break() override { this->next.Break(); }
 
-  bool whole_answer_came() const { return this->ended; }
-  StoredResponse TakeKept() { return std::move(this->kept); }
+  bool is_complete() const { return this->complete; }
+  StoredResponse TakeResponse() { return std::move(this->response); }
 
  private:
-  void KeepHead(const AnswerHead& head) {
-    this->kept.status = static_cast<uint16_t>(head.status);
+  void RecordHead(const AnswerHead& head) {
+    this->response.status = static_cast<uint16_t>(head.status);
     for (const auto& field : head.headers) {
       const auto name = field.name_string();
       const auto value = field.value();
-      this->kept.headers.push_back({std::string(name.data(), name.size()),
-                                    std::string(value.data(), value.size())});
+      this->response.headers.push_back(
+          {std::string(name.data(), name.size()),
+           std::string(value.data(), value.size())});
     }
   }
 
-  void KeepPiece(std::span<const char> piece, bool last) {
-    this->ended = last;
-    if (!this->kept.whole) {
+  void RecordPiece(std::span<const char> piece, bool last) {
+    this->complete = last;
+    if (!this->response.whole) {
       return;
     }
-    this->kept.body.append(piece.data(), piece.size());
-    if (StoredSizeOf(this->kept) > this->limit) {
-      this->kept.whole = false;
-      this->kept.headers.clear();
-      this->kept.body.clear();
+    this->response.body.append(piece.data(), piece.size());
+    if (StoredSizeOf(this->response) > this->limit) {
+      this->response.whole = false;
+      this->response.headers.clear();
+      this->response.body.clear();
     }
   }
 
   AnswerSink& next;
   size_t limit;
-  StoredResponse kept;
-  bool ended = false;
+  StoredResponse response;
+  bool complete = false;
   bool receiver_there = true;
 };
 
 // The answer to a question that another thread gives.
 struct PendingVerdict {
-  explicit PendingVerdict(const Executor& executor) : told(executor) {}
+  explicit PendingVerdict(const Executor& executor) : delivered(executor) {}
 
-  AsyncEvent told;
+  AsyncEvent delivered;
   ClaimVerdict verdict;
 };
 
-Task<ClaimVerdict> AskForClaim(const OnceServices& services,
-                               ClaimRequest request) {
+Task<ClaimVerdict> AcquireClaim(const OnceServices& services,
+                                ClaimRequest request) {
   const auto pending = std::make_shared<PendingVerdict>(services.executor);
-  services.claims->Ask(
+  services.claims->RequestClaim(
       request, [pending, executor = services.executor](ClaimVerdict verdict) {
         boost::asio::post(executor,
                           [pending, verdict = std::move(verdict)]() mutable {
                             pending->verdict = std::move(verdict);
-                            pending->told.Set();
+                            pending->delivered.Set();
                           });
       });
-  co_await pending->told.Wait();
+  co_await pending->delivered.Wait();
   co_return std::move(pending->verdict);
 }
 
@@ -151,12 +152,12 @@
     outcome.refusal = parsed.refusal;
     co_return outcome;
   }
-  ClaimRequest ask;
-  ask.key = parsed.key;
-  ask.body = DigestOfRequest(request);
-  ask.attempt = {services.origin, sequence};
-  ask.deadline = request.entry.deadline;
-  const ClaimVerdict verdict = co_await AskForClaim(services, ask);
+  ClaimRequest claim;
+  claim.key = parsed.key;
+  claim.body = DigestOfRequest(request);
+  claim.attempt = {services.origin, sequence};
+  claim.deadline = request.entry.deadline;
+  const ClaimVerdict verdict = co_await AcquireClaim(services, claim);
   if (verdict.kind == ClaimVerdict::Kind::kReplay) {
     outcome = co_await Replay(verdict.answer, sink);
     co_return outcome;
@@ -167,15 +168,15 @@
     co_return outcome;
   }
 
-  KeepingSink keeping(sink, services.kept_answer_bytes);
-  outcome = co_await serve(request, keeping);
+  RecordingSink recorder(sink, services.kept_answer_bytes);
+  outcome = co_await serve(request, recorder);
   ClaimEnd end;
-  end.key = ask.key;
-  end.body = ask.body;
-  end.attempt = ask.attempt;
-  end.outcome = ClaimOutcomeOf(outcome, keeping.whole_answer_came());
+  end.key = claim.key;
+  end.body = claim.body;
+  end.attempt = claim.attempt;
+  end.outcome = ClaimOutcomeOf(outcome, recorder.is_complete());
   if (end.outcome == ClaimOutcome::kDone) {
-    end.answer = keeping.TakeKept();
+    end.answer = recorder.TakeResponse();
   }
   services.claims->Finish(std::move(end));
   co_return outcome;
--- a/packages/node/src/rate_limit_header.cc
+++ b/packages/node/src/rate_limit_header.cc
@@ -36,14 +36,14 @@
 AdvertisedRateLimit ReadRateLimit(const HttpFields& answer,
                                   const std::string& name,
                                   const Endpoint& upstream) {
-  const Result<AdvertisedRateLimit> told = ParseRateLimit(answer, name);
-  if (told) {
-    return told.value();
+  const Result<AdvertisedRateLimit> parsed = ParseRateLimit(answer, name);
+  if (parsed) {
+    return parsed.value();
   }
   const std::string endpoint = ToString(upstream);
   Log(Event::kRateLimitMalformed, {{"upstream", endpoint},
-                                   {"fault", told.error().kind},
-                                   {"detail", told.error().detail}});
+                                   {"fault", parsed.error().kind},
+                                   {"detail", parsed.error().detail}});
   return {};
 }
 
--- a/packages/node/src/refusal_answer.cc
+++ b/packages/node/src/refusal_answer.cc
@@ -20,8 +20,8 @@
 constexpr unsigned kUnauthorized = 401;
 
 milliseconds RetryAfter(const ServeOutcome& outcome) {
-  const auto told = std::chrono::ceil<milliseconds>(outcome.retry_after);
-  return told > milliseconds(0) ? told : kDefaultRetryAfter;
+  const auto requested = std::chrono::ceil<milliseconds>(outcome.retry_after);
+  return requested > milliseconds(0) ? requested : kDefaultRetryAfter;
 }
 
 std::string RetryAfterText(const ServeOutcome& outcome,
--- a/packages/node/src/upstream_attempt.cc
+++ b/packages/node/src/upstream_attempt.cc
@@ -29,16 +29,16 @@
 
 // Answers up to this size are held until they are whole: nearly all but the
 // longest downloads (their mean is 90 KB where sizes are known).
-constexpr size_t kHeldAnswerBytes = 192 * 1024;
+constexpr size_t kBufferedAnswerBytes = 192 * 1024;
 
 // Answers to earlier requests that may come before the one that is waited for.
-constexpr int kMaxForeignAnswers = 2;
+constexpr int kMaxStaleAnswers = 2;
 
 bool IsInterim(unsigned status) {
   return status / 100 == 1;
 }
 
-bool IsGood(unsigned status) {
+bool IsSuccess(unsigned status) {
   return status / 100 == 2;
 }
 
@@ -129,7 +129,7 @@
   const bool maybe_stale =
       report.end == AttemptEnd::kDied && reused && !this->has_started &&
       this->request.entry.idempotent && this->request.source == nullptr;
-  if (maybe_stale && this->hooks.may_send_again()) {
+  if (maybe_stale && this->hooks.may_resend()) {
     const bool connected_again = co_await this->Connect(true);
     if (connected_again) {
       this->pool.metrics().CountRetry(Retry::kStaleConnection);
@@ -169,7 +169,7 @@
 }
 
 Task<AttemptReport> UpstreamAttempt::ReadAnswer() {
-  const HeadStatus status = co_await this->ReadOwnHead();
+  const HeadStatus status = co_await this->ReadMatchingHead();
   if (status == HeadStatus::kMalformed || status == HeadStatus::kTooLarge) {
     co_return this->Failed(AttemptEnd::kMalformed);
   }
@@ -185,37 +185,39 @@
   if (end == AttemptEnd::kShed || end == AttemptEnd::kMisdirected) {
     // The connection is good for another request.
     const bool keep = this->connection->reader.message().keep_alive();
-    const bool dropped = co_await DropBody(*this->connection, kHeldAnswerBytes);
+    const bool dropped =
+        co_await DropBody(*this->connection, kBufferedAnswerBytes);
     this->reusable =
         keep && dropped && !this->drain_sign && end == AttemptEnd::kShed;
   }
   if (end != AttemptEnd::kAnswered) {
     co_return this->Failed(end);
   }
-  const AttemptReport report = co_await this->TakeAnswer();
+  const AttemptReport report = co_await this->ReadOrStreamAnswer();
   co_return report;
 }
 
 // An answer that an upstream sends a second time can come late, where the
 // answer to the next request on the connection is due. The id that it echoes
 // tells it apart.
-Task<HeadStatus> UpstreamAttempt::ReadOwnHead() {
+Task<HeadStatus> UpstreamAttempt::ReadMatchingHead() {
   HeadStatus status = co_await this->ReadAnswerHead();
-  for (int i = 0; i < kMaxForeignAnswers && status == HeadStatus::kOk; ++i) {
-    if (this->IsOwnAnswer()) {
+  for (int i = 0; i < kMaxStaleAnswers && status == HeadStatus::kOk; ++i) {
+    if (this->MatchesRequestId()) {
       co_return status;
     }
-    const bool dropped = co_await DropBody(*this->connection, kHeldAnswerBytes);
+    const bool dropped =
+        co_await DropBody(*this->connection, kBufferedAnswerBytes);
     if (!dropped) {
       co_return HeadStatus::kBroken;
     }
     status = co_await this->ReadAnswerHead();
   }
-  const bool foreign = status == HeadStatus::kOk && !this->IsOwnAnswer();
-  co_return foreign ? HeadStatus::kMalformed : status;
+  const bool stale = status == HeadStatus::kOk && !this->MatchesRequestId();
+  co_return stale ? HeadStatus::kMalformed : status;
 }
 
-bool UpstreamAttempt::IsOwnAnswer() const {
+bool UpstreamAttempt::MatchesRequestId() const {
   const std::string_view id = this->AnswerHeader(this->pool.names().request_id);
   return id.empty() || id == this->request.request_id;
 }
@@ -342,14 +344,14 @@
       !this->target.incarnation.id.empty()) {
     return AttemptEnd::kMisdirected;
   }
-  if (!IsGood(status) && !this->AnswerHeader(names.not_run).empty()) {
+  if (!IsSuccess(status) && !this->AnswerHeader(names.not_run).empty()) {
     return AttemptEnd::kShed;
   }
   const bool sealed =
       names.seal.empty() || !this->AnswerHeader(names.seal).empty();
   const bool encoded =
       !names.seal.empty() && answer.count(http::field::content_encoding) > 0;
-  if (IsGood(status) && (!sealed || encoded)) {
+  if (IsSuccess(status) && (!sealed || encoded)) {
     return AttemptEnd::kMalformed;
   }
   return AttemptEnd::kAnswered;
@@ -374,12 +376,12 @@
 }
 
 // Reads the answer until it is whole, or too long to hold.
-Task<AttemptReport> UpstreamAttempt::TakeAnswer() {
+Task<AttemptReport> UpstreamAttempt::ReadOrStreamAnswer() {
   auto& reader = this->connection->reader;
   AnswerHead head = this->MakeHead();
   const bool keep = reader.message().keep_alive();
   // Elsewhere an answer may be a stream that its caller reads as it comes.
-  const size_t hold = this->pool.holds_answers() ? kHeldAnswerBytes : 0;
+  const size_t hold = this->pool.buffers_answers() ? kBufferedAnswerBytes : 0;
   std::string body;
   std::vector<char> buffer(limits::kBodyChunkBytes);
   BodyPiece piece;
@@ -393,7 +395,7 @@
   const bool may_keep = keep && !this->drain_sign;
   if (!piece.last || reader.trailers() != nullptr) {
     const AttemptReport report =
-        co_await this->PassOn(std::move(head), std::move(body));
+        co_await this->StreamAnswer(std::move(head), std::move(body));
     this->reusable = report.end == AttemptEnd::kAnswered && may_keep &&
                      reader.done() && !reader.has_more();
     co_return report;
@@ -402,13 +404,13 @@
     head.framing = {BodyKind::kLength, body.size()};
   }
   const unsigned status = head.status;
-  this->held_answer = HeldAnswer{std::move(head), std::move(body)};
+  this->buffered_answer = BufferedAnswer{std::move(head), std::move(body)};
   this->reusable = may_keep && reader.done() && !reader.has_more();
   co_return this->Answered(status);
 }
 
-Task<AttemptReport> UpstreamAttempt::PassOn(AnswerHead head,
-                                            std::string begun) {
+Task<AttemptReport> UpstreamAttempt::StreamAnswer(AnswerHead head,
+                                                  std::string body_start) {
   if (!this->hooks.on_answer()) {
     this->Cancel();
     co_return this->Failed(AttemptEnd::kCancelled);
@@ -417,7 +419,7 @@
   this->has_started = true;
   // The head goes out without knowing of trailers, so an end that has some
   // follows on its own.
-  bool receiver_there = co_await this->sink.Start(head, begun, false);
+  bool receiver_there = co_await this->sink.Start(head, body_start, false);
   std::vector<char> buffer(limits::kBodyChunkBytes);
   BodyPiece piece;
   piece.last = false;
--- a/packages/node/src/upstream_attempt.h
+++ b/packages/node/src/upstream_attempt.h
@@ -27,11 +27,11 @@
   /// The connection was an old one and broke before any answer, as one does
   /// that the upstream was just closing.
   /// @returns true if the request may be sent there once more.
-  std::function<bool()> may_send_again;
+  std::function<bool()> may_resend;
 };
 
 /// A whole answer that was not passed on yet.
-struct HeldAnswer {
+struct BufferedAnswer {
   AnswerHead head;
   std::string body;
 };
@@ -58,7 +58,7 @@
   bool answer_started() const { return this->has_started; }
 
   /// After `Run`: the answer, if it was held.
-  std::optional<HeldAnswer>& held() { return this->held_answer; }
+  std::optional<BufferedAnswer>& buffered() { return this->buffered_answer; }
 
  private:
   Task<bool> Connect(bool fresh);
@@ -69,12 +69,12 @@
   void StartStreamedBody();
   Task<void> StopStreamedBody();
   Task<HeadStatus> ReadAnswerHead();
-  Task<HeadStatus> ReadOwnHead();
-  bool IsOwnAnswer() const;
+  Task<HeadStatus> ReadMatchingHead();
+  bool MatchesRequestId() const;
   Task<AttemptReport> Exchange();
   Task<AttemptReport> ReadAnswer();
-  Task<AttemptReport> TakeAnswer();
-  Task<AttemptReport> PassOn(AnswerHead head, std::string begun);
+  Task<AttemptReport> ReadOrStreamAnswer();
+  Task<AttemptReport> StreamAnswer(AnswerHead head, std::string body_start);
   AnswerHead MakeHead();
   AttemptReport Failed(AttemptEnd end) const;
   AttemptReport Answered(unsigned status) const;
@@ -88,7 +88,7 @@
   AnswerSink& sink;
   AttemptHooks hooks;
   UpstreamConnectionPtr connection;
-  std::optional<HeldAnswer> held_answer;
+  std::optional<BufferedAnswer> buffered_answer;
   UpstreamLoad load;
   AdvertisedRateLimit rate_limit;
   AttemptEnd aborted = AttemptEnd::kCount;
--- a/packages/node/src/upstream_pool.cc
+++ b/packages/node/src/upstream_pool.cc
@@ -55,14 +55,14 @@
   ++this->idle_connections;
 }
 
-Task<bool> DropBody(UpstreamConnection& connection, size_t most) {
-  std::vector<char> buffer(std::min(most, limits::kBodyChunkBytes));
+Task<bool> DropBody(UpstreamConnection& connection, size_t max_bytes) {
+  std::vector<char> buffer(std::min(max_bytes, limits::kBodyChunkBytes));
   BodyPiece piece;
   size_t dropped = 0;
   do {
     piece = co_await connection.reader.ReadBody(connection.socket, buffer);
     dropped += piece.size;
-  } while (piece.ok && !piece.last && dropped < most);
+  } while (piece.ok && !piece.last && dropped < max_bytes);
   co_return piece.ok&& piece.last;
 }
 
--- a/packages/node/src/upstream_pool.h
+++ b/packages/node/src/upstream_pool.h
@@ -45,7 +45,7 @@
   AttemptTarget target;
   TimePoint idle_since;
   /// After this it may be closed by the upstream, as that said itself.
-  Duration keeps{Duration::max()};
+  Duration keep_alive_timeout{Duration::max()};
   bool reused = false;  ///< Carried an earlier request.
 };
 using UpstreamConnectionPtr = std::unique_ptr<UpstreamConnection>;
@@ -54,7 +54,7 @@
 /// another request.
 /// @param most Bytes after which that is given up.
 /// @returns true if the body came to its end.
-Task<bool> DropBody(UpstreamConnection& connection, size_t most);
+Task<bool> DropBody(UpstreamConnection& connection, size_t max_bytes);
 
 struct UpstreamPoolOptions {
   std::chrono::milliseconds connect_timeout = limits::kUpstreamConnectTimeout;
@@ -91,7 +91,7 @@
   void Tick(TimePoint now);
 
   const HeaderNames& names() const { return this->options.names; }
-  bool holds_answers() const { return this->options.hold_answers; }
+  bool buffers_answers() const { return this->options.hold_answers; }
   size_t idle_count() const { return this->idle_connections; }
   WorkerMetrics& metrics() { return *this->counts; }
   const Executor& executor() const { return this->run_on; }
--- a/packages/node/src/upstream_question.cc
+++ b/packages/node/src/upstream_question.cc
@@ -16,7 +16,7 @@
 namespace {
 
 // The answer comes at once or is of no use any more: what it says is old.
-constexpr std::chrono::milliseconds kAskTimeout{100};
+constexpr std::chrono::milliseconds kLoadQueryTimeout{100};
 constexpr size_t kMaxAnswerBytes = 4096;
 
 bool IsForeign(const HttpFields& answer,
@@ -25,8 +25,8 @@
   if (header.empty() || id.empty()) {
     return false;
   }
-  const std::string_view said = HeaderValue(answer, header);
-  return !said.empty() && said != id;
+  const std::string_view value = HeaderValue(answer, header);
+  return !value.empty() && value != id;
 }
 
 // An upstream that is warm says nothing of it. What is no number says nothing
@@ -36,11 +36,11 @@
   if (header.empty()) {
     return std::nullopt;
   }
-  const std::string_view said = HeaderValue(answer, header);
-  if (said.empty()) {
+  const std::string_view value = HeaderValue(answer, header);
+  if (value.empty()) {
     return Duration(0);
   }
-  const std::optional<uint32_t> time = ParseNumber<uint32_t>(said);
+  const std::optional<uint32_t> time = ParseNumber<uint32_t>(value);
   if (!time) {
     return std::nullopt;
   }
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-Task<LoadQueryReport> AskForLoad(UpstreamPool& pool,
-                                 AttemptTarget target,
-                                 std::string path) {
+Task<LoadQueryReport> QueryUpstreamLoad(UpstreamPool& pool,
+                                        AttemptTarget target,
+                                        std::string path) {
   LoadQueryReport report;
   UpstreamConnectionPtr connection = pool.TakeIdle(target);
   if (!connection) {
@@ -61,7 +61,7 @@
     co_return report;
   }
   const auto closed = std::make_shared<bool>(false);
-  Timer limit(pool.executor(), kAskTimeout);
+  Timer limit(pool.executor(), kLoadQueryTimeout);
   UpstreamConnection* const raw = connection.get();
   limit.async_wait([raw, closed](const NetError& error) {
     if (!error && !*closed) {
--- a/packages/node/src/upstream_question.h
+++ b/packages/node/src/upstream_question.h
@@ -13,9 +13,9 @@
 namespace basilsill {
 
 /// @param path Of the health check.
-Task<LoadQueryReport> AskForLoad(UpstreamPool& pool,
-                                 AttemptTarget target,
-                                 std::string path);
+Task<LoadQueryReport> QueryUpstreamLoad(UpstreamPool& pool,
+                                        AttemptTarget target,
+                                        std::string path);
 
 }  // namespace basilsill
 
--- a/packages/node/src/worker.cc
+++ b/packages/node/src/worker.cc
@@ -27,10 +27,10 @@
 constexpr milliseconds kAcceptRecovery{200};
 // Of all connections that the process may have, the part that is not for
 // callers: without links and upstreams those that are in are not served.
-constexpr size_t kSparePart = 8;
+constexpr size_t kReservedDivisor = 8;
 // Of all callers' connections, the part that has to be free for the word that
 // more are taken: until it is asked again, balancers send many.
-constexpr size_t kFreePart = 16;
+constexpr size_t kFreeDivisor = 16;
 // Bits of an attempt's sequence that count; the worker's number stands above.
 constexpr unsigned kOnceSequenceBits = 48;
 
@@ -66,7 +66,7 @@
 
 // With a bound of the fleet in force, the budgets of single teams are left
 // open.
-constexpr RatioBudgetOptions kOpenBudget{1, 1000, 1000, 1000};
+constexpr RatioBudgetOptions kUnlimitedBudget{1, 1000, 1000, 1000};
 
 std::unique_ptr<Dispatcher> MakeDispatcher(
     const Installation& installation,
@@ -77,8 +77,8 @@
   dispatcher.features = installation.features.dispatcher;
   if (installation.repeats) {
     dispatcher.repeats = SplitRepeatBudget(*installation.repeats);
-    dispatcher.retry_budget = kOpenBudget;
-    dispatcher.hedge_budget = kOpenBudget;
+    dispatcher.retry_budget = kUnlimitedBudget;
+    dispatcher.hedge_budget = kUnlimitedBudget;
     dispatcher.features.class_caps = false;
     dispatcher.features.reserve = false;
     dispatcher.features.send_ahead = false;
@@ -199,12 +199,13 @@
 }
 
 void Worker::Publish(RoutingViewPtr view) {
-  boost::asio::post(*this->context,
-                    [this, view = std::move(view)] { this->Adopt(view); });
+  boost::asio::post(*this->context, [this, view = std::move(view)] {
+    this->InstallView(view);
+  });
 }
 
 void Worker::Drain() {
-  this->is_to_drain.store(true);
+  this->drain_requested.store(true);
   boost::asio::post(*this->context, [this] { this->BeginDrain(); });
 }
 
@@ -218,7 +219,7 @@
   }
 }
 
-void Worker::Adopt(const RoutingViewPtr& view) {
+void Worker::InstallView(const RoutingViewPtr& view) {
   const TimePoint now = MonotonicClock::now();
   this->current_view = view;
   this->current_caller_limits =
@@ -309,7 +310,7 @@
   }
   this->WakeTick();
   this->CountBusyLinks();
-  this->is_to_drain.store(false);
+  this->drain_requested.store(false);
 }
 
 // Failure: a VM that shuts down has no callers left and ends, while upstreams
@@ -394,10 +395,10 @@
 }
 
 void Worker::ReportRateLimits(TimePoint now) {
-  std::vector<RateLimitUpdate> news =
+  std::vector<RateLimitUpdate> updates =
       this->dispatch_host.TakeRateLimitUpdates(now);
-  if (!news.empty() && this->options.on_rate_limits) {
-    this->options.on_rate_limits(std::move(news));
+  if (!updates.empty() && this->options.on_rate_limits) {
+    this->options.on_rate_limits(std::move(updates));
   }
 }
 
@@ -417,20 +418,20 @@
   const auto others =
       static_cast<size_t>(this->counts->links.open.value() +
                           this->counts->upstream_connections.value());
-  const size_t kept = taken + others + all / kSparePart;
-  return all == 0 ? room : std::min(room, all - std::min(all, kept));
+  const size_t unavailable = taken + others + all / kReservedDivisor;
+  return all == 0 ? room : std::min(room, all - std::min(all, unavailable));
 }
 
-bool Worker::TakesCallers(TimePoint now) const {
+bool Worker::AcceptsCallers(TimePoint now) const {
   const size_t free = this->RoomForCallers();
   const size_t callers = this->sessions.size() + free;
-  return !this->is_draining && free > callers / kFreePart &&
+  return !this->is_draining && free > callers / kFreeDivisor &&
          now - this->accept_failed >= kAcceptRecovery;
 }
 
 void Worker::AskTakesCallers(std::function<void(bool takes)> answer) {
   boost::asio::post(*this->context, [this, answer = std::move(answer)] {
-    answer(this->TakesCallers(MonotonicClock::now()));
+    answer(this->AcceptsCallers(MonotonicClock::now()));
   });
 }
 
--- a/packages/node/src/worker.h
+++ b/packages/node/src/worker.h
@@ -98,7 +98,7 @@
   /// are connections of callers or, once `Drain` was called, links with work or
   /// answers of peers.
   bool busy() const {
-    return this->is_to_drain.load() || this->busy_callers() > 0 ||
+    return this->drain_requested.load() || this->busy_callers() > 0 ||
            this->busy_links() > 0;
   }
   size_t busy_callers() const { return this->open_sessions.load(); }
@@ -126,7 +126,7 @@
   Task<void> AcceptLinks();
   /// @returns how many more connections of callers are taken.
   size_t RoomForCallers() const;
-  bool TakesCallers(TimePoint now) const;
+  bool AcceptsCallers(TimePoint now) const;
   LinkTableHandlers MakeLinkHandlers();
   void OnStream(const PeerLinkPtr& link, LinkStreamPtr stream, wire::Open open);
   void ReportCrashes(TimePoint now);
@@ -142,7 +142,7 @@
   void TickQuota();
   std::string_view TeamOf(const RequestMessage& request) const;
   void TakeCounters();
-  void Adopt(const RoutingViewPtr& view);
+  void InstallView(const RoutingViewPtr& view);
   void StartSession(Socket socket);
   void BeginDrain();
 
@@ -153,7 +153,7 @@
     return this->installation.headers;
   }
   const Executor& executor() const override { return this->run_on; }
-  bool holds_open_ended() const override {
+  bool buffers_unsized_bodies() const override {
     return this->installation.messages_end_soon;
   }
   bool leaving() const override { return this->is_leaving; }
@@ -223,7 +223,7 @@
   std::atomic<size_t> open_sessions{0};
   std::atomic<size_t> links_in_use{0};
   /// From the call of `Drain` until the worker's thread acts on it.
-  std::atomic<bool> is_to_drain{false};
+  std::atomic<bool> drain_requested{false};
   std::thread thread;
 };
 
--- a/packages/node/test/accept_loop_test.cc
+++ b/packages/node/test/accept_loop_test.cc
@@ -24,15 +24,15 @@
 namespace {
 
 // No descriptor from `first` on can be had while this lives.
-class NoDescriptors {
+class DescriptorLimit {
  public:
-  explicit NoDescriptors(rlim_t first) {
+  explicit DescriptorLimit(rlim_t first) {
     getrlimit(RLIMIT_NOFILE, &this->before);
     rlimit none = this->before;
     none.rlim_cur = first;
     setrlimit(RLIMIT_NOFILE, &none);
   }
-  ~NoDescriptors() { setrlimit(RLIMIT_NOFILE, &this->before); }
+  ~DescriptorLimit() { setrlimit(RLIMIT_NOFILE, &this->before); }
 
  private:
   rlimit before{};
@@ -43,7 +43,7 @@
 TEST_GROUP(AcceptLoop) {
   IoContext io;
   Counter failures;
-  std::vector<Socket> taken;
+  std::vector<Socket> accepted;
   Acceptor acceptor{this->io};
   Socket caller{this->io};
 
@@ -53,7 +53,7 @@
     this->acceptor = std::move(listening).value();
     AcceptLoopOptions loop{"test", this->failures, {}, {}};
     loop.on_socket = [this](Socket socket) {
-      this->taken.push_back(std::move(socket));
+      this->accepted.push_back(std::move(socket));
     };
     boost::asio::co_spawn(
         this->io, basilsill::AcceptLoop(this->acceptor, std::move(loop)),
@@ -69,15 +69,15 @@
   this->caller.connect(this->acceptor.local_endpoint());
   const TimePoint began = MonotonicClock::now();
   {
-    const NoDescriptors none(0);
+    const DescriptorLimit none(0);
     while (this->failures.value() < 3) {
       this->io.run_one();
     }
   }
-  const auto most =
+  const auto max_failures =
       2 + (MonotonicClock::now() - began) / std::chrono::milliseconds(20);
-  CHECK(this->failures.value() <= static_cast<uint64_t>(most));
-  while (this->taken.empty()) {
+  CHECK(this->failures.value() <= static_cast<uint64_t>(max_failures));
+  while (this->accepted.empty()) {
     this->io.run_one();
   }
   CHECK(MonotonicClock::now() - began >= std::chrono::milliseconds(40));
@@ -88,7 +88,7 @@
 TEST(AcceptLoop, Accept_DescriptorsUsedUp_CallerIsTurnedAwayAtOnce) {
   const int next = ::dup(0);
   ::close(next);
-  const NoDescriptors none(static_cast<rlim_t>(next));
+  const DescriptorLimit none(static_cast<rlim_t>(next));
   this->caller.connect(this->acceptor.local_endpoint());
   boost::system::error_code error;
   bool is_over = false;
@@ -102,5 +102,5 @@
     this->io.run_one();
   }
   CHECK(error == boost::asio::error::connection_reset);
-  CHECK(this->taken.empty());
+  CHECK(this->accepted.empty());
 }
--- a/packages/node/test/http_fuzz.cc
+++ b/packages/node/test/http_fuzz.cc
@@ -11,8 +11,9 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  const basilsill::test::ReadingEnd end = basilsill::test::ReadRequests(bytes);
-  if (!basilsill::test::AgreesWithTheLetter(end, bytes)) {
+  const basilsill::test::ReadingOutcome end =
+      basilsill::test::ReadRequests(bytes);
+  if (!basilsill::test::AgreesWithStrictParser(end, bytes)) {
     std::abort();
   }
   basilsill::test::ReadAnswers(bytes);
--- a/packages/node/test/http_malformed_test.cc
+++ b/packages/node/test/http_malformed_test.cc
@@ -19,8 +19,8 @@
 namespace {
 
 using basilsill::HeadStatus;
-using basilsill::test::AgreesWithTheLetter;
-using basilsill::test::ReadingEnd;
+using basilsill::test::AgreesWithStrictParser;
+using basilsill::test::ReadingOutcome;
 using basilsill::test::ReadRequests;
 
 constexpr uint64_t kSeed = 20261202;
@@ -49,7 +49,7 @@
 }
 
 /// A form that is ruined in one way; the rest of it is valid.
-struct Form {
+struct InvalidMessage {
   const char* name;
   std::string bytes;
   HeadStatus status;
@@ -60,7 +60,7 @@
   return "POST /a HTTP/1.1\r\nHost: a\r\n" + field + "\r\n\r\n";
 }
 
-std::vector<Form> RuinedHeads() {
+std::vector<InvalidMessage> InvalidHeads() {
   const HeadStatus bad = HeadStatus::kMalformed;
   return {
       {"length signed", WithField("Content-Length: +5"), bad, false},
@@ -105,7 +105,7 @@
   };
 }
 
-std::vector<Form> RuinedBodies() {
+std::vector<InvalidMessage> InvalidBodies() {
   const HeadStatus ok = HeadStatus::kOk;
   const std::vector<std::pair<const char*, std::string>> chunks = {
       {"chunk size signed", "+5\r\nhello\r\n0\r\n\r\n"},
@@ -126,55 +126,55 @@
        "5\r\nhello\r\n0\r\nTransfer-Encoding: chunked\r\n\r\n"},
       {"trailer with length", "5\r\nhello\r\n0\r\nContent-Length: 5\r\n\r\n"},
   };
-  std::vector<Form> forms;
-  forms.reserve(chunks.size() + 1);
+  std::vector<InvalidMessage> messages;
+  messages.reserve(chunks.size() + 1);
   for (const auto& [name, body] : chunks) {
-    forms.push_back({name, kChunkedHead + body, ok, true});
+    messages.push_back({name, kChunkedHead + body, ok, true});
   }
-  forms.push_back(
+  messages.push_back(
       {"body cut", "PUT /a HTTP/1.1\r\nContent-Length: 9\r\n\r\nab", ok, true});
-  return forms;
+  return messages;
 }
 
-size_t Somewhere(const std::string& bytes, pcg32& random) {
+size_t RandomOffset(const std::string& bytes, pcg32& random) {
   return random(static_cast<uint32_t>(bytes.size()));
 }
 
 void Cut(std::string& bytes, pcg32& random) {
-  bytes.resize(Somewhere(bytes, random));
+  bytes.resize(RandomOffset(bytes, random));
 }
 
 void FlipBits(std::string& bytes, pcg32& random) {
   for (uint32_t left = 1 + random(3); left > 0; --left) {
-    bytes[Somewhere(bytes, random)] ^= static_cast<char>(1U << random(8));
+    bytes[RandomOffset(bytes, random)] ^= static_cast<char>(1U << random(8));
   }
 }
 
-void InsertOddity(std::string& bytes, pcg32& random) {
-  const std::string_view oddities[] = {"\n",
-                                       "\r",
-                                       "\r\n",
-                                       "\r\n ",
-                                       std::string_view("\0", 1),
-                                       "\x7f",
-                                       " ",
-                                       "\t",
-                                       ":",
-                                       ";",
-                                       "+",
-                                       "-",
-                                       "0x",
-                                       ",",
-                                       "\r\n\r\n",
-                                       "\xff",
-                                       "\r\n0\r\n\r\n"};
-  const std::string_view oddity =
-      oddities[random(static_cast<uint32_t>(std::size(oddities)))];
-  bytes.insert(Somewhere(bytes, random), oddity);
+void InsertSpecialBytes(std::string& bytes, pcg32& random) {
+  const std::string_view special_bytes[] = {"\n",
+                                            "\r",
+                                            "\r\n",
+                                            "\r\n ",
+                                            std::string_view("\0", 1),
+                                            "\x7f",
+                                            " ",
+                                            "\t",
+                                            ":",
+                                            ";",
+                                            "+",
+                                            "-",
+                                            "0x",
+                                            ",",
+                                            "\r\n\r\n",
+                                            "\xff",
+                                            "\r\n0\r\n\r\n"};
+  const std::string_view inserted =
+      special_bytes[random(static_cast<uint32_t>(std::size(special_bytes)))];
+  bytes.insert(RandomOffset(bytes, random), inserted);
 }
 
 void RepeatLine(std::string& bytes, pcg32& random) {
-  const size_t end = bytes.find("\r\n", Somewhere(bytes, random));
+  const size_t end = bytes.find("\r\n", RandomOffset(bytes, random));
   if (end == std::string::npos) {
     return;
   }
@@ -195,21 +195,21 @@
                fields[random(static_cast<uint32_t>(std::size(fields)))]);
 }
 
-void SpoilDigit(std::string& bytes, pcg32& random) {
+void MutateDigit(std::string& bytes, pcg32& random) {
   const std::string_view digits = "0123456789abcdef+- xX;";
   const size_t found =
-      bytes.find_first_of("0123456789", Somewhere(bytes, random));
+      bytes.find_first_of("0123456789", RandomOffset(bytes, random));
   if (found != std::string::npos) {
     bytes[found] = digits[random(static_cast<uint32_t>(digits.size()))];
   }
 }
 
 void DropByte(std::string& bytes, pcg32& random) {
-  bytes.erase(Somewhere(bytes, random), 1);
+  bytes.erase(RandomOffset(bytes, random), 1);
 }
 
-void Stretch(std::string& bytes, pcg32& random) {
-  const size_t at = Somewhere(bytes, random);
+void RepeatByte(std::string& bytes, pcg32& random) {
+  const size_t at = RandomOffset(bytes, random);
   bytes.insert(at, 1 + random(kLongExtension), bytes[at]);
 }
 
@@ -217,18 +217,18 @@
   const std::vector<std::string> others = ValidRequests();
   const std::string& other =
       others[random(static_cast<uint32_t>(others.size()))];
-  bytes.resize(Somewhere(bytes, random) + 1);
-  bytes += other.substr(Somewhere(other, random));
+  bytes.resize(RandomOffset(bytes, random) + 1);
+  bytes += other.substr(RandomOffset(other, random));
 }
 
 using Mutation = void (*)(std::string& bytes, pcg32& random);
 constexpr Mutation kMutations[] = {
-    Cut,        FlipBits, InsertOddity, RepeatLine, AddFraming,
-    SpoilDigit, DropByte, Stretch,      Splice,     InsertOddity};
+    Cut,         FlipBits, InsertSpecialBytes, RepeatLine, AddFraming,
+    MutateDigit, DropByte, RepeatByte,         Splice,     InsertSpecialBytes};
 
 /// @returns the valid requests, each ruined in many ways and followed by a
 /// second request.
-std::vector<std::string> RuinedCorpus() {
+std::vector<std::string> MutatedCorpus() {
   pcg32 random(kSeed);
   std::vector<std::string> corpus;
   for (const std::string& valid : ValidRequests()) {
@@ -250,10 +250,10 @@
 TEST(HttpMalformed, ValidRequests_AreTakenInWithWhatFollows) {
   for (const std::string& valid : ValidRequests()) {
     const std::string bytes = valid + kSecond;
-    const ReadingEnd end = ReadRequests(bytes);
+    const ReadingOutcome end = ReadRequests(bytes);
     CHECK_EQUAL(2, end.whole.size());
     CHECK(HeadStatus::kClosed == end.status);
-    CHECK_TEXT(AgreesWithTheLetter(end, bytes), valid.c_str());
+    CHECK_TEXT(AgreesWithStrictParser(end, bytes), valid.c_str());
   }
 }
 
@@ -262,25 +262,25 @@
 // caller's rights. Each such form ends the connection with a typed status, and
 // nothing behind it is read as a request.
 TEST(HttpMalformed, RuinedForms_EndTypedAndHideNoRequest) {
-  std::vector<Form> forms = RuinedHeads();
-  const std::vector<Form> bodies = RuinedBodies();
-  forms.insert(forms.end(), bodies.begin(), bodies.end());
-  for (const Form& form : forms) {
-    const ReadingEnd end = ReadRequests(form.bytes);
-    CHECK_TEXT(end.status == form.status, form.name);
-    CHECK_TEXT(end.body_broken == form.body_broken, form.name);
-    CHECK_TEXT(end.whole.empty(), form.name);
+  std::vector<InvalidMessage> messages = InvalidHeads();
+  const std::vector<InvalidMessage> bodies = InvalidBodies();
+  messages.insert(messages.end(), bodies.begin(), bodies.end());
+  for (const InvalidMessage& message : messages) {
+    const ReadingOutcome end = ReadRequests(message.bytes);
+    CHECK_TEXT(end.status == message.status, message.name);
+    CHECK_TEXT(end.body_broken == message.body_broken, message.name);
+    CHECK_TEXT(end.whole.empty(), message.name);
   }
 }
 
 TEST(HttpMalformed, AboutAThousandRuinedRequests_AreReadByTheLetterOrNotAtAll) {
-  const std::vector<std::string> corpus = RuinedCorpus();
+  const std::vector<std::string> corpus = MutatedCorpus();
   CHECK(corpus.size() >= 950);
   size_t refused = 0;
   for (const std::string& bytes : corpus) {
-    const ReadingEnd end = ReadRequests(bytes);
+    const ReadingOutcome end = ReadRequests(bytes);
     CHECK_TEXT(end.status != HeadStatus::kCount, bytes.c_str());
-    CHECK_TEXT(AgreesWithTheLetter(end, bytes), bytes.c_str());
+    CHECK_TEXT(AgreesWithStrictParser(end, bytes), bytes.c_str());
     refused += end.status != HeadStatus::kClosed ? 1 : 0;
   }
   // Most of the corpus must be malformed for this to test anything.
@@ -288,7 +288,7 @@
 }
 
 TEST(HttpMalformed, FuzzTarget_OverTheCorpus_Passes) {
-  for (const std::string& bytes : RuinedCorpus()) {
+  for (const std::string& bytes : MutatedCorpus()) {
     const auto* data = reinterpret_cast<const uint8_t*>(bytes.data());
     CHECK_EQUAL(0, LLVMFuzzerTestOneInput(data, bytes.size()));
   }
--- a/packages/node/test/http_reference.cc
+++ b/packages/node/test/http_reference.cc
@@ -52,7 +52,7 @@
   co_return body;
 }
 
-Task<void> ReadAllRequests(Socket& socket, ReadingEnd& end) {
+Task<void> ReadAllRequests(Socket& socket, ReadingOutcome& end) {
   RequestReader reader({});
   for (;;) {
     end.status = co_await reader.ReadHead(socket);
@@ -93,9 +93,9 @@
 bool IsToken(std::string_view text) {
   return !text.empty() &&
          std::all_of(text.begin(), text.end(), [](unsigned char c) {
-           const bool letter = (c | 0x20) >= 'a' && (c | 0x20) <= 'z';
+           const bool parser = (c | 0x20) >= 'a' && (c | 0x20) <= 'z';
            const bool digit = c >= '0' && c <= '9';
-           return letter || digit ||
+           return parser || digit ||
                   kTokenMarks.find(static_cast<char>(c)) !=
                       std::string_view::npos;
          });
@@ -132,9 +132,9 @@
 }
 
 /// Takes one request after the other off the front of the bytes.
-class Letter {
+class StrictParser {
  public:
-  explicit Letter(std::string_view bytes) : left(bytes) {}
+  explicit StrictParser(std::string_view bytes) : left(bytes) {}
 
   std::optional<ParsedRequest> Next() {
     ParsedRequest request;
@@ -262,10 +262,10 @@
 
 }  // namespace
 
-ReadingEnd ReadRequests(std::string_view bytes) {
+ReadingOutcome ReadRequests(std::string_view bytes) {
   IoContext io(1);
   SocketPair pair(io);
-  ReadingEnd end;
+  ReadingOutcome end;
   boost::asio::co_spawn(io, WriteAndClose(pair.writer, bytes),
                         boost::asio::detached);
   boost::asio::co_spawn(io, ReadAllRequests(pair.reader, end),
@@ -283,17 +283,17 @@
   io.run();
 }
 
-std::vector<ParsedRequest> ParseByTheLetter(std::string_view bytes) {
-  Letter letter(bytes);
+std::vector<ParsedRequest> ParseStrictly(std::string_view bytes) {
+  StrictParser parser(bytes);
   std::vector<ParsedRequest> requests;
-  while (auto request = letter.Next()) {
+  while (auto request = parser.Next()) {
     requests.push_back(std::move(*request));
   }
   return requests;
 }
 
-bool AgreesWithTheLetter(const ReadingEnd& end, std::string_view bytes) {
-  const std::vector<ParsedRequest> expected = ParseByTheLetter(bytes);
+bool AgreesWithStrictParser(const ReadingOutcome& end, std::string_view bytes) {
+  const std::vector<ParsedRequest> expected = ParseStrictly(bytes);
   const bool no_more = end.whole.size() <= expected.size();
   return no_more &&
          std::equal(end.whole.begin(), end.whole.end(), expected.begin());
--- a/packages/node/test/http_reference.h
+++ b/packages/node/test/http_reference.h
@@ -22,7 +22,7 @@
 };
 
 /// How the reading of a connection's bytes ended.
-struct ReadingEnd {
+struct ReadingOutcome {
   std::vector<ParsedRequest> whole;        ///< Requests taken in whole.
   HeadStatus status = HeadStatus::kCount;  ///< Of the last head.
   bool body_broken = false;                ///< The last head's body broke.
@@ -30,17 +30,17 @@
 
 /// Sends `bytes` over a loopback connection, closes it, and reads requests
 /// until the reader gives up or nothing is left.
-ReadingEnd ReadRequests(std::string_view bytes);
+ReadingOutcome ReadRequests(std::string_view bytes);
 
 /// As `ReadRequests` for answers, whose content the callers don't compare.
 void ReadAnswers(std::string_view bytes);
 
 /// @returns the requests in `bytes` up to the first that is not strictly
 /// well-formed or not whole.
-std::vector<ParsedRequest> ParseByTheLetter(std::string_view bytes);
+std::vector<ParsedRequest> ParseStrictly(std::string_view bytes);
 
 /// @returns true if the reader took in nothing that the letter does not give.
-bool AgreesWithTheLetter(const ReadingEnd& end, std::string_view bytes);
+bool AgreesWithStrictParser(const ReadingOutcome& end, std::string_view bytes);
 
 }  // namespace basilsill::test
 
--- a/packages/node/test/rate_limit_header_test.cc
+++ b/packages/node/test/rate_limit_header_test.cc
@@ -75,6 +75,6 @@
 // A header that can't be read must neither name a limit nor end one.
 TEST(RateLimitHeader, Read_Malformed_SaysNothing) {
   this->Set("many");
-  const auto told = ReadRateLimit(this->answer, this->name, {"10.0.0.1", 80});
-  CHECK(RateLimitPresence::kUnknown == told.presence);
+  const auto limit = ReadRateLimit(this->answer, this->name, {"10.0.0.1", 80});
+  CHECK(RateLimitPresence::kUnknown == limit.presence);
 }
