--- a/packages/node/src/dispatch_host.cc
+++ b/packages/node/src/dispatch_host.cc
@@ -11,7 +11,7 @@
 
 #include "attempt_log.h"
 #include "basilsill/node/task_end.h"
-#include "upstream_question.h"
+#include "load_query.h"
 
 namespace basilsill {
 namespace {
--- a/packages/node/src/upstream_question.cc
+++ b/packages/node/src/load_query.cc
@@ -1,4 +1,4 @@
-#include "upstream_question.h"
+#include "load_query.h"
 
 #include <algorithm>
 #include <chrono>
--- a/packages/node/src/upstream_question.h
+++ b/packages/node/src/load_query.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_NODE_UPSTREAM_QUESTION_H_
-#define BASILSILL_NODE_UPSTREAM_QUESTION_H_
+#ifndef BASILSILL_NODE_LOAD_QUERY_H_
+#define BASILSILL_NODE_LOAD_QUERY_H_
 
 #include <string>
 
@@ -19,4 +19,4 @@
 
 }  // namespace basilsill
 
-#endif  // BASILSILL_NODE_UPSTREAM_QUESTION_H_
+#endif  // BASILSILL_NODE_LOAD_QUERY_H_
--- a/packages/node/src/node.cc
+++ b/packages/node/src/node.cc
@@ -155,7 +155,7 @@
   };
   handlers.on_as_of = [this](LeaseTime as_of) {
     for (const auto& worker : this->traffic) {
-      worker->ImportAsOf(as_of);
+      worker->ImportConfigurationAsOf(as_of);
     }
   };
   handlers.on_quota_answer = [this](uint16_t worker,
@@ -281,10 +281,11 @@
   const auto inquiry =
       std::make_shared<Inquiry>(this->context, this->traffic.size());
   for (const auto& worker : this->traffic) {
-    worker->AskTakesCallers([&context = this->context, inquiry](bool takes) {
-      boost::asio::post(context,
-                        [inquiry, takes] { inquiry->OnAnswer(takes); });
-    });
+    worker->QueryAcceptsCallers(
+        [&context = this->context, inquiry](bool takes) {
+          boost::asio::post(context,
+                            [inquiry, takes] { inquiry->OnAnswer(takes); });
+        });
   }
   boost::system::error_code answered;
   co_await inquiry->over.async_wait(
@@ -372,7 +373,7 @@
   LogDraining(this->settings.vm.name);
   // From here on each answer asks its caller to come on another connection.
   for (const auto& worker : this->traffic) {
-    worker->Announce();
+    worker->AnnounceLeave();
   }
   // Peers stop sending work here at once; callers come until the platform's
   // balancer has seen readiness fail.
--- a/packages/node/src/worker.cc
+++ b/packages/node/src/worker.cc
@@ -229,7 +229,7 @@
   this->links.ApplyView(view);
 }
 
-void Worker::ImportAsOf(LeaseTime as_of) {
+void Worker::ImportConfigurationAsOf(LeaseTime as_of) {
   const milliseconds age = this->installation.api_key_max_age;
   if (age.count() == 0 || as_of == LeaseTime::min()) {
     return;
@@ -290,7 +290,7 @@
   this->PumpQuota(now);
 }
 
-void Worker::Announce() {
+void Worker::AnnounceLeave() {
   boost::asio::post(*this->context, [this] { this->is_leaving = true; });
 }
 
@@ -429,7 +429,7 @@
          now - this->accept_failed >= kAcceptRecovery;
 }
 
-void Worker::AskTakesCallers(std::function<void(bool takes)> answer) {
+void Worker::QueryAcceptsCallers(std::function<void(bool takes)> answer) {
   boost::asio::post(*this->context, [this, answer = std::move(answer)] {
     answer(this->AcceptsCallers(MonotonicClock::now()));
   });
--- a/packages/node/src/worker.h
+++ b/packages/node/src/worker.h
@@ -73,7 +73,7 @@
 
   /// The configuration of the view that was published last certainly was the
   /// newest then.
-  void ImportAsOf(LeaseTime as_of);
+  void ImportConfigurationAsOf(LeaseTime as_of);
 
   /// Takes in the answer to what was asked of a lender.
   void ImportQuota(QuotaAnswer answer);
@@ -82,10 +82,10 @@
   /// a part of the room for them is free. A thread that hangs or spins never
   /// answers.
   /// @param answer Called on the worker's thread.
-  void AskTakesCallers(std::function<void(bool takes)> answer);
+  void QueryAcceptsCallers(std::function<void(bool takes)> answer);
 
   /// From here on answers ask callers to use another connection next time.
-  void Announce();
+  void AnnounceLeave();
 
   /// Takes no new callers; what is in flight ends.
   void Drain();
--- a/packages/node/test/path_test.cc
+++ b/packages/node/test/path_test.cc
@@ -396,6 +396,7 @@
   CHECK(basilsill::test::WaitUntil(
       [&] { return worker->metrics()->caller_connections.value() == 14; }));
   std::promise<bool> takes;
-  worker->AskTakesCallers([&takes](bool answer) { takes.set_value(answer); });
+  worker->QueryAcceptsCallers(
+      [&takes](bool answer) { takes.set_value(answer); });
   CHECK_FALSE(takes.get_future().get());
 }
