--- a/packages/node/src/accept_loop.cc
+++ b/packages/node/src/accept_loop.cc
@@ -13,8 +13,9 @@
   Log(Event::kAcceptFailed, {{"port", port}, {"error", error.message()}});
 }
 
-// A descriptor that is given up for a moment when there is no other, to take a
-// connection and turn it away. Left waiting, its caller would not know.
+// Keeps one file descriptor in reserve. When no other is free, the reserve is
+// closed to accept one connection and reset it; the client of a connection that
+// is left in the backlog would not notice that it can't be served.
 class ReservedDescriptor {
  public:
   explicit ReservedDescriptor(Acceptor& acceptor)
@@ -24,8 +25,8 @@
     this->Acquire();
   }
 
-  // @returns no error if the next connection was turned away, would_block if
-  // none waits, or why it can't be had even so.
+  // @returns no error if the next connection was reset, would_block if none is
+  // pending, or why accepting failed despite the free descriptor.
   NetError ResetNextConnection() {
     NetError error;
     this->placeholder.close(error);
--- a/packages/node/src/accept_loop.h
+++ b/packages/node/src/accept_loop.h
@@ -7,22 +7,23 @@
 #include "metrics.h"
 #include "net.h"
 
-/// Takes connections in at one port, for as long as it is open.
+/// Accepts the connections of one listening port until it is closed.
 
 namespace basilsill {
 
 struct AcceptLoopOptions {
-  std::string_view port;  ///< What connects there, as the log names it.
+  std::string_view port;  ///< Name of the port in the log.
   Counter& failures;
   std::function<void(Socket)> on_socket;
-  /// May be empty.
+  /// Called after each failed accept; may be empty.
   std::function<void()> on_failure;
 };
 
-/// @remarks Out of descriptors, connections are reset, so that those who opened
-/// them go elsewhere at once. Out of anything else, accepting is tried again a
-/// moment later: at once, it would take all of the thread's time, as the
-/// connection still waits.
+/// Accepts connections until `acceptor` is closed, and passes each to
+/// `on_socket`. If the process has no free file descriptor, waiting connections
+/// are reset, so that their clients can connect elsewhere at once. After any
+/// other error, the loop waits before it tries again: the connection is still
+/// pending, so an immediate retry would fail again and keep the thread busy.
 Task<void> AcceptLoop(Acceptor& acceptor, AcceptLoopOptions options);
 
 }  // namespace basilsill
--- a/packages/node/src/async_event.h
+++ b/packages/node/src/async_event.h
@@ -5,7 +5,8 @@
 
 namespace basilsill {
 
-/// Wakes one coroutine of the same thread. A `Set` before `Wait` is kept.
+/// Resumes one waiting coroutine of the same thread. A `Set` before `Wait` is
+/// not lost.
 class AsyncEvent {
  public:
   explicit AsyncEvent(const Executor& executor)
@@ -29,8 +30,8 @@
   bool is_set = false;
 };
 
-/// Wakes all coroutines of the same thread that wait for a condition. They
-/// check the condition themselves, before they wait and again after.
+/// Resumes all coroutines of the same thread that wait for a condition. Each of
+/// them checks the condition before it waits and again afterwards.
 class AsyncBroadcast {
  public:
   explicit AsyncBroadcast(const Executor& executor)
@@ -38,7 +39,7 @@
 
   void Notify() { this->timer.cancel(); }
 
-  /// Returns after the next `Notify`.
+  /// Returns after the next `Notify`; an earlier one has no effect.
   Task<void> Wait() { co_await this->timer.async_wait(kTask); }
 
  private:
--- a/packages/node/src/attempt_log.h
+++ b/packages/node/src/attempt_log.h
@@ -6,25 +6,26 @@
 #include "basilsill/base/endpoint.h"
 #include "basilsill/decision/dispatch.h"
 
-/// What the log tells of attempts at upstreams and of upstreams themselves.
+/// Log lines about attempts at upstreams and about state changes of upstreams.
 
 namespace basilsill {
 
 /// One attempt that has ended.
 struct EndedAttempt {
   const std::string& request_id;
-  const std::string& upstream;  ///< Its id, or its endpoint.
+  const std::string& upstream;  ///< Its instance id, or its endpoint.
   const DispatchAction& action;
   const AttemptReport& report;
-  Duration waited;  ///< From the request's arrival at the dispatcher.
-  Duration took;    ///< At the upstream.
+  Duration waited;  ///< Time in the queue: from arrival at the dispatcher.
+  Duration took;    ///< Time at the upstream.
 };
 
-/// One line an attempt. Failures have an event of their own, so that a flood of
-/// successes does not crowd them out.
+/// Logs one line for each attempt. Failures have an event of their own, so that
+/// they remain visible among many successes.
 void LogAttempt(const EndedAttempt& attempt);
 
-/// Kinds that only tell of scheduling have no line.
+/// Logs a state change of an upstream. Events that concern only scheduling are
+/// not logged.
 void LogUpstreamEvent(const UpstreamEvent& event, const Endpoint& upstream);
 
 }  // namespace basilsill
--- a/packages/node/src/caller_exchange.cc
+++ b/packages/node/src/caller_exchange.cc
@@ -22,19 +22,20 @@
 namespace http = boost::beast::http;
 using std::chrono::milliseconds;
 
-// A body up to this size is held whole: it can be sent again on a retry and
-// goes out with its head in one write.
+// A body up to this size is buffered completely: it can be sent again on a
+// retry, and it is sent with the request head in one write.
 constexpr uint64_t kBufferedBodyBytes = 16 * 1024;
-// A request that must not repeat is compared by body with its resends, so its
-// body is held whole up to this size and refused above it.
+// The body of a request that must not repeat is compared with the bodies of its
+// retries, so it is buffered up to this size; a larger one is refused.
 constexpr uint64_t kOnceBodyBytes = 64 * 1024;
-// Whoever works on a request ends it at its deadline. One whose dispatcher is
-// frozen or cut off is ended here, this much later, so that the caller gets an
-// answer at all and the usual case keeps its better reason.
+// The component that works on a request ends it at its deadline. If that
+// component does not respond, for example a dispatcher on a VM that is frozen
+// or unreachable, the entry VM ends the request. It does so this much later, so
+// that in the usual case the caller gets the more specific reason.
 constexpr milliseconds kDeadlineGrace{40};
-// A node learns its configuration within some tenths of a second of its start,
-// or when the platform's trouble ends, which takes seconds: a caller that
-// comes back sooner has used up a try for nothing.
+// A node receives its configuration within a few tenths of a second after its
+// start, or when an outage of the platform ends, which takes seconds. A caller
+// that retries earlier wastes an attempt.
 constexpr milliseconds kNoConfigurationRetryAfter{1000};
 
 std::string HostOf(const HttpFields& headers) {
@@ -46,8 +47,8 @@
   return ToLowerAscii(host);
 }
 
-// With no host or two, what a rule matches and what the upstream serves could
-// be different things.
+// Without a Host header, or with two, the rule could be matched by another host
+// than the one that the upstream serves.
 bool HasOneHost(const HttpFields& headers, bool http_1_0) {
   const size_t count = headers.count(http::field::host);
   return count == 1 || (http_1_0 && count == 0);
@@ -57,8 +58,8 @@
   return HeaderValue(*static_cast<const HttpFields*>(headers), name);
 }
 
-// The deadline a caller asks for can shorten or lengthen that of the rule,
-// within the system's own limit.
+// The deadline that a caller requests replaces that of the rule, up to the
+// limit of the system.
 milliseconds DeadlineOf(std::string_view text, const RuleRow& rule) {
   const std::optional<int64_t> asked = ParseNumber<int64_t>(text);
   if (!asked || *asked < 0) {
@@ -142,9 +143,9 @@
   return true;
 }
 
-// Each request of a connection is judged by its own key. One that no team has
-// may be of a configuration that has not come yet, so it is called unknown only
-// while the configuration is known to be a new one.
+// Authenticates each request of a connection by its own API key. An unknown key
+// may belong to a configuration that has not arrived yet, so the key is refused
+// as unknown only while the configuration is verified to be recent.
 bool CallerExchange::CheckApiKey(const HttpFields& headers,
                                  const RuleRow& rule) {
   if (!rule.requires_api_key) {
@@ -171,7 +172,8 @@
   return true;
 }
 
-// Upstreams hear which team asks from here alone.
+// Sets the team header for upstreams; a caller's own header of that name is
+// removed, so that no caller can claim another team.
 void CallerExchange::SetTeam(const RuleRow& rule) {
   const RoutingView& view = *this->host.view();
   const HeaderNames& names = this->host.names();
@@ -268,7 +270,8 @@
   }
 }
 
-// What the caller is told of a request that was ended from here.
+// A request that was cancelled here at its deadline is reported as an upstream
+// timeout, not as abandoned by its caller.
 ServeOutcome CallerExchange::MapExpiredOutcome(ServeOutcome outcome) const {
   const bool ended_here =
       this->expired && outcome.refusal == Refusal::kCallerGone;
@@ -285,9 +288,10 @@
       {refusal, this->answer_aborted, MonotonicClock::now() - this->began});
 }
 
-// A request counts as soon as it goes on, wherever it waits from then on: it
-// was sent before and reaches an upstream after, so what counts in a window
-// here is no less than what counts there.
+// A request takes its credit before it is passed on, wherever it is queued
+// afterwards. It was sent before this point and reaches an upstream after it,
+// so the count of a window here is at least the count of that window at the
+// upstreams.
 Task<ServeOutcome> CallerExchange::ServeWithinQuota() {
   const TeamRow* team = FindTeam(*this->host.view(), this->request.entry.team);
   if (team == nullptr || team->limits.requests_per_second <= 0) {
@@ -435,8 +439,8 @@
   if (this->abandoned) {
     return;
   }
-  // A request that must not repeat goes on without its caller, so that the
-  // resend finds an answer.
+  // A request that must not repeat continues without its caller, so that a
+  // retry gets its answer.
   this->abandoned = true;
   this->turn.Set();
   if (!this->request.once) {
@@ -445,7 +449,8 @@
 }
 
 void CallerExchange::Tick(TimePoint now) {
-  // Taken off this side: a deadline that is never can't grow.
+  // The grace is subtracted from `now`: adding it to a deadline of kNever would
+  // overflow.
   const bool late = now - kDeadlineGrace >= this->request.entry.deadline;
   if (late && !this->has_started && !this->expired && !this->abandoned &&
       !this->request.once) {
@@ -454,8 +459,8 @@
   }
 }
 
-// Closing the connection alone would leave whoever waits for a silent upstream
-// waiting.
+// Notifies the component that works on the request. Closing the caller's
+// connection would not end a wait for a silent upstream.
 void CallerExchange::CancelWork() {
   this->request.caller_gone = true;
   if (this->request.on_caller_gone) {
--- a/packages/node/src/caller_exchange.h
+++ b/packages/node/src/caller_exchange.h
@@ -10,64 +10,69 @@
 #include "http_message.h"
 #include "http_reader.h"
 
-/// One request of a caller with its answer. A connection can have several at
-/// once; each writes its answer when it is its turn.
+/// One request of a caller and its answer. A connection can have several in
+/// flight; their answers are written in the order of the requests.
 
 namespace basilsill {
 
-/// The connection, as an exchange sees it.
+/// The part of a connection that its exchanges use.
 class CallerWriter {
  public:
   virtual ~CallerWriter() = default;
 
-  /// @returns true if the connection has to close after the answer that is
-  /// about to be written; no further request is then taken from it.
+  /// Decides whether the connection closes after the answer that is about to be
+  /// written. If it does, no further request is read from it.
+  /// @param must_close The exchange requires the close.
+  /// @returns true if the connection closes.
   virtual bool DecideClose(bool must_close) = 0;
 
-  /// Writes bytes of the answer whose turn it is.
+  /// Writes bytes of the answer of the first exchange in order.
   virtual Task<NetError> Write(
       std::span<const boost::asio::const_buffer> buffers) = 0;
 
-  /// The answer can't be finished: the caller must see that.
+  /// Resets the connection, so that the caller sees that the answer is
+  /// incomplete.
   virtual void AbortConnection() = 0;
 };
 
 class CallerExchange : public std::enable_shared_from_this<CallerExchange>,
                        private AnswerSink {
  public:
-  /// @param writer Outlives the exchange, as does `host`.
+  /// @param writer Must outlive the exchange, as must `host`.
   CallerExchange(CallerHost& host, CallerWriter& writer);
 
-  /// Takes over what the head says.
+  /// Reads the request's properties from its head.
   /// @param reader Has read the head of the request.
   /// @returns false if the request is refused whatever its body is; `Serve`
-  /// then only refuses it.
+  /// then only sends the refusal.
   bool TakeHead(RequestReader& reader);
 
-  /// The request can't be read; `Serve` only refuses it.
+  /// Marks the request as unreadable; `Serve` then only sends the refusal.
   void SetFault(Refusal refusal);
 
-  /// The rest of the body stays unread: the connection ends with the answer.
+  /// The rest of the body is not read: the connection closes after the answer.
   void LeaveBodyUnread() { this->must_close = true; }
 
-  /// Gives the whole body of a request that came in chunks.
+  /// Sets the complete body of a request that was sent in chunks.
   void SetWholeBody(std::string body);
 
-  /// Has the request served and its answer written.
+  /// Serves the request and writes its answer.
   Task<void> Serve();
 
-  /// It is this exchange's turn to write.
+  /// Allows this exchange to write: all earlier answers have been written.
   void SetTurn() { this->turn.Set(); }
 
-  /// The caller is gone: work for it ends.
+  /// The caller has disconnected: cancels the request, unless it must not
+  /// repeat.
   void Abandon();
 
-  /// Ends a request that is past its time, whoever still works on it.
+  /// Cancels a request that is past its deadline, whichever component works on
+  /// it.
   void Tick(TimePoint now);
 
   RequestMessage& message() { return this->request; }
 
-  /// @returns true if `Serve` needs the body whole.
+  /// @returns true if `Serve` needs the complete body.
   bool wants_whole_body() const;
 
   bool answer_started() const { return this->has_started; }
@@ -99,7 +104,8 @@
   CallerHost& host;
   CallerWriter& writer;
   RequestMessage request;
-  TeamHandle key_team;  ///< Whose API key the caller gave, if it needs one.
+  TeamHandle key_team;  ///< The team of the caller's API key; invalid if the
+                        ///< rule requires none.
   Refusal fault = Refusal::kNone;
   AsyncEvent turn;
   std::string out;
@@ -112,7 +118,7 @@
   bool has_started = false;
   bool expired = false;
   bool abandoned = false;
-  bool answer_aborted = false;  ///< The answer, by this side.
+  bool answer_aborted = false;  ///< The answer broke off before its end.
 };
 
 }  // namespace basilsill
--- a/packages/node/src/caller_host.h
+++ b/packages/node/src/caller_host.h
@@ -10,7 +10,7 @@
 #include "http_message.h"
 #include "metrics.h"
 
-/// What connections of callers need of their worker.
+/// Interface through which the connections of callers use their worker.
 
 namespace basilsill {
 
@@ -19,8 +19,8 @@
 
 /// How a request of a caller ended.
 struct RequestEnd {
-  Refusal refusal = Refusal::kNone;  ///< kNone if it was answered.
-  bool broken = false;               ///< Its answer was cut off visibly.
+  Refusal refusal = Refusal::kNone;  ///< kNone if an answer was sent.
+  bool broken = false;               ///< The answer broke off before its end.
   Duration elapsed{0};
 };
 
@@ -33,45 +33,46 @@
   virtual EntryHost& entry() = 0;
   virtual const Executor& executor() const = 0;
 
-  /// @returns true if also bodies without a length are held until they end.
+  /// @returns true if bodies without a known length are buffered too.
   virtual bool buffers_unsized_bodies() const = 0;
 
-  /// @returns true once answers should ask callers to come back on another
-  /// connection: this node is about to leave.
+  /// @returns true once answers should close their connection, because this
+  /// node is about to leave and callers should connect elsewhere.
   virtual bool leaving() const = 0;
 
-  /// @returns true once idle connections are closed: this node is leaving and
-  /// the balancer had time to look away.
+  /// @returns true once idle connections are closed: this node is leaving, and
+  /// the external balancer has had time to stop sending to it.
   virtual bool draining() const = 0;
 
   virtual std::string NewRequestId() = 0;
   virtual const std::string& via() const = 0;
 
-  /// @returns what callers may send now, and how long they may take.
+  /// @returns the current limits on sizes and times of callers' requests.
   virtual const CallerLimits& caller_limits() const = 0;
 
-  /// @returns the counts of the thread.
+  /// @returns the metrics of this worker.
   virtual WorkerMetrics& counters() = 0;
 
-  /// @returns the longest time from a request's head to its answer's end.
+  /// @returns the maximum time from a request's head to the end of its answer.
   virtual std::chrono::milliseconds request_total() const = 0;
 
-  /// @returns what a request that must not repeat needs.
+  /// @returns the services for requests that must not repeat.
   virtual OnceServices once_services() = 0;
 
-  /// @returns a number that was never returned before.
+  /// @returns a number that this process has not returned before.
   virtual uint64_t NextOnceSequence() = 0;
 
-  /// @returns which service gets the next request of `rule`.
+  /// @returns the service for the next request of `rule`.
   virtual ServiceHandle ChooseService(const RuleRow& rule) = 0;
 
-  /// @returns true while API keys of callers may be relied on.
+  /// @returns true while the configuration is recent enough to check API keys.
   virtual bool api_keys_verified() const = 0;
 
-  /// Takes a credit of `team`'s quota for a request, from a lender if need be.
+  /// Takes one credit of `team`'s quota for a request; borrows it from the
+  /// quota's lender if necessary.
   virtual Task<QuotaDecision> TakeQuota(TeamKey team) = 0;
 
-  /// The request that has `credit` has ended without having run.
+  /// Returns `credit`, because its request ended without having run.
   virtual void ReturnQuota(TeamKey team, const QuotaCredit& credit) = 0;
 
   /// Counts the start of a request.
--- a/packages/node/src/caller_session.cc
+++ b/packages/node/src/caller_session.cc
@@ -13,18 +13,19 @@
 
 using std::chrono::milliseconds;
 
-// Requests of one connection that are in flight at once; later ones stay
-// unread. A caller that sends more than it takes is held up by its own window.
+// Maximum number of requests of one connection in flight; later ones stay
+// unread. A caller that sends more is slowed down by TCP flow control.
 constexpr size_t kMaxInFlight = 16;
-// A chunked body up to this size is held whole, like one with a length.
+// A chunked body up to this size is buffered completely, like one with a
+// length.
 constexpr size_t kBufferedBodyBytes = 16 * 1024;
-// How long the caller may take to close after the last answer. Closing before
-// it has read that answer, with bytes of its own still unread here, would
-// reset the connection and destroy what is on its way: 90 KB take a tenth of a
-// second on a slow VM's link, and more when several answers share it.
+// Time for the caller to close after the last answer. Closing earlier, with
+// unread bytes of the caller in the socket, would reset the connection and
+// destroy the part of the answer that is still on its way: 90 KB take a tenth
+// of a second on a slow VM's link, and more when several answers share it.
 constexpr milliseconds kLingerTime{1500};
-// A caller may use a connection for as long as the limit says; it is closed
-// here a little later, so that none crosses the close.
+// An idle connection is closed this much later than the advertised limit, so
+// that no request that is sent within the limit crosses the close.
 constexpr milliseconds kIdleGrace{1000};
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -57,16 +58,16 @@
   } else if (this->closing) {
     co_await this->ShutdownAndLinger();
   } else {
-    // Nobody was told that this connection closes, so a request may be on its
-    // way. Reading it would be taking it in; unread, it is reset, and the
-    // caller knows that it can send it again.
+    // The caller was not told that this connection closes, so a request may be
+    // on its way. It is left unread: the caller then sees a reset and knows
+    // that the request can be sent again.
     NetError ignored;
     this->socket.close(ignored);
   }
 }
 
-// Reading goes on while requests are served: it is also what notices that the
-// caller has gone.
+// Reading continues while requests are served, which also detects that the
+// caller has disconnected.
 Task<bool> CallerSession::ReadOne() {
   this->reader.SetLimits(ReaderLimits(this->host.caller_limits()));
   const HeadStatus status = co_await this->reader.ReadHead(this->socket);
@@ -90,8 +91,8 @@
   const bool keep = this->reader.message().keep_alive();
   const bool whole = co_await this->ReadWholeBody(*exchange);
   if (this->broken) {
-    // Never begun, but counted: without its end the worker would not come to
-    // rest again.
+    // The request was counted when its head arrived but never served. Without
+    // its end the worker would never become idle.
     exchange->Abandon();
     co_await this->ServeInline(exchange);
     co_return false;
@@ -111,12 +112,11 @@
   co_return keep || !this->exchanges.empty();
 }
 
-// Failure: a caller sends request after request without waiting for answers. A
-// VM that shuts down would take one behind the other; their answers wait for
-// the first, and those that had no turn at the limit are lost. So what comes
-// behind a request at work is left unread: not served and not answered, and the
-// caller sends it again elsewhere, as it does once it was told that the
-// connection closes.
+// Failure: a caller pipelines requests at a VM that shuts down. The answers
+// wait for the first one, and those that are not written by the end of the
+// drain are lost. So requests behind one in flight are left unread: they are
+// neither served nor answered, and the caller sends them again elsewhere, as it
+// does after an answer that closes the connection.
 bool CallerSession::LeavesRequestUnread() const {
   return this->host.draining() && !this->exchanges.empty();
 }
@@ -164,7 +164,7 @@
   this->Remove(exchange);
 }
 
-// @returns true if the body is whole now, false if it has to be streamed.
+// @returns true if the complete body was read, false if it has to be streamed.
 Task<bool> CallerSession::ReadWholeBody(CallerExchange& exchange) {
   const BodyFraming framing = this->reader.framing();
   std::string& body = exchange.message().whole_body;
@@ -195,9 +195,9 @@
   co_return true;
 }
 
-// A chunked body that turns out to be short is passed on with its length, so
-// that it can be sent again; a longer one is streamed, beginning with what was
-// read of it.
+// A short chunked body is passed on with its length, so that it can be sent
+// again on a retry. A longer one is streamed, starting with the bytes that were
+// read here.
 Task<bool> CallerSession::ReadChunkedBody(CallerExchange& exchange) {
   std::string body;
   BodyPiece piece;
@@ -244,7 +244,7 @@
   co_return piece;
 }
 
-// What only this VM may say of a request it may say at its end, too.
+// Removes trailers with the names of headers that only this VM may set.
 void CallerSession::FilterTrailers(bool at_end) {
   const HttpFields* trailers = at_end ? this->reader.trailers() : nullptr;
   this->forwarded_trailers.reset();
@@ -256,14 +256,14 @@
 }
 
 void CallerSession::Stop() {
-  // Only a read can be pending: the answer was written to its end.
+  // Only a read can be pending: the answer was written completely.
   NetError ignored;
   this->socket.cancel(ignored);
 }
 
-// With others behind it an answer does not close the connection: they may run
-// already, and would be lost. Bytes of a request that is not served any more
-// are no reason to keep it open.
+// An answer does not close the connection while later requests are in flight:
+// they may be running, and their answers would be lost. Unread bytes of a
+// request that will not be served do not keep the connection open.
 bool CallerSession::DecideClose(bool must_close) {
   const bool is_alone = this->exchanges.size() <= 1;
   const bool has_next = this->reader.has_more() && !this->host.draining();
@@ -297,10 +297,10 @@
   }
 }
 
-// Closing while bytes of the caller are still unread sends a reset, which can
-// overtake the answer and destroy it before the caller has read it. So the
-// sending side is closed first, and what still comes is read and dropped, for
-// a short while.
+// Closing while bytes of the caller are unread sends a reset, which can
+// overtake the answer and destroy it before the caller has read it. So only the
+// sending side is shut down, and further input is read and discarded for a
+// short time.
 Task<void> CallerSession::ShutdownAndLinger() {
   this->BeginLinger();
   std::vector<char> dropped(kBufferedBodyBytes);
@@ -313,7 +313,8 @@
   this->socket.close(ignored);
 }
 
-// From here on the caller has to close; `Tick` does it for one that does not.
+// From here on the caller is expected to close; `Tick` closes the connection if
+// it does not.
 void CallerSession::BeginLinger() {
   this->lingering_since =
       std::min(this->lingering_since, MonotonicClock::now());
@@ -321,10 +322,10 @@
   this->socket.shutdown(Tcp::socket::shutdown_send, ignored);
 }
 
-// Failure: a VM that shuts down closes what has no request in flight, and the
-// last answer of such a connection is still on its way. It shows as half an
-// answer, where bytes of the caller come behind it. One that lingers closes by
-// itself.
+// Failure: a VM that shuts down closes connections without a request in flight
+// while the last answer is still on its way. With unread bytes of the caller
+// behind it, the caller receives half an answer. A connection that lingers
+// closes by itself.
 void CallerSession::Drain() {
   const bool is_lingering = this->lingering_since != kNever;
   if (!is_lingering && this->exchanges.empty() && !this->reader.has_more()) {
@@ -363,7 +364,7 @@
 }
 
 // A caller that does not read its answer, or stops sending its body, would
-// hold memory for ever.
+// occupy memory indefinitely.
 bool CallerSession::IsStalled(TimePoint now) const {
   const milliseconds stall_timeout = this->host.caller_limits().idle_timeout;
   const CallerExchange& first = *this->exchanges.front();
--- a/packages/node/src/caller_session.h
+++ b/packages/node/src/caller_session.h
@@ -12,8 +12,8 @@
 #include "http_reader.h"
 #include "net.h"
 
-/// One connection of a caller. Reads requests while earlier ones are being
-/// served, and lets the answers out in the order of the requests.
+/// One connection of a caller. Reads further requests while earlier ones are
+/// being served, and writes the answers in the order of the requests.
 
 namespace basilsill {
 
@@ -23,14 +23,14 @@
  public:
   CallerSession(CallerHost& host, Socket socket);
 
-  /// Serves the connection to its end.
+  /// Serves the connection until it is closed.
   Task<void> Run();
 
-  /// Ends the connection once no request is in flight on it.
+  /// Closes the connection if no request is in flight on it.
   void Drain();
 
-  /// Called now and then by the worker: closes connections that are idle for
-  /// too long, and ends requests that stall or take too long.
+  /// Called periodically by the worker: closes connections that have been idle
+  /// for too long, and ends requests that stall or exceed their time limit.
   void Tick(TimePoint now);
 
  private:
@@ -72,17 +72,20 @@
   CallerHost& host;
   Socket socket;
   RequestReader reader;
-  std::deque<ExchangePtr> exchanges;  ///< The first one may write.
-  AsyncBroadcast changed;             ///< Of `exchanges`.
-  /// Of the body that was read last, without what callers may not say.
+  std::deque<ExchangePtr>
+      exchanges;           ///< In order; the first may write its answer.
+  AsyncBroadcast changed;  ///< An exchange was removed.
+  /// Trailers of the last body read, without headers reserved to this VM.
   std::optional<HttpFields> forwarded_trailers;
-  std::string body_prefix;  ///< Read already, of the body being streamed.
+  std::string body_prefix;  ///< Start of the streamed body, already read.
   TimePoint idle_since;
-  TimePoint head_since = kNever;  ///< First byte of a head that is not whole.
-  TimePoint reading_since = kNever;    ///< Of the body read that is pending.
-  bool awaits_continue = false;        ///< And was not told yet.
-  TimePoint lingering_since = kNever;  ///< The caller has to close since then.
-  bool closing = false;                ///< No further request is taken.
+  TimePoint head_since = kNever;     ///< Start of an incomplete request head.
+  TimePoint reading_since = kNever;  ///< Start of the pending body read.
+  bool awaits_continue =
+      false;  ///< The caller expects 100 Continue, not sent yet.
+  TimePoint lingering_since =
+      kNever;            ///< Start of the wait for the caller to close.
+  bool closing = false;  ///< No further request is read.
   bool broken = false;
 };
 
--- a/packages/node/src/claim_host.cc
+++ b/packages/node/src/claim_host.cc
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
-// Ticks come at least so often, and never closer together than the least.
+// Bounds of the interval between ticks.
 constexpr milliseconds kMaxTickInterval{100};
 constexpr milliseconds kMinTickInterval{1};
 
@@ -121,7 +121,8 @@
   }
 }
 
-// Carrying out one action can bring more; they are taken in rounds.
+// Performing one action can make the table emit more, so they are performed in
+// rounds until none is left.
 void ClaimHost::Pump() {
   if (this->pumping) {
     return;
@@ -135,7 +136,7 @@
     }
   }
   this->pumping = false;
-  // What was asked for may be due sooner than the tick that is waited for.
+  // The new work may be due before the pending tick.
   const TimePoint now = MonotonicClock::now();
   if (this->table->NextTick(now) - now < kMaxTickInterval) {
     this->tick.cancel();
--- a/packages/node/src/claim_host.h
+++ b/packages/node/src/claim_host.h
@@ -15,12 +15,13 @@
 #include "basilsill/platform/log_client.h"
 #include "metrics.h"
 
-/// Carries out what the ClaimTable of this VM decides: appends and reads the
-/// claims' streams of the platform's log, and tells holders their verdicts.
+/// Runs the ClaimTable of this VM: appends to and reads from the claims'
+/// streams of the platform's log, and reports verdicts to the holders of
+/// attempts.
 
 namespace basilsill {
 
-/// What became of a request for a claim.
+/// The result of a request for a claim.
 struct ClaimVerdict {
   enum class Kind : uint8_t { kGranted, kRefused, kReplay, kCount };
 
@@ -30,8 +31,8 @@
   StoredResponse answer;
 };
 
-/// Belongs to the control thread; `Ask` and `Finish` may be called on any
-/// thread.
+/// Belongs to the control thread; `RequestClaim` and `Finish` may be called
+/// from any thread.
 class ClaimHost {
  public:
   using OnVerdict = std::function<void(ClaimVerdict)>;
@@ -44,17 +45,17 @@
   void Start();
   void Stop();
 
-  /// Asks for a claim.
-  /// @param tell Called once, on the control thread.
+  /// Requests a claim.
+  /// @param on_verdict Called once, on the control thread.
   void RequestClaim(ClaimRequest request, OnVerdict on_verdict);
 
-  /// Tells how a granted attempt ended.
+  /// Reports how a granted attempt ended.
   void Finish(ClaimEnd end);
 
-  /// Membership or ownership of partitions changed.
+  /// Applies a change of membership or of the ownership of partitions.
   void ApplyFleet(const ClaimFleet& fleet);
 
-  /// @returns true if nobody waits and all ends are in the log.
+  /// @returns true if no request is waiting and all ends are in the log.
   bool IsIdle() const { return this->table->IsIdle(); }
   const ClaimCounters& counters() const { return this->table->counters(); }
 
--- a/packages/node/src/dispatch_host.cc
+++ b/packages/node/src/dispatch_host.cc
@@ -16,7 +16,7 @@
 namespace basilsill {
 namespace {
 
-/// Where an upstream is, as the view has it.
+/// An upstream's rows in the view; null if the view has none.
 struct FoundUpstream {
   const ServiceRow* service = nullptr;
   const UpstreamRow* row = nullptr;
@@ -47,8 +47,8 @@
   return {};
 }
 
-// @returns what is left of the time in which an answer is a good one, at least
-// the shortest that counts; 0 if nothing is known.
+// @returns the time left to meet the request's latency target, at least 1 ms; 0
+// if it has no target.
 ShortMillis GoodFor(TimePoint now, const RequestMessage& request) {
   if (request.good_until == kNever) {
     return ShortMillis(0);
@@ -58,7 +58,7 @@
       std::max<Duration>(left, ShortMillis(1)));
 }
 
-// Passes a held answer on, piece by piece.
+// Writes a buffered answer to `sink`, piece by piece.
 Task<bool> Deliver(const BufferedAnswer& answer, AnswerSink& sink) {
   std::span<const char> rest(answer.body);
   std::span<const char> piece =
@@ -80,7 +80,7 @@
   std::unique_ptr<UpstreamAttempt> attempt;
 };
 
-// A request at this dispatcher. Kept alive by `Serve` and by each attempt.
+// A request at this dispatcher. `Serve` and each attempt keep it alive.
 struct DispatchHost::Job {
   Job(RequestMessage& request, AnswerSink& sink, const Executor& executor)
       : request(request), sink(sink), done(executor) {}
@@ -91,7 +91,7 @@
   AsyncEvent done;
   std::vector<RunningAttempt> attempts;
   AttemptHandle winner;
-  /// An upstream's answer that it failed, for when no better one comes.
+  /// An upstream's own error answer, delivered if no attempt succeeds.
   std::optional<BufferedAnswer> failed_answer;
   TimePoint offered;
   bool was_started = false;
@@ -112,8 +112,8 @@
     });
   }
 
-  // `Serve` owns what attempts refer to, so it goes on only after all of them
-  // have ended.
+  // `Serve` owns objects that attempts refer to, so it continues only after all
+  // attempts have ended.
   void WakeIfIdle() {
     if (this->settled && this->attempts.empty()) {
       this->done.Set();
@@ -125,9 +125,9 @@
                            UpstreamPool& pool)
     : dispatcher(std::move(dispatcher)), pool(pool) {}
 
-// An attempt's hooks hold its job and the job holds its attempts. What was cut
-// off in the middle is parted here, or neither would ever be freed and the
-// upstream's connection would stay open.
+// The hooks of an attempt own its job, and the job owns its attempts. The cycle
+// is broken here for jobs that were still running; otherwise they would leak
+// and the connections to upstreams would stay open.
 DispatchHost::~DispatchHost() {
   for (const auto& [cookie, job] : this->jobs) {
     const std::vector<RunningAttempt> cut_off = std::move(job->attempts);
@@ -174,8 +174,8 @@
   request.on_caller_gone = nullptr;
   this->jobs.erase(cookie);
   if (job->failed_answer && !job->outcome.answered && !request.caller_gone) {
-    // What an upstream itself says of its failure is worth more to the caller
-    // than that nothing better was found.
+    // An upstream's own error answer tells the caller more than a refusal that
+    // no other upstream was found.
     co_await Deliver(*job->failed_answer, sink);
     job->outcome = {true, Refusal::kNone, Duration(0)};
   }
@@ -190,8 +190,7 @@
   if (found.row == nullptr) {
     co_return ServeOutcome{false, Refusal::kNoUpstream, Duration(0)};
   }
-  const RoutingViewPtr pinned_view =
-      this->view;  // Keeps `found` while it runs.
+  const RoutingViewPtr pinned_view = this->view;  // Keeps `found` valid.
   AttemptTarget where = found.target();
   UpstreamAttempt attempt(this->pool, std::move(where), request, sink,
                           {[] { return true; }, [] { return false; }});
@@ -206,7 +205,7 @@
   request.on_caller_gone = nullptr;
   this->direct_attempts.erase(place);
   if (report.rate_limit.presence == RateLimitPresence::kNamed) {
-    // This VM may dispatch for it a moment later.
+    // This VM may soon become the dispatcher of this upstream.
     this->ImportRateLimit(
         MonotonicClock::now(),
         MakeRateLimitReport(*found.service, *found.row, report.rate_limit));
@@ -246,8 +245,8 @@
   return this->dispatcher->Summarize(MonotonicClock::now(), shard);
 }
 
-// Carrying out one action can make the dispatcher emit more; they are taken
-// in rounds until there are none.
+// Performing one action can make the dispatcher emit more, so they are
+// performed in rounds until none is left.
 void DispatchHost::Pump() {
   if (this->pumping) {
     return;
@@ -362,8 +361,8 @@
     metrics.queue_latency.Record(job->request.entry.traffic_class,
                                  now - job->offered);
   }
-  // On the list before its coroutine first runs: a request that is cancelled
-  // in between must not end while the attempt still refers to it.
+  // The attempt is on the list before its coroutine first runs: a request that
+  // is cancelled in between must not end while the attempt still refers to it.
   job->attempts.push_back({action.attempt, std::move(running)});
   boost::asio::co_spawn(this->pool.executor(),
                         this->RunAttempt(job, action, std::move(name), raw),
@@ -389,8 +388,8 @@
     this->OnAttemptDone(*job, attempt, report);
     co_return;
   }
-  // The attempt stays on the list until its answer is delivered: the request
-  // must not end before.
+  // The attempt stays on the list until its answer is delivered, because the
+  // request must not end earlier.
   BufferedAnswer answer = *std::move(running->buffered());
   if (!this->OnBufferedAnswer(*job, attempt, report)) {
     job->failed_answer = std::move(answer);
@@ -402,7 +401,7 @@
   this->Forget(*job, attempt);
 }
 
-// @returns true if the answer is the one to deliver.
+// @returns true if this answer is to be delivered to the caller.
 bool DispatchHost::OnBufferedAnswer(Job& job,
                                     AttemptHandle attempt,
                                     const AttemptReport& report) {
@@ -437,9 +436,10 @@
   job.Drop(attempt);
   const bool goes_on =
       this->dispatcher->OnAttemptEnd(MonotonicClock::now(), attempt, report);
-  // An attempt that was cancelled from here is not known to the dispatcher any
-  // more and "goes on". One that ends so by itself found its caller gone, and
-  // nothing else would end the request.
+  // An attempt that this host cancelled is no longer known to the dispatcher,
+  // for which OnAttemptEnd returns true. If an attempt ends as cancelled by
+  // itself, its caller has disconnected, and nothing else would end the
+  // request.
   if (!goes_on) {
     const bool answered =
         report.end == AttemptEnd::kAnswered || report.answer_started;
@@ -457,7 +457,7 @@
   }
 }
 
-// Attempts of the dispatcher are timed out by the dispatcher itself.
+// The dispatcher times out its own attempts.
 void DispatchHost::ExpireDirectAttempts(TimePoint now) {
   for (const DirectAttempt& direct : this->direct_attempts) {
     if (now >= direct.deadline && !direct.attempt->answer_started()) {
--- a/packages/node/src/dispatch_host.h
+++ b/packages/node/src/dispatch_host.h
@@ -13,8 +13,8 @@
 #include "upstream_attempt.h"
 #include "upstream_pool.h"
 
-/// Carries out what a worker's Dispatcher decides: starts and cancels
-/// attempts at upstreams, and tells it how they end.
+/// Runs a worker's Dispatcher: starts and cancels attempts at upstreams as it
+/// decides, and reports their ends to it.
 
 namespace basilsill {
 
@@ -37,13 +37,14 @@
 
   void Tick(TimePoint now);
 
-  /// Hands all waiting requests back, for a graceful shutdown.
+  /// Refuses all queued requests, so that their entry VMs send them elsewhere;
+  /// for a graceful shutdown.
   void HandBack(TimePoint now);
 
-  /// Takes in what another VM heard of a rate limit.
+  /// Applies a rate limit of an upstream that another VM reports.
   void ImportRateLimit(TimePoint now, const RateLimitReport& report);
 
-  /// @returns what other VMs have to be told of rate limits.
+  /// @returns the rate limit updates to propagate to other VMs.
   std::vector<RateLimitUpdate> TakeRateLimitUpdates(TimePoint now) {
     return this->dispatcher->TakeRateLimitUpdates(now);
   }
@@ -58,10 +59,10 @@
     return this->dispatcher->CountRateLimited();
   }
 
-  /// @returns requests that wait for a slot. Walks all requests.
+  /// @returns the number of requests that wait for a slot. Walks all requests.
   size_t CountQueued() const;
 
-  /// @returns requests that are queued or run here.
+  /// @returns the number of requests that are queued or running here.
   size_t active() const {
     return this->jobs.size() + this->direct_attempts.size();
   }
--- a/packages/node/src/entry_host.h
+++ b/packages/node/src/entry_host.h
@@ -7,18 +7,18 @@
 #include "dispatch_host.h"
 #include "http_message.h"
 
-/// Carries out what a worker's EntryRouter decides: takes a request from its
-/// caller to a dispatcher, here or on another VM, and again where a retry is
+/// Runs a worker's EntryRouter: passes a caller's request to the dispatcher
+/// that it chooses, on this or another VM, and to another one when a retry is
 /// granted.
 
 namespace basilsill {
 
-/// A way to dispatchers on other workers.
+/// Interface to dispatchers on other workers.
 class RemoteDispatch {
  public:
   virtual ~RemoteDispatch() = default;
 
-  /// @returns true if shard `shard` of `vm` is dispatched by this very worker.
+  /// @returns true if this worker dispatches shard `shard` of `vm`.
   virtual bool IsLocal(VmHandle vm, ShardKey shard) const = 0;
 
   /// Serves `request` through the dispatcher of the target's shard and VM.
@@ -35,8 +35,8 @@
 
   void ApplyView(TimePoint now, const RoutingViewPtr& view);
 
-  /// Serves a request to its end. If the outcome is not `answered`, the
-  /// caller is to be told of `refusal`.
+  /// Serves a request, with retries. If the outcome is not `answered`, the
+  /// caller is to be sent `refusal`.
   Task<ServeOutcome> Serve(RequestMessage& request, AnswerSink& sink);
 
   void OnSummary(VmHandle from, const ShardSummary& summary);
--- a/packages/node/src/http_message.h
+++ b/packages/node/src/http_message.h
@@ -14,8 +14,9 @@
 #include "basilsill/decision/entry.h"
 #include "net.h"
 
-/// Requests and answers on their way through a node, apart from how they
-/// came in or leave. Bodies are streamed between a source and a sink.
+/// Requests and answers that pass through a node, independent of the connection
+/// that they arrived on or leave by. Bodies are streamed from a source to a
+/// sink.
 
 namespace basilsill {
 
@@ -23,9 +24,9 @@
 
 /// How a body is delimited.
 enum class BodyKind : uint8_t {
-  kNone,     ///< There is none.
+  kNone,     ///< No body.
   kLength,   ///< `length` bytes.
-  kChunked,  ///< Chunks, perhaps with trailers.
+  kChunked,  ///< Chunks, optionally with trailers.
   kUntilClose,
   kCount
 };
@@ -35,14 +36,14 @@
   uint64_t length = 0;
 };
 
-/// One piece of a body as a source gives it.
+/// One piece of a body, as read from a source.
 struct BodyPiece {
-  bool ok = true;    ///< False: the body broke before its end.
-  bool last = true;  ///< Nothing follows.
+  bool ok = true;    ///< False: the body broke off before its end.
+  bool last = true;  ///< The body ends with this piece.
   size_t size = 0;
 };
 
-/// Where a body comes from. Used by one coroutine at a time.
+/// Source of a body. Used by one coroutine at a time.
 class BodySource {
  public:
   virtual ~BodySource() = default;
@@ -50,32 +51,32 @@
   /// Reads the next piece into `buffer`.
   virtual Task<BodyPiece> Read(std::span<char> buffer) = 0;
 
-  /// Makes a running `Read` end with a broken piece.
+  /// Makes a pending `Read` return a piece that is not `ok`.
   virtual void Stop() {}
 
-  /// @returns the trailers that came after the last piece.
+  /// @returns the trailers after the last piece, or nullptr.
   virtual const HttpFields* trailers() const { return nullptr; }
 };
 
-/// A request as it is passed on. Belongs to the coroutine that serves it.
+/// A request that is passed on. Belongs to the coroutine that serves it.
 struct RequestMessage {
   std::string method;
   std::string target;
   HttpFields headers;  ///< Without hop-by-hop headers.
   BodyFraming framing;
   std::string whole_body;        ///< Filled if `source` is null.
-  BodySource* source = nullptr;  ///< For bodies too long to hold.
+  BodySource* source = nullptr;  ///< For bodies too long to buffer.
   std::string request_id;
 
   RuleHandle rule;
-  EntryRequest entry;  ///< What decisions look at.
+  EntryRequest entry;  ///< The properties that routing uses.
   bool hedge = false;
   bool once = false;
-  /// An answer is a good one until then; kNever: not known.
+  /// Latency target: an answer after this time is worth little; kNever: none.
   TimePoint good_until = kNever;
 
-  /// Set by whoever works on the request now; called when its caller has
-  /// gone away.
+  /// Set by the component that works on the request at the moment; called when
+  /// the caller has disconnected.
   std::function<void()> on_caller_gone;
   bool caller_gone = false;
 };
@@ -87,7 +88,8 @@
   BodyFraming framing;
 };
 
-/// Where an answer goes. Each call returns false once the receiver is gone.
+/// Destination of an answer. `Start` and `Continue` return false once the
+/// receiver has disconnected.
 class AnswerSink {
  public:
   virtual ~AnswerSink() = default;
@@ -103,29 +105,32 @@
                               bool last,
                               const HttpFields* trailers) = 0;
 
-  /// The answer broke half-way; the receiver must see it broken.
+  /// Breaks the answer off so that the receiver sees that it is incomplete.
   virtual void Break() = 0;
 };
 
-/// How one way of serving a request ended.
+/// How the serving of a request at one place ended.
 struct ServeOutcome {
-  /// An answer was passed on, whole or visibly broken.
+  /// An answer was passed on, complete or visibly broken off.
   bool answered = false;
   Refusal refusal = Refusal::kNone;
   Duration retry_after{0};
-  uint8_t sends = 0;  ///< To upstreams, as far as that is told.
-  // What the upstream said, where the request was sent to it past dispatchers.
+  uint8_t sends = 0;  ///< Times it was sent to upstreams, if reported.
+  // Reported by the upstream, if the request was sent to it directly, without a
+  // dispatcher.
   AdvertisedRateLimit rate_limit{};
-  bool drain_sign = false;  ///< It is leaving.
+  bool drain_sign = false;  ///< The upstream announced that it is leaving.
 };
 
-/// Removes hop-by-hop headers, those that `Connection` names among them.
+/// Removes hop-by-hop headers, including those that `Connection` names, and
+/// Content-Length.
 void RemoveHopByHop(HttpFields& headers);
 
-/// @returns the value of `name`, empty if absent.
+/// @returns the first value of `name`, empty if absent.
 std::string_view HeaderValue(const HttpFields& headers, std::string_view name);
 
-/// Appends `headers` and the framing line in wire form, with the blank line.
+/// Appends `headers` and the framing header in wire format, with the blank line
+/// that ends the head.
 void AppendHeaders(std::string& out,
                    const HttpFields& headers,
                    const BodyFraming& framing);
@@ -135,7 +140,7 @@
                       const AnswerHead& head,
                       bool close_after);
 
-/// What goes to an upstream besides the request's own headers.
+/// Headers for the upstream in addition to those of the request.
 struct UpstreamHead {
   std::string_view deadline_name;
   std::chrono::milliseconds remaining{0};  ///< Until the deadline.
--- a/packages/node/src/http_reader.cc
+++ b/packages/node/src/http_reader.cc
@@ -20,7 +20,7 @@
   return {static_cast<const char*>(data.data()), data.size()};
 }
 
-// Lower-cases ASCII only, as HTTP field names are.
+// Ignores the case of ASCII letters only, as HTTP does for field names.
 bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   return boost::beast::iequals({a.data(), a.size()}, {b.data(), b.size()});
 }
@@ -35,21 +35,21 @@
   return !folded && before != ' ' && before != '\t';
 }
 
-// Beast takes a list of equal numbers for one; other servers do not.
+// Beast accepts a list of equal numbers as one number; other servers do not.
 bool IsPlainNumber(std::string_view value) {
   return !value.empty() && std::all_of(value.begin(), value.end(), [](char c) {
     return c >= '0' && c <= '9';
   });
 }
 
-// What the fields of a head say of its body's end.
+// Counts the fields of a head that determine where its body ends.
 struct FramingFields {
   int lengths = 0;
   int codings = 0;
 
-  // Beast takes a request with a coding other than chunked for one without a
-  // body, and what was its body for the next request. It also believes in
-  // chunks of HTTP/1.0, which servers of that time pass on unread.
+  // Beast treats a request with a coding other than chunked as one without a
+  // body, so that its body is read as the next request. Beast also accepts
+  // chunks in HTTP/1.0, which old servers pass on without decoding them.
   bool Add(std::string_view line, bool http_1_0) {
     const size_t colon = line.find(':');
     const std::string_view name = line.substr(0, colon);
@@ -121,8 +121,9 @@
     if (text.size() >= this->limits.header_bytes) {
       co_return HeadStatus::kTooLarge;
     }
-    // A head of lines that end in a bare LF never shows its blank line; it is
-    // told at once instead of when the connection times out.
+    // A head whose lines end in a bare LF never contains the blank line that is
+    // searched for. It is refused at once instead of when the connection times
+    // out.
     if (text.find("\n\n") != std::string_view::npos) {
       co_return HeadStatus::kMalformed;
     }
@@ -181,9 +182,9 @@
   return fields.begin() == fields.end() ? nullptr : &fields;
 }
 
-// Beast adds trailers to the fields of the head, where a sender of trailers
-// could pass them off as such. Who reads a body has read its head before, so
-// the head's fields make room and only trailers gather from here on.
+// Beast adds trailers to the fields of the head, so that a sender could pass
+// trailers off as headers. The caller of ReadBody has already read the head, so
+// its fields are removed and only trailers remain in the message.
 template <bool is_request>
 void HttpReader<is_request>::DropHeadFields() {
   if (this->parser->chunked() && !this->head_dropped) {
@@ -216,13 +217,13 @@
         co_return BodyPiece{false, true, 0};
       }
     }
-    // What is left in the buffer now is the line end of a chunk, which the
-    // parser reads only with the next one; the piece does not wait for it.
+    // The buffer now contains at most the line end of a chunk, which the parser
+    // reads only with the next chunk; the piece does not wait for it.
     const size_t got = buffer.size() - body.size;
     if (this->parser->is_done() || got > 0) {
       co_return BodyPiece{true, this->parser->is_done(), got};
     }
-    // A chunk extension or trailers without an end would be held for ever.
+    // Bounds the memory that an endless chunk extension or trailer can occupy.
     if (this->buffer.size() >= this->limits.header_bytes) {
       co_return BodyPiece{false, true, 0};
     }
--- a/packages/node/src/http_reader.h
+++ b/packages/node/src/http_reader.h
@@ -14,30 +14,30 @@
 #include "http_message.h"
 #include "net.h"
 
-/// Reads HTTP/1.1 messages from a connection, the head first and then the
-/// body piece by piece, through Beast's parser. The same code serves callers
-/// and upstreams.
+/// Reads HTTP/1.1 messages from a connection with Beast's parser, first the
+/// head and then the body piece by piece. Used for both callers and upstreams.
 
 namespace basilsill {
 
-/// How the reading of a head ended.
+/// Result of reading a head.
 enum class HeadStatus : uint8_t {
   kOk,
   kClosed,     ///< The connection closed before the first byte.
-  kBroken,     ///< It closed or failed in the middle.
-  kTooLarge,   ///< The head is above its limit.
-  kMalformed,  ///< Not HTTP, or a form that invites request smuggling.
+  kBroken,     ///< It closed or failed within the head.
+  kTooLarge,   ///< The head exceeds its size limit.
+  kMalformed,  ///< Not HTTP, or ambiguous in a way that allows request
+               ///< smuggling.
   kCount
 };
 
-/// Checks the raw text of a head for what Beast's parser lets through and
-/// other servers read in different ways: obsolete line folding, bare CR or LF,
-/// white space before a colon, repeated Content-Length, a Transfer-Encoding
-/// other than one `chunked` of HTTP/1.1.
+/// Checks the raw text of a head for forms that Beast's parser accepts but that
+/// servers interpret differently: obsolete line folding, bare CR or LF, white
+/// space before a colon, repeated Content-Length, and a Transfer-Encoding other
+/// than one `chunked` of HTTP/1.1.
 /// @param head Text up to and including the blank line.
 bool IsStrictHead(std::string_view head);
 
-/// One direction of one connection.
+/// Reads one direction of one connection.
 template <bool is_request>
 class HttpReader {
  public:
@@ -51,40 +51,39 @@
 
   explicit HttpReader(const Limits& limits) : limits(limits) {}
 
-  /// Replaces the limits, for messages that follow.
+  /// Sets the limits for the messages that follow.
   void SetLimits(const Limits& next) { this->limits = next; }
 
   /// Reads the next head.
-  /// @param no_body The message has no body whatever its head says: it
-  /// answers a HEAD request.
+  /// @param no_body The message has no body whatever its head says: it answers
+  /// a HEAD request.
   Task<HeadStatus> ReadHead(Socket& socket, bool no_body = false);
 
-  /// Reads the next piece of the body.
-  /// @param socket Where more bytes come from.
-  /// @param buffer Where they go.
+  /// Reads the next piece of the body into `buffer`.
+  /// @param socket Source of further bytes.
   Task<BodyPiece> ReadBody(Socket& socket, std::span<char> buffer);
 
-  /// @returns what the last head says of the body.
+  /// @returns how the body is delimited according to the last head.
   BodyFraming framing() const;
 
-  /// @returns true if the whole message was read.
+  /// @returns true if the complete message was read.
   bool done() const { return this->parser && this->parser->is_done(); }
 
-  /// @returns the fields that came after a chunked body, nullptr if there are
-  /// none or the body was not read to its end.
+  /// @returns the fields after a chunked body; nullptr if there are none or the
+  /// body was not read to its end.
   const HttpFields* trailers() const;
 
   /// @returns true if a head was read, so that `message` can be called.
   bool has_message() const { return this->parser.has_value(); }
 
-  /// @returns true if bytes beyond the last message were read already.
+  /// @returns true if bytes beyond the last message have been read.
   bool has_more() const { return this->buffer.size() > 0; }
 
-  /// The message as far as it was read. The fields of its head are there until
-  /// the first piece of a chunked body is asked for.
+  /// The message as far as it was read. The fields of its head remain until the
+  /// first piece of a chunked body is read.
   Parser& message() { return *this->parser; }
 
-  /// @returns how many bytes were read since the last call.
+  /// @returns the number of bytes received since the last call.
   uint64_t TakeReceived() { return std::exchange(this->received, 0); }
 
   /// Frees memory that an idle connection does not need.
--- a/packages/node/src/link_exchange.cc
+++ b/packages/node/src/link_exchange.cc
@@ -9,7 +9,7 @@
 namespace basilsill {
 namespace {
 
-// What a lost link means for a request that was on it.
+// The refusal of a request whose link was lost.
 constexpr std::array<Refusal, static_cast<size_t>(wire::StreamProgress::kCount)>
     kRefusalOfFate = {
         Refusal::kPeerUnreachable,  // kNeverSent
@@ -67,8 +67,9 @@
   do {
     piece = co_await this->request.source->Read(buffer);
     if (!piece.ok) {
-      // The caller's body broke. Without its end the dispatcher can not take
-      // it for whole, and cancelling makes it break off at the upstream.
+      // The caller's body broke off. The dispatcher does not get its end, so it
+      // can't take the body for complete, and the cancellation makes it break
+      // off the request at the upstream.
       this->link->Cancel(*this->stream);
       this->request.on_caller_gone();
       co_return;
@@ -82,8 +83,7 @@
   writer.Finish(this->request.source->trailers());
 }
 
-// The answer is over, but the body may still be on its way: an upstream may
-// answer without reading it.
+// Stops sending the body: an upstream may answer without reading all of it.
 Task<void> LinkExchange::StopBody() {
   this->stream->over = true;
   this->stream->writable.Set();
@@ -156,8 +156,8 @@
 }
 
 Task<LinkExchange::Step> LinkExchange::OnData(wire::Data data) {
-  // The end often comes right behind the last piece; both then leave in one
-  // write.
+  // The end often arrives directly after the last piece; both are then written
+  // together.
   const bool ends =
       !this->stream->events.empty() &&
       this->stream->events.front().kind == wire::LinkEventKind::kEnded;
--- a/packages/node/src/link_exchange.h
+++ b/packages/node/src/link_exchange.h
@@ -4,12 +4,12 @@
 #include "http_message.h"
 #include "peer_link.h"
 
-/// One request over a data link, as its entry worker sees it.
+/// One request over a data link, at its entry worker.
 
 namespace basilsill {
 
-/// Sends the request's body beside the waiting for its answer, passes the
-/// answer on, and tells how it ended.
+/// Sends the request's body while it waits for the answer, passes the answer
+/// on, and returns the outcome.
 class LinkExchange {
  public:
   LinkExchange(PeerLinkPtr link,
@@ -17,7 +17,7 @@
                RequestMessage& request,
                AnswerSink& sink);
 
-  /// @param inlined Octets of the whole body that went with the Open.
+  /// @param inlined Bytes of the complete body that were sent with the Open.
   Task<ServeOutcome> Run(size_t inlined);
 
  private:
--- a/packages/node/src/link_stream.h
+++ b/packages/node/src/link_stream.h
@@ -12,8 +12,8 @@
 #include "basilsill/wire/link_mux.h"
 #include "http_message.h"
 
-/// One stream of a data link as coroutines of the shell see it: the events
-/// that came for it, and the bodies that pass through it.
+/// One stream of a data link, as used by the coroutines of the node: its
+/// received events and the bodies that pass through it.
 
 namespace basilsill {
 
@@ -24,31 +24,34 @@
   explicit LinkStream(const Executor& executor)
       : arrived(executor), writable(executor) {}
 
-  /// Takes in an event of the stream and wakes who waits for it.
+  /// Adds an event of the stream and resumes the coroutine that waits for it.
   void Deliver(wire::LinkEvent event);
 
-  /// Returns the next event.
+  /// Waits for the next event and returns it.
   Task<wire::LinkEvent> Next();
 
   wire::StreamId id;
-  std::deque<wire::LinkEvent> events;  ///< Not yet taken, in order.
-  AsyncEvent arrived;                  ///< `events` has grown.
-  AsyncEvent writable;                 ///< The body can go on, or never will.
-  bool over = false;  ///< The peer ended the stream; nothing can be sent.
-  /// Called for an event that ends the stream before its answer did.
+  std::deque<wire::LinkEvent> events;  ///< Not yet processed, in order.
+  AsyncEvent arrived;                  ///< An event was added.
+  AsyncEvent writable;  ///< The window has opened, or the stream is over.
+  bool over = false;  ///< The peer ended the stream; nothing more can be sent.
+  /// Called for an event that ends the stream before its answer is complete.
   std::function<void()> on_over;
 };
 using LinkStreamPtr = std::shared_ptr<LinkStream>;
 
-/// Sends the pieces of a body over a stream as its window allows.
+/// Sends the pieces of a body over a stream as its flow-control window allows.
 class LinkBodyWriter {
  public:
   LinkBodyWriter(std::shared_ptr<PeerLink> link, LinkStreamPtr stream);
 
-  /// @returns false if the stream is over.
+  /// Waits for the window as necessary.
+  /// @returns false if the stream is over or the link failed.
   Task<bool> Write(std::span<const char> piece);
 
-  /// Ends the body.
+  /// Sends the end of the body.
+  /// @param trailers May be null.
+  /// @returns false if it could not be sent.
   bool Finish(const HttpFields* trailers);
 
  private:
@@ -56,7 +59,7 @@
   LinkStreamPtr stream;
 };
 
-/// The body of a request that came over a link.
+/// The body of a request that was received over a link.
 class LinkBodySource final : public BodySource {
  public:
   LinkBodySource(std::shared_ptr<PeerLink> link, LinkStreamPtr stream);
@@ -69,20 +72,20 @@
                : &this->end_fields;
   }
 
-  /// Adds what came with the head of the request.
+  /// Sets the part of the body that was received with the head of the request.
   void Hold(std::string bytes) { this->held = std::move(bytes); }
 
  private:
   std::shared_ptr<PeerLink> link;
   LinkStreamPtr stream;
-  std::string held;  ///< Came but was not yet read.
+  std::string held;  ///< Received but not yet read.
   size_t held_from = 0;
   HttpFields end_fields;  ///< The trailers.
   bool ended = false;
   bool stopped = false;
 };
 
-/// Sends an answer back over the stream that its request came by.
+/// Sends an answer over the stream on which its request was received.
 class LinkAnswerSink final : public AnswerSink {
  public:
   LinkAnswerSink(const std::shared_ptr<PeerLink>& link,
@@ -102,7 +105,7 @@
   LinkBodyWriter writer;
 };
 
-/// @returns `fields` as messages carry them, and back.
+/// Conversions between the types of the node and of the wire format.
 wire::HeaderList ToHeaderList(const HttpFields& fields);
 HttpFields FromHeaderList(const wire::HeaderList& list);
 wire::BodyFraming ToWireFraming(const BodyFraming& framing);
--- a/packages/node/src/load_query.cc
+++ b/packages/node/src/load_query.cc
@@ -15,7 +15,7 @@
 namespace basilsill {
 namespace {
 
-// The answer comes at once or is of no use any more: what it says is old.
+// Time-out of a query: a load that is reported later is out of date.
 constexpr std::chrono::milliseconds kLoadQueryTimeout{100};
 constexpr size_t kMaxAnswerBytes = 4096;
 
@@ -29,8 +29,8 @@
   return !value.empty() && value != id;
 }
 
-// An upstream that is warm says nothing of it. What is no number says nothing
-// either way.
+// A warm upstream does not send the header. A value that is not a number is
+// ignored.
 std::optional<Duration> ReadColdTime(const HttpFields& answer,
                                      const std::string& header) {
   if (header.empty()) {
--- a/packages/node/src/load_query.h
+++ b/packages/node/src/load_query.h
@@ -7,12 +7,12 @@
 #include "upstream_attempt.h"
 #include "upstream_pool.h"
 
-/// Asks an upstream for its load, by its health check, on a connection of the
-/// pool that requests use too.
+/// Queries the load of an upstream through its health check, on a connection of
+/// the pool that requests use too.
 
 namespace basilsill {
 
-/// @param path Of the health check.
+/// @param path Path of the health check.
 Task<LoadQueryReport> QueryUpstreamLoad(UpstreamPool& pool,
                                         AttemptTarget target,
                                         std::string path);
--- a/packages/node/src/net.cc
+++ b/packages/node/src/net.cc
@@ -39,7 +39,7 @@
   const auto address = boost::asio::ip::make_address(endpoint.address, error);
   if (error) {
     return Failure{FailureKind::kSyntax, endpoint.address,
-                   "not an IP number: " + error.message()};
+                   "not an IP address: " + error.message()};
   }
   return Tcp::endpoint(address, endpoint.port);
 }
@@ -83,8 +83,8 @@
   if (!address) {
     co_return address.error();
   }
-  // The timer's handler may still be queued when this has ended, so it holds
-  // the socket on its own.
+  // The timer's handler may still be queued when this coroutine has ended, so
+  // it owns the socket too.
   const auto socket = std::make_shared<Socket>(executor);
   Timer timer(executor, timeout);
   timer.async_wait([socket](const NetError& error) {
--- a/packages/node/src/net.h
+++ b/packages/node/src/net.h
@@ -13,9 +13,9 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/view.h"
 
-/// The Asio types of the shell, bound to one executor type so that no call on
-/// the path of a request goes through a type-erased executor. Each io_context
-/// is run by one thread.
+/// The Asio types of the node. They are bound to one executor type, so that no
+/// call on the path of a request goes through a type-erased executor. Each
+/// io_context is run by one thread.
 
 namespace basilsill {
 
@@ -30,45 +30,46 @@
                                       Executor>;
 using NetError = boost::system::error_code;
 
-/// A coroutine of the shell.
+/// A coroutine of the node.
 template <typename T>
 using Task = boost::asio::awaitable<T, Executor>;
 
-/// Completion token: `auto [error, value] = co_await op(kTask)`. Errors of
-/// sockets are values here; exceptions are left for programming errors.
+/// Completion token: `auto [error, value] = co_await op(kTask)`. Socket errors
+/// are returned as values; exceptions are reserved for programming errors.
 inline constexpr auto kTask =
     boost::asio::as_tuple(boost::asio::use_awaitable_t<Executor>());
 
-/// @returns the socket address of `endpoint`, or kSyntax if its address is no
-/// IP number.
+/// @returns the socket address of `endpoint`, or kSyntax if its address is not
+/// an IP address.
 Result<Tcp::endpoint> ToTcpEndpoint(const Endpoint& endpoint);
 
-/// @returns `endpoint` as the tables hold it.
+/// @returns `endpoint` as the Endpoint type of the configuration.
 Endpoint FromTcpEndpoint(const Tcp::endpoint& endpoint);
 
 /// Opens a listening socket.
 /// @param shared Lets several sockets of this process listen on one port.
-/// @returns kNetwork if the address can't be bound.
+/// @returns kSyntax for an address that is not an IP address, kNetwork if the
+/// address can't be bound.
 Result<Acceptor> Listen(IoContext& context,
                         const Endpoint& endpoint,
                         bool shared);
 
 /// Opens a connection.
-/// @returns kSyntax for an address that is no IP number, kNetwork if there is
-/// no connection within `timeout`.
+/// @returns kSyntax for an address that is not an IP address, kNetwork if no
+/// connection is established within `timeout`.
 Task<Result<Socket>> ConnectTo(Executor executor,
                                Endpoint endpoint,
                                std::chrono::milliseconds timeout);
 
-/// Closes so that the other side sees a reset and never a clean end.
+/// Closes the connection with a reset, never with a clean end.
 void CloseWithReset(Socket& socket);
 
-/// @returns true if the other side of an idle connection has closed it or
-/// sent something unexpected.
+/// @returns true if the peer of an idle connection has closed it or sent
+/// unexpected data.
 bool IsStale(Socket& socket);
 
-/// @returns true if the other side has closed or reset the connection and
-/// everything it sent before was read.
+/// @returns true if the peer has closed or reset the connection and everything
+/// that it sent before was read.
 bool IsClosedByPeer(Socket& socket);
 
 }  // namespace basilsill
--- a/packages/node/src/once_exchange.cc
+++ b/packages/node/src/once_exchange.cc
@@ -10,14 +10,15 @@
 namespace basilsill {
 namespace {
 
-// Tells a caller that this is the answer to an earlier sending of the request,
-// and whether all of it could be kept.
+// Response header that marks a replayed response and says whether all of it was
+// stored.
 constexpr std::string_view kReplayed = "Basilsill-Replayed";
 
-// Passes an answer on and keeps a bounded copy for the key's record.
+// Passes an answer on and records it, up to a size limit, as the stored
+// response of its key.
 //
-// A caller that goes away does not end the request: its resend is to get the
-// answer, so the upstream is heard to the end.
+// The request does not end when its caller disconnects: the caller's retry is
+// to get the response, so the upstream's answer is read to its end.
 class RecordingSink final : public AnswerSink {
  public:
   RecordingSink(AnswerSink& next, size_t limit) : next(next), limit(limit) {}
@@ -79,7 +80,7 @@
   bool receiver_there = true;
 };
 
-// The answer to a question that another thread gives.
+// A verdict that the control thread delivers.
 struct PendingVerdict {
   explicit PendingVerdict(const Executor& executor) : delivered(executor) {}
 
--- a/packages/node/src/once_exchange.h
+++ b/packages/node/src/once_exchange.h
@@ -9,24 +9,26 @@
 #include "claim_host.h"
 #include "http_message.h"
 
-/// A request that must not repeat, at its entry worker: asks for its claim,
-/// has it served once, and records how that ended.
+/// A request that must not repeat, at its entry worker: acquires its claim,
+/// serves it once, and records the outcome.
 
 namespace basilsill {
 
-/// What an exchange needs of its worker.
+/// The services of the worker that an exchange uses.
 struct OnceServices {
   ClaimHost* claims = nullptr;
   Executor executor;
-  uint64_t origin = 0;       ///< Of this process, see MakeClaimOrigin.
-  std::string key_header{};  ///< Name of the header with the key.
+  uint64_t origin = 0;       ///< Identifies this process, see MakeClaimOrigin.
+  std::string key_header{};  ///< Name of the header with the idempotency key.
   size_t kept_answer_bytes = limits::kMaxKeptAnswerBytes;
 };
 
-/// Serves the request as any other one is served.
+/// Serves the request without regard to its key.
 using ServeFunction =
     std::function<Task<ServeOutcome>(RequestMessage&, AnswerSink&)>;
 
+/// Serves `request` through `serve` if its claim is granted, or replays the
+/// stored response of its key.
 /// @param team Name of the team, which scopes the key.
 /// @param sequence Never used before by this process.
 Task<ServeOutcome> ServeOnce(OnceServices services,
--- a/packages/node/src/rate_limit_header.cc
+++ b/packages/node/src/rate_limit_header.cc
@@ -19,16 +19,18 @@
     return AdvertisedRateLimit{RateLimitPresence::kNone, 0};
   }
   if (answer.count(name) > 1) {
-    return Failure{FailureKind::kDuplicate, name, "stands there twice"};
+    return Failure{FailureKind::kDuplicate, name,
+                   "header appears more than once"};
   }
   const std::string_view text(found->value().data(), found->value().size());
   const std::optional<double> limit =
       ParseNumber<double>(text, std::chars_format::fixed);
   if (!limit) {
-    return Failure{FailureKind::kSyntax, name, "no decimal number"};
+    return Failure{FailureKind::kSyntax, name, "expected a decimal number"};
   }
   if (!std::isfinite(*limit) || *limit < 0) {
-    return Failure{FailureKind::kOutOfRange, name, "negative or not finite"};
+    return Failure{FailureKind::kOutOfRange, name,
+                   "expected a finite number of at least 0"};
   }
   return AdvertisedRateLimit{RateLimitPresence::kNamed, *limit};
 }
--- a/packages/node/src/rate_limit_header.h
+++ b/packages/node/src/rate_limit_header.h
@@ -8,17 +8,18 @@
 #include "basilsill/decision/dispatch.h"
 #include "http_message.h"
 
-/// The rate limit that an upstream names in the head of an answer.
+/// Reads the rate limit that an upstream advertises in the head of an answer.
 
 namespace basilsill {
 
-/// @param name Of the header; empty if upstreams have none.
-/// @returns what `answer` says; kSyntax if it is no decimal number, kOutOfRange
-/// if it is negative or not finite, kDuplicate if it stands there twice.
+/// @param name Name of the header; empty if upstreams advertise none.
+/// @returns the advertised rate limit; kSyntax if the value is not a decimal
+/// number, kOutOfRange if it is negative or not finite, kDuplicate if the
+/// header appears more than once.
 Result<AdvertisedRateLimit> ParseRateLimit(const HttpFields& answer,
                                            const std::string& name);
 
-/// As `ParseRateLimit`; what can't be read is logged, and says nothing.
+/// As `ParseRateLimit`, but logs a malformed value and returns kUnknown.
 AdvertisedRateLimit ReadRateLimit(const HttpFields& answer,
                                   const std::string& name,
                                   const Endpoint& upstream);
--- a/packages/node/src/refusal_answer.cc
+++ b/packages/node/src/refusal_answer.cc
@@ -12,11 +12,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Told when nothing better is known; long enough that a refused caller does
-// not come back within the burst that refused it.
+// Used if the refusal gives no time; long enough that a refused caller does not
+// retry within the burst that caused the refusal.
 constexpr milliseconds kDefaultRetryAfter{250};
 
-// HTTP wants such an answer to name a way to do better.
+// HTTP requires a WWW-Authenticate header with this status.
 constexpr unsigned kUnauthorized = 401;
 
 milliseconds RetryAfter(const ServeOutcome& outcome) {
--- a/packages/node/src/refusal_answer.h
+++ b/packages/node/src/refusal_answer.h
@@ -6,17 +6,17 @@
 #include "basilsill/node/installation.h"
 #include "http_message.h"
 
-/// The answers that the system makes itself: status, promise and reason come
-/// from the one table of reasons.
+/// The answers that the system itself generates for refused requests. Their
+/// status, promise and reason come from the table of refusals.
 
 namespace basilsill {
 
 struct RefusalAnswer {
-  AnswerHead head;   ///< Promise, reason and when to come back.
-  std::string body;  ///< JSON with the same.
+  AnswerHead head;   ///< With promise, reason and Retry-After.
+  std::string body;  ///< The same as JSON.
 };
 
-/// @returns what the caller is told of `outcome`.
+/// @returns the answer to the caller for `outcome`.
 RefusalAnswer MakeRefusalAnswer(const RequestMessage& request,
                                 const ServeOutcome& outcome,
                                 const HeaderNames& names);
--- a/packages/node/src/upstream_attempt.cc
+++ b/packages/node/src/upstream_attempt.cc
@@ -27,11 +27,13 @@
                   milliseconds(0));
 }
 
-// Answers up to this size are held until they are whole: nearly all but the
-// longest downloads (their mean is 90 KB where sizes are known).
+// Answers up to this size are buffered until they are complete. This covers
+// nearly all answers except the longest downloads (the mean size is 90 KB where
+// sizes are known).
 constexpr size_t kBufferedAnswerBytes = 192 * 1024;
 
-// Answers to earlier requests that may come before the one that is waited for.
+// Maximum number of answers to earlier requests that are skipped before the
+// attempt fails.
 constexpr int kMaxStaleAnswers = 2;
 
 bool IsInterim(unsigned status) {
@@ -122,10 +124,10 @@
   }
   const bool reused = this->connection->reused;
   AttemptReport report = co_await this->Exchange();
-  // An upstream that closes an idle connection just as a request is sent on
-  // it looks like one that died. An idempotent request whose body is at hand
-  // is sent once more on a new connection, to the same upstream; for any
-  // other the outcome stays unknown.
+  // If an upstream closes an idle connection just as a request is sent on it,
+  // the request fails as if the upstream had died. An idempotent request whose
+  // body is buffered is sent once more, to the same upstream on a new
+  // connection; for any other request the outcome stays unknown.
   const bool maybe_stale =
       report.end == AttemptEnd::kDied && reused && !this->has_started &&
       this->request.entry.idempotent && this->request.source == nullptr;
@@ -155,8 +157,8 @@
 }
 
 Task<AttemptReport> UpstreamAttempt::Exchange() {
-  // A failed send is no verdict: the upstream may have answered before it
-  // closed, for instance to say that it refuses.
+  // A failed send does not end the attempt: the upstream may have answered
+  // before it closed, for example to shed the request.
   const bool sent = co_await this->SendHead();
   if (sent && this->request.source != nullptr) {
     this->StartStreamedBody();
@@ -183,7 +185,7 @@
   this->drain_sign = !this->AnswerHeader(this->pool.names().draining).empty();
   const AttemptEnd end = this->Classify();
   if (end == AttemptEnd::kShed || end == AttemptEnd::kMisdirected) {
-    // The connection is good for another request.
+    // The connection can carry another request.
     const bool keep = this->connection->reader.message().keep_alive();
     const bool dropped =
         co_await DropBody(*this->connection, kBufferedAnswerBytes);
@@ -197,9 +199,9 @@
   co_return report;
 }
 
-// An answer that an upstream sends a second time can come late, where the
-// answer to the next request on the connection is due. The id that it echoes
-// tells it apart.
+// An upstream that sends an answer twice can do so late, when the answer to the
+// next request on the connection is expected. The request id that the upstream
+// echoes tells the two apart.
 Task<HeadStatus> UpstreamAttempt::ReadMatchingHead() {
   HeadStatus status = co_await this->ReadAnswerHead();
   for (int i = 0; i < kMaxStaleAnswers && status == HeadStatus::kOk; ++i) {
@@ -241,9 +243,9 @@
   co_return !error;
 }
 
-// The body goes out beside the reading of the answer: an upstream that
-// answers while it reads would otherwise block on its full send buffer, and
-// so stop reading, with neither side able to go on.
+// The body is sent while the answer is read. Otherwise, an upstream that
+// answers while it reads could block on its full send buffer and stop reading,
+// which would be a deadlock.
 void UpstreamAttempt::StartStreamedBody() {
   this->body_started = true;
   this->sending_body = true;
@@ -269,7 +271,8 @@
   do {
     piece = co_await this->request.source->Read(buffer);
     if (!piece.ok) {
-      // The caller's body broke: the upstream must not take it for whole.
+      // The caller's body broke off: the upstream must not take it for
+      // complete.
       CloseWithReset(this->connection->socket);
       co_return;
     }
@@ -333,9 +336,9 @@
   return ParseLoad(this->AnswerHeader(this->pool.names().load));
 }
 
-// What the head of an answer says of the attempt. A good answer without the
-// upstream's signature, or encoded in a way that nobody asked for, is not what
-// the upstream meant to send.
+// Classifies an attempt by the head of its answer. A successful answer that
+// lacks the upstream's integrity header, or has a content encoding, is not what
+// the upstream sent.
 AttemptEnd UpstreamAttempt::Classify() const {
   const HeaderNames& names = this->pool.names();
   const auto& answer = this->connection->reader.message().get();
@@ -368,19 +371,21 @@
   RemoveHopByHop(head.headers);
   if (head.framing.kind == BodyKind::kNone &&
       answer.count(http::field::content_length) > 0) {
-    // The answer to HEAD tells the length of a body that does not follow.
+    // The answer to HEAD gives the length of a body that does not follow.
     head.headers.set(http::field::content_length,
                      answer[http::field::content_length]);
   }
   return head;
 }
 
-// Reads the answer until it is whole, or too long to hold.
+// Reads the answer until it is complete or too long to buffer; streams the
+// latter.
 Task<AttemptReport> UpstreamAttempt::ReadOrStreamAnswer() {
   auto& reader = this->connection->reader;
   AnswerHead head = this->MakeHead();
   const bool keep = reader.message().keep_alive();
-  // Elsewhere an answer may be a stream that its caller reads as it comes.
+  // Without buffering, an answer may be a stream that its caller reads as it
+  // arrives.
   const size_t hold = this->pool.buffers_answers() ? kBufferedAnswerBytes : 0;
   std::string body;
   std::vector<char> buffer(limits::kBodyChunkBytes);
@@ -417,8 +422,8 @@
   }
   auto& reader = this->connection->reader;
   this->has_started = true;
-  // The head goes out without knowing of trailers, so an end that has some
-  // follows on its own.
+  // The head and the first piece are sent before trailers are known, so the end
+  // of the answer is always sent separately.
   bool receiver_there = co_await this->sink.Start(head, body_start, false);
   std::vector<char> buffer(limits::kBodyChunkBytes);
   BodyPiece piece;
--- a/packages/node/src/upstream_attempt.h
+++ b/packages/node/src/upstream_attempt.h
@@ -12,25 +12,25 @@
 #include "http_message.h"
 #include "upstream_pool.h"
 
-/// One attempt of a request at one upstream: sends it and takes its answer. An
-/// answer of usual size is held until it is whole, so that one that breaks can
-/// be replaced by another attempt's; a longer one goes on to the sink while it
-/// comes.
+/// One attempt of a request at one upstream: sends the request and receives the
+/// answer. An answer of usual size is buffered until it is complete, so that
+/// the answer of another attempt can replace one that breaks off; a longer one
+/// is streamed to the sink.
 
 namespace basilsill {
 
-/// What the host of an attempt decides while it runs.
+/// Decisions that the host of an attempt makes while the attempt runs.
 struct AttemptHooks {
-  /// An answer begins that is too long to hold.
-  /// @returns false if another attempt answers already; this one ends.
+  /// Called when an answer begins that is too long to buffer.
+  /// @returns false if another attempt answers already; this attempt then ends.
   std::function<bool()> on_answer;
-  /// The connection was an old one and broke before any answer, as one does
-  /// that the upstream was just closing.
-  /// @returns true if the request may be sent there once more.
+  /// Called when a reused connection broke before any answer, which happens if
+  /// the upstream closes it while the request is being sent.
+  /// @returns true if the request may be sent to this upstream once more.
   std::function<bool()> may_resend;
 };
 
-/// A whole answer that was not passed on yet.
+/// A complete answer that was not passed on yet.
 struct BufferedAnswer {
   AnswerHead head;
   std::string body;
@@ -44,11 +44,11 @@
                   AnswerSink& sink,
                   AttemptHooks hooks);
 
-  /// Runs to the end.
+  /// Runs the attempt to its end.
   Task<AttemptReport> Run();
 
-  /// Aborts a running attempt: the connection is closed, so that the
-  /// upstream can see that nobody waits any more.
+  /// Aborts a running attempt. Closes the connection, so that the upstream can
+  /// detect that the answer is no longer needed.
   void Cancel();
 
   /// As `Cancel`, but the attempt ends as timed out.
@@ -57,7 +57,7 @@
   /// @returns true once part of an answer was passed on.
   bool answer_started() const { return this->has_started; }
 
-  /// After `Run`: the answer, if it was held.
+  /// After `Run`: the answer, if it was buffered.
   std::optional<BufferedAnswer>& buffered() { return this->buffered_answer; }
 
  private:
@@ -94,14 +94,16 @@
   AttemptEnd aborted = AttemptEnd::kCount;
   bool drain_sign = false;
   bool has_started = false;
-  bool body_started = false;  ///< `body_sent` will be set.
+  bool body_started =
+      false;  ///< `body_sent` will be set when sending has ended.
   bool sending_body = false;
   bool reusable = false;
   AsyncEvent body_sent;
 };
 
-/// @returns what the header text of an upstream says of its load; not known if
-/// it is not of the form "running,waiting,slots[,slowness in percent]".
+/// @returns the load that an upstream reports in a header value of the form
+/// "running,waiting,slots[,slowness in percent]"; not known if `text` has
+/// another form.
 UpstreamLoad ParseLoad(std::string_view text);
 
 }  // namespace basilsill
--- a/packages/node/src/upstream_pool.cc
+++ b/packages/node/src/upstream_pool.cc
@@ -26,8 +26,9 @@
     UpstreamConnectionPtr connection = std::move(list.back());
     list.pop_back();
     --this->idle_connections;
-    // An upstream may close an idle connection at any time. A request sent
-    // on it would be lost with its fate unknown, so it is looked at first.
+    // An upstream may close an idle connection at any time. A request that is
+    // sent on a closed connection would have an unknown outcome, so the
+    // connection is checked first.
     if (!IsStale(connection->socket)) {
       return connection;
     }
@@ -69,7 +70,7 @@
 void UpstreamPool::Tick(TimePoint now) {
   for (auto entry = this->idle.begin(); entry != this->idle.end();) {
     IdleList& list = entry->second;
-    // The most recently used stand at the back.
+    // The most recently used connections are at the back.
     size_t expired = 0;
     while (expired < list.size() &&
            now - list[expired]->idle_since > this->options.idle_timeout) {
--- a/packages/node/src/upstream_pool.h
+++ b/packages/node/src/upstream_pool.h
@@ -14,12 +14,12 @@
 #include "metrics.h"
 #include "net.h"
 
-/// Connections of one worker to upstreams: opened on demand, kept while they
-/// are used, closed when idle.
+/// Connections of one worker to upstreams: opened on demand, reused, and closed
+/// when idle.
 
 namespace basilsill {
 
-/// Where an attempt goes, and who is expected there.
+/// Destination of an attempt, and the incarnation that is expected there.
 struct AttemptTarget {
   Endpoint endpoint;
   UpstreamIncarnation incarnation{};
@@ -44,16 +44,17 @@
   std::shared_ptr<WorkerMetrics> metrics;
   AttemptTarget target;
   TimePoint idle_since;
-  /// After this it may be closed by the upstream, as that said itself.
+  /// Idle time after which the upstream may close the connection, as announced
+  /// by the upstream.
   Duration keep_alive_timeout{Duration::max()};
-  bool reused = false;  ///< Carried an earlier request.
+  bool reused = false;  ///< It has carried an earlier request.
 };
 using UpstreamConnectionPtr = std::unique_ptr<UpstreamConnection>;
 
-/// Reads an answer's body and drops it, so that the connection can carry
+/// Reads an answer's body and discards it, so that the connection can carry
 /// another request.
-/// @param most Bytes after which that is given up.
-/// @returns true if the body came to its end.
+/// @param max_bytes Gives up after this many bytes.
+/// @returns true if the end of the body was reached.
 Task<bool> DropBody(UpstreamConnection& connection, size_t max_bytes);
 
 struct UpstreamPoolOptions {
@@ -61,33 +62,34 @@
   std::chrono::milliseconds idle_timeout = limits::kUpstreamIdleTimeout;
   AnswerReader::Limits reader;
   HeaderNames names;
-  /// Answers are held until they are whole, unless they are very long.
+  /// Answers are buffered until they are complete, unless they are very long.
   bool hold_answers = false;
 };
 
 class UpstreamPool {
  public:
-  /// @param metrics Shared, because connections that are cut off in the middle
-  /// can outlive the worker's own members.
+  /// @param metrics Shared, because connections that are still open when the
+  /// worker is destroyed can outlive the members of the worker.
   UpstreamPool(const Executor& executor,
                const UpstreamPoolOptions& options,
                std::shared_ptr<WorkerMetrics> metrics);
 
-  /// @returns an idle connection that looks alive, or nullptr. Connections are
-  /// kept by incarnation. Failure: an upstream dies behind a cut and starts
-  /// again, or its address goes to another; a connection to the one that died
-  /// looks alive here, as nothing told its end. A request on it has an unknown
-  /// outcome, though the one that is meant is well.
+  /// @returns an idle connection that is not known to be closed, or nullptr.
+  /// Idle connections are kept by incarnation. Failure: an upstream dies during
+  /// a network partition and restarts, or its address is reassigned. A
+  /// connection to the dead incarnation still looks alive, because its end was
+  /// not signalled. A request on it would have an unknown outcome although the
+  /// expected upstream is healthy.
   UpstreamConnectionPtr TakeIdle(const AttemptTarget& target);
 
   /// Opens a new connection.
-  /// @returns nullptr if that failed or took too long.
+  /// @returns nullptr if the connection failed or timed out.
   Task<UpstreamConnectionPtr> Open(const AttemptTarget& target);
 
-  /// Gives back a connection that can carry another request.
+  /// Returns a connection that can carry another request to the pool.
   void Release(TimePoint now, UpstreamConnectionPtr connection);
 
-  /// Closes connections that were idle for too long.
+  /// Closes connections that have been idle for too long.
   void Tick(TimePoint now);
 
   const HeaderNames& names() const { return this->options.names; }
--- a/packages/node/src/worker.cc
+++ b/packages/node/src/worker.cc
@@ -16,22 +16,25 @@
 
 using std::chrono::milliseconds;
 
-// Sessions are looked at less often than requests: there can be thousands. So
-// are links of a VM that shuts down.
+// Interval of the checks of sessions, of which there can be thousands, and of
+// the links of a VM that shuts down.
 constexpr milliseconds kSessionTick{20};
-// Idle links and upstream connections are looked for no more often than this.
-// While nothing is in flight there is nothing else to look at, and a VM at rest
-// wakes up four times a second for it.
+// Interval of the checks for idle links and upstream connections. While nothing
+// is in flight there is nothing else to check, so an idle VM wakes up four
+// times a second.
 constexpr milliseconds kIdleTick{250};
-// So long after an accept that failed, the next is thought to fail too.
+// For this long after a failed accept, the worker reports that it does not
+// accept callers.
 constexpr milliseconds kAcceptRecovery{200};
-// Of all connections that the process may have, the part that is not for
-// callers: without links and upstreams those that are in are not served.
+// One in this many of the process's connections is reserved for links and
+// upstreams, without which callers that are connected could not be served.
 constexpr size_t kReservedDivisor = 8;
-// Of all callers' connections, the part that has to be free for the word that
-// more are taken: until it is asked again, balancers send many.
+// One in this many of the callers' connections must be free for the worker to
+// report that it accepts callers: until the next readiness check, balancers may
+// open many.
 constexpr size_t kFreeDivisor = 16;
-// Bits of an attempt's sequence that count; the worker's number stands above.
+// Bits of an attempt's sequence number that count attempts; the bits above
+// contain the worker's number.
 constexpr unsigned kOnceSequenceBits = 48;
 
 UpstreamPoolOptions PoolOptions(const Settings& settings,
@@ -64,8 +67,8 @@
   return Quarantine::Create(quarantine);
 }
 
-// With a bound of the fleet in force, the budgets of single teams are left
-// open.
+// While the fleet's repeat budget is in force, the budgets of single teams are
+// unlimited.
 constexpr RatioBudgetOptions kUnlimitedBudget{1, 1000, 1000, 1000};
 
 std::unique_ptr<Dispatcher> MakeDispatcher(
@@ -313,10 +316,11 @@
   this->drain_requested.store(false);
 }
 
-// Failure: a VM that shuts down has no callers left and ends, while upstreams
-// work on what peers have handed it, or answers to peers lie in the buffers of
-// its links. It shows as 502 and half answers at the peers' callers. So links
-// count as well, and again as soon as one is taken or brings a request.
+// Failure: a VM that shuts down has no callers left and exits while upstreams
+// work on requests from peers, or while answers to peers are in the send
+// buffers of its links. The peers' callers then get 502 or half an answer. So
+// busy links delay the exit too. They are counted again as soon as a link is
+// accepted or brings a request.
 void Worker::CountBusyLinks() {
   if (this->is_draining) {
     this->links_in_use.store(this->links.CountBusy(MonotonicClock::now()));
@@ -359,8 +363,8 @@
 void Worker::OnStream(const PeerLinkPtr& link,
                       LinkStreamPtr stream,
                       wire::Open open) {
-  // A peer may hand over a request before this node has learnt from anywhere
-  // what to serve. It is told at once that nothing ran here.
+  // A peer may send a request before this node has received a configuration.
+  // The refusal says at once that nothing ran here.
   if (!this->current_view) {
     RefuseLinkStream(*link, *stream, Refusal::kPeerUnreachable);
     return;
@@ -472,7 +476,7 @@
   }
 }
 
-// The systems of a worker, in the order in which they run.
+// Updates the components of the worker, in this order.
 void Worker::Tick(TimePoint now) {
   this->dispatch_host.Tick(now);
   this->entry_host.Tick(now);
@@ -498,9 +502,9 @@
   }
 }
 
-// Closes what nothing has used for long, and tells what may be told a moment
-// later. The limits are seconds, so walking all links and connections at each
-// tick would be work for nothing.
+// Closes idle links and connections, and reports rate limits, which may be
+// reported a little later. The idle limits are seconds, so walking all links
+// and connections at every tick would waste time.
 void Worker::TickIdle(TimePoint now) {
   if (now - this->idle_ticked < kIdleTick) {
     return;
@@ -511,12 +515,12 @@
   this->ReportRateLimits(now);
 }
 
-// Retries are granted and denied at both places.
+// Both the dispatcher and the entry router grant and deny retries.
 void Worker::TakeCounters() {
   const auto& dispatched = this->dispatch_host.counters().retries;
   const auto& entered = this->entry_host.counters().retries;
   for (size_t i = 0; i < dispatched.size(); ++i) {
-    // The attempt itself counts these.
+    // The attempt itself counts this one.
     if (i != static_cast<size_t>(Retry::kStaleConnection)) {
       this->counts->retries[i].Set(dispatched[i] + entered[i]);
     }
@@ -529,7 +533,7 @@
 }
 
 std::string Worker::NewRequestId() {
-  // Unique without agreement: VM, incarnation, worker and a count.
+  // Unique without coordination: VM, incarnation, worker and a counter.
   std::string id = this->settings.vm.name;
   id += '-';
   id += std::to_string(this->options.incarnation);
@@ -550,7 +554,7 @@
 }
 
 uint64_t Worker::NextOnceSequence() {
-  // Workers of one process count in ranges of their own.
+  // Each worker of a process has its own range of numbers.
   return (uint64_t{this->options.number} << kOnceSequenceBits) |
          this->next_once++;
 }
--- a/packages/node/src/worker.h
+++ b/packages/node/src/worker.h
@@ -24,21 +24,22 @@
 #include "once_exchange.h"
 #include "upstream_pool.h"
 
-/// One traffic thread with all that belongs to it: callers, dispatchers,
-/// upstream connections and links to other workers. Nothing in it is shared
-/// with another thread except the metrics and the published view.
+/// One traffic thread and everything that belongs to it: callers, dispatchers,
+/// upstream connections and links to other workers. It shares nothing with
+/// other threads except the metrics and the published view.
 
 namespace basilsill {
 
 struct WorkerOptions {
-  uint16_t number = 0;  ///< Among the workers of this node.
-  uint64_t seed = 1;    ///< Differs from worker to worker and run to run.
+  uint16_t number = 0;  ///< Index among the workers of this node.
+  uint64_t seed = 1;    ///< Differs between workers and between runs.
   uint64_t incarnation = 0;
-  /// Called on the worker's thread with deaths of upstreams that it saw.
+  /// Called on the worker's thread with crashes of upstreams that it observed.
   std::function<void(std::vector<CrashReport>)> on_crashes;
-  /// Called there with what other VMs have to be told of rate limits.
+  /// Called on the worker's thread with rate limit updates to propagate to
+  /// other VMs.
   std::function<void(std::vector<RateLimitUpdate>)> on_rate_limits;
-  /// Called there with what a lender of quotas is to be asked.
+  /// Called on the worker's thread with a request to a lender of quotas.
   std::function<void(QuotaRequest)> on_quota_request;
 };
 
@@ -46,7 +47,8 @@
  public:
   /// Opens the worker's sockets; the thread starts with `Start`.
   /// @param settings Must outlive the worker, as must `installation`.
-  /// @param callers Where to listen for callers; shared by all workers.
+  /// @param callers Address to listen on for callers; shared by all workers.
+  /// @param links Address to listen on for links; used by this worker only.
   static Result<std::unique_ptr<Worker>> Create(
       const Settings& settings,
       const Installation& installation,
@@ -55,48 +57,48 @@
       const Endpoint& links);
   ~Worker() override;
 
-  /// Gives the way to claims; before `Start`.
+  /// Sets the host of claims; to be called before `Start`.
   void SetClaims(ClaimHost& host) { this->claims = &host; }
 
   void Start();
 
-  // From any thread:
+  // The methods below may be called from any thread.
 
-  /// Hands over a view; it is in force at the worker's next loop turn.
+  /// Publishes a view; the worker applies it on its own thread.
   void Publish(RoutingViewPtr view);
 
-  /// Takes in deaths of upstreams that other workers saw.
+  /// Applies crashes of upstreams that other workers observed.
   void ImportCrashes(std::vector<CrashReport> crashes);
 
-  /// Takes in what other VMs heard of rate limits.
+  /// Applies rate limits that other VMs report.
   void ImportRateLimits(std::vector<RateLimitReport> reports);
 
-  /// The configuration of the view that was published last certainly was the
-  /// newest then.
+  /// Sets the time at which the configuration of the last published view was
+  /// verified to be the newest.
   void ImportConfigurationAsOf(LeaseTime as_of);
 
-  /// Takes in the answer to what was asked of a lender.
+  /// Applies a lender's answer to a quota request.
   void ImportQuota(QuotaAnswer answer);
 
-  /// Asks the worker's thread whether it takes callers: they are accepted, and
-  /// a part of the room for them is free. A thread that hangs or spins never
-  /// answers.
+  /// Queries the worker's thread whether it accepts callers: accepting works,
+  /// and part of the room for callers is free. A thread that hangs or spins
+  /// never answers.
   /// @param answer Called on the worker's thread.
   void QueryAcceptsCallers(std::function<void(bool takes)> answer);
 
-  /// From here on answers ask callers to use another connection next time.
+  /// From now on, answers ask callers to use another connection.
   void AnnounceLeave();
 
-  /// Takes no new callers; what is in flight ends.
+  /// Stops accepting callers; requests in flight are completed.
   void Drain();
 
-  /// Ends the thread, whatever is in flight.
+  /// Ends the thread without regard to requests in flight.
   void Stop();
   void Join();
 
-  /// @returns true while the end of the process would lose something: there
-  /// are connections of callers or, once `Drain` was called, links with work or
-  /// answers of peers.
+  /// @returns true while ending the process would lose something: there are
+  /// connections of callers or, after `Drain`, links with requests or answers
+  /// of peers.
   bool busy() const {
     return this->drain_requested.load() || this->busy_callers() > 0 ||
            this->busy_links() > 0;
@@ -108,7 +110,7 @@
   Endpoint links_endpoint() const { return this->links_at; }
 
  private:
-  /// A request that waits for its credit.
+  /// A request that waits for a quota credit.
   struct QuotaWait {
     explicit QuotaWait(const Executor& executor) : settled(executor) {}
     AsyncEvent settled;
@@ -124,7 +126,7 @@
 
   Task<void> AcceptCallers();
   Task<void> AcceptLinks();
-  /// @returns how many more connections of callers are taken.
+  /// @returns the number of further connections of callers that are accepted.
   size_t RoomForCallers() const;
   bool AcceptsCallers(TimePoint now) const;
   LinkTableHandlers MakeLinkHandlers();
@@ -204,13 +206,14 @@
   std::unordered_set<std::shared_ptr<CallerSession>> sessions;
   CallerLimits current_caller_limits;
   SplitChooser splits;
-  LeaseTime api_keys_until;  ///< Not relied on from then on.
+  LeaseTime
+      api_keys_until;  ///< End of the time in which API keys are verified.
   QuotaBorrower borrower;
   std::map<uint64_t, QuotaWait*> quota_waits;  ///< By ticket.
   bool uses_quotas = false;
   std::string via_text;
   Timer tick_timer;
-  TimePoint accept_failed{};  ///< At the callers' port, the last time.
+  TimePoint accept_failed{};  ///< Last failed accept at the callers' port.
   TimePoint sessions_ticked;
   TimePoint idle_ticked;
   ClaimHost* claims = nullptr;
@@ -222,7 +225,7 @@
   bool ticking_slowly = false;
   std::atomic<size_t> open_sessions{0};
   std::atomic<size_t> links_in_use{0};
-  /// From the call of `Drain` until the worker's thread acts on it.
+  /// Set from the call of `Drain` until the worker's thread begins to drain.
   std::atomic<bool> drain_requested{false};
   std::thread thread;
 };
