--- a/packages/node/test/accept_loop_test.cc
+++ b/packages/node/test/accept_loop_test.cc
@@ -1,4 +1,4 @@
-// Tests of taking connections in while none can be had.
+// Tests of accepting connections while the process has no file descriptors.
 
 #include "accept_loop.h"
 
@@ -23,7 +23,7 @@
 
 namespace {
 
-// No descriptor from `first` on can be had while this lives.
+// Limits the process to descriptors below `first` during its lifetime.
 class DescriptorLimit {
  public:
   explicit DescriptorLimit(rlim_t first) {
@@ -63,9 +63,9 @@
   }
 };
 
-// Failure: a VM that can't take a connection does nothing but try to, and
-// leaves no time to those that it serves.
-TEST(AcceptLoop, Accept_NoDescriptorsAtAll_TriedAgainLaterAndTakenAtLast) {
+// Failure: a VM that can't accept a connection retries without pause and leaves
+// no time for the connections that it serves.
+TEST(AcceptLoop, Accept_NoDescriptorsAtAll_RetriedAfterDelayAndAccepted) {
   this->caller.connect(this->acceptor.local_endpoint());
   const TimePoint began = MonotonicClock::now();
   {
@@ -83,9 +83,9 @@
   CHECK(MonotonicClock::now() - began >= std::chrono::milliseconds(40));
 }
 
-// Failure: connections wait at a VM without descriptors until it has some, and
-// their callers with them.
-TEST(AcceptLoop, Accept_DescriptorsUsedUp_CallerIsTurnedAwayAtOnce) {
+// Failure: a VM without descriptors leaves connections in its backlog, so their
+// callers wait until a descriptor is free.
+TEST(AcceptLoop, Accept_DescriptorsUsedUp_CallerResetAtOnce) {
   const int next = ::dup(0);
   ::close(next);
   const DescriptorLimit none(static_cast<rlim_t>(next));
--- a/packages/node/test/http_fuzz.cc
+++ b/packages/node/test/http_fuzz.cc
@@ -1,7 +1,7 @@
-// Target for libFuzzer: what a caller or an upstream sends. Any input ends in
-// a typed status, and no request is taken in that a strict reading of the same
-// bytes does not give. The ordinary tests run it over a fixed corpus
-// (http_malformed_test.cc).
+// libFuzzer target for the bytes that a caller or an upstream sends. Every
+// input must end in a typed status, and no request may be accepted that a
+// strict parser does not find in the same bytes. The ordinary tests run it over
+// a fixed corpus (http_malformed_test.cc).
 
 #include <cstdint>
 #include <cstdlib>
--- a/packages/node/test/http_malformed_test.cc
+++ b/packages/node/test/http_malformed_test.cc
@@ -1,5 +1,5 @@
-// Malformed input over HTTP: a table of forms by name, and about a thousand
-// inputs made from valid requests with a fixed seed.
+// Malformed HTTP input: a table of named invalid messages, and about a thousand
+// inputs that are mutated from valid requests with a fixed seed.
 
 #include <algorithm>
 #include <cstdint>
@@ -48,7 +48,7 @@
   };
 }
 
-/// A form that is ruined in one way; the rest of it is valid.
+/// A message with one fault; the rest of it is valid.
 struct InvalidMessage {
   const char* name;
   std::string bytes;
@@ -226,8 +226,8 @@
     Cut,         FlipBits, InsertSpecialBytes, RepeatLine, AddFraming,
     MutateDigit, DropByte, RepeatByte,         Splice,     InsertSpecialBytes};
 
-/// @returns the valid requests, each ruined in many ways and followed by a
-/// second request.
+/// @returns many mutations of each valid request, each followed by a second
+/// request.
 std::vector<std::string> MutatedCorpus() {
   pcg32 random(kSeed);
   std::vector<std::string> corpus;
@@ -247,7 +247,7 @@
 
 TEST_GROUP(HttpMalformed){};
 
-TEST(HttpMalformed, ValidRequests_AreTakenInWithWhatFollows) {
+TEST(HttpMalformed, Read_ValidRequests_AcceptedWithTheNextRequest) {
   for (const std::string& valid : ValidRequests()) {
     const std::string bytes = valid + kSecond;
     const ReadingOutcome end = ReadRequests(bytes);
@@ -257,11 +257,11 @@
   }
 }
 
-// Story: a caller sends a request whose end two servers see at different
-// places, and hides a second request there, which then runs with another
-// caller's rights. Each such form ends the connection with a typed status, and
-// nothing behind it is read as a request.
-TEST(HttpMalformed, RuinedForms_EndTypedAndHideNoRequest) {
+// Failure: request smuggling. Two servers disagree on where a request ends, and
+// a second request that is hidden behind it runs with another caller's rights.
+// Each ambiguous message must end the connection with a typed status, and
+// nothing behind it may be read as a request.
+TEST(HttpMalformed, Read_InvalidMessages_TypedStatusAndNoRequest) {
   std::vector<InvalidMessage> messages = InvalidHeads();
   const std::vector<InvalidMessage> bodies = InvalidBodies();
   messages.insert(messages.end(), bodies.begin(), bodies.end());
@@ -273,7 +273,7 @@
   }
 }
 
-TEST(HttpMalformed, AboutAThousandRuinedRequests_AreReadByTheLetterOrNotAtAll) {
+TEST(HttpMalformed, Read_MutatedRequests_StrictlyParsedOrRefused) {
   const std::vector<std::string> corpus = MutatedCorpus();
   CHECK(corpus.size() >= 950);
   size_t refused = 0;
@@ -287,7 +287,7 @@
   CHECK(refused > corpus.size() / 2);
 }
 
-TEST(HttpMalformed, FuzzTarget_OverTheCorpus_Passes) {
+TEST(HttpMalformed, FuzzTarget_MutatedCorpus_Passes) {
   for (const std::string& bytes : MutatedCorpus()) {
     const auto* data = reinterpret_cast<const uint8_t*>(bytes.data());
     CHECK_EQUAL(0, LLVMFuzzerTestOneInput(data, bytes.size()));
--- a/packages/node/test/http_reference.cc
+++ b/packages/node/test/http_reference.cc
@@ -131,7 +131,7 @@
   return whole ? std::optional(number) : std::nullopt;
 }
 
-/// Takes one request after the other off the front of the bytes.
+/// Parses the requests in a sequence of bytes, one after the other.
 class StrictParser {
  public:
   explicit StrictParser(std::string_view bytes) : left(bytes) {}
@@ -234,8 +234,8 @@
     }
   }
 
-  // Only the end of the trailers counts: they are written anew when they are
-  // passed on.
+  // Only the end of the trailers is checked: they are serialized again when
+  // they are passed on.
   bool TakeTrailers() {
     for (;;) {
       const auto line = this->TakeLine();
--- a/packages/node/test/http_reference.h
+++ b/packages/node/test/http_reference.h
@@ -7,9 +7,10 @@
 
 #include "http_reader.h"
 
-/// What bytes from a caller mean, twice: as HttpReader reads them from a
-/// connection, and as the letter of RFC 9112 has it. Where the reader takes a
-/// message in, both must agree on each byte of it.
+/// Two independent parsers of the bytes from a caller: HttpReader on a
+/// connection, and a strict reference parser that follows the wording of RFC
+/// 9112. Every message that the reader accepts must be identical, byte for
+/// byte, in both.
 
 namespace basilsill::test {
 
@@ -21,25 +22,26 @@
   bool operator==(const ParsedRequest&) const = default;
 };
 
-/// How the reading of a connection's bytes ended.
+/// Result of reading the bytes of a connection.
 struct ReadingOutcome {
-  std::vector<ParsedRequest> whole;        ///< Requests taken in whole.
-  HeadStatus status = HeadStatus::kCount;  ///< Of the last head.
-  bool body_broken = false;                ///< The last head's body broke.
+  std::vector<ParsedRequest> whole;  ///< Requests that were read completely.
+  HeadStatus status = HeadStatus::kCount;  ///< Status of the last head.
+  bool body_broken = false;  ///< The body after the last head was invalid.
 };
 
 /// Sends `bytes` over a loopback connection, closes it, and reads requests
-/// until the reader gives up or nothing is left.
+/// until the reader fails or reaches the end.
 ReadingOutcome ReadRequests(std::string_view bytes);
 
-/// As `ReadRequests` for answers, whose content the callers don't compare.
+/// As `ReadRequests`, for answers; their content is not compared.
 void ReadAnswers(std::string_view bytes);
 
-/// @returns the requests in `bytes` up to the first that is not strictly
-/// well-formed or not whole.
+/// @returns the requests in `bytes` up to the first that is incomplete or not
+/// strictly well-formed.
 std::vector<ParsedRequest> ParseStrictly(std::string_view bytes);
 
-/// @returns true if the reader took in nothing that the letter does not give.
+/// @returns true if the reader accepted no request that the strict parser does
+/// not find.
 bool AgreesWithStrictParser(const ReadingOutcome& end, std::string_view bytes);
 
 }  // namespace basilsill::test
--- a/packages/node/test/path_test.cc
+++ b/packages/node/test/path_test.cc
@@ -1,5 +1,6 @@
-// Tests of the whole path: callers, nodes, links, upstreams and the platform's
-// log, all real but for the platform and the upstreams.
+// End-to-end tests of the request path: callers, nodes, links, upstreams and
+// the platform's log. The platform and the upstreams are emulated; everything
+// else is real.
 
 #include <array>
 #include <cstdint>
@@ -48,7 +49,7 @@
   return request;
 }
 
-// A key that was born now, as callers make them.
+// An idempotency key with the current time, as callers make them.
 std::string NewKey(const std::string& name) {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   const auto millis =
@@ -69,8 +70,8 @@
 
 }  // namespace
 
-// Two VMs in two data centres; all upstreams stand in the first, so what
-// enters at the second goes over a link.
+// Two VMs in two data centres. All upstreams are in the first, so a request
+// that enters at the second goes over a link.
 TEST_GROUP(Path) {
   Fleet fleet;
   RunningNode* near = nullptr;
@@ -85,10 +86,11 @@
   }
 };
 
-// A VM shuts down and closes the connections that are idle. A caller's next
-// request crosses that close. If the VM read it and then went, the caller could
-// not know whether it ran; left unread it is reset and can be sent again.
-TEST(Path, Drain_RequestCrossesTheCloseOfAnIdleConnection_LeftUnread) {
+// Failure: a caller's request crosses the close of an idle connection by a VM
+// that shuts down. If the VM read the request and then exited, the caller could
+// not know whether it ran. If it is left unread, the connection is reset and
+// the request can be sent again.
+TEST(Path, Drain_RequestCrossesCloseOfIdleConnection_LeftUnread) {
   boost::asio::io_context io;
   boost::asio::ip::tcp::socket caller(io);
   caller.connect(
@@ -117,14 +119,14 @@
   CHECK(drained.get());
 }
 
-TEST(Path, Request_AtTheDispatcher_GetsTheUpstreamsAnswer) {
+TEST(Path, Request_EntersAtItsDispatcher_AnsweredByUpstream) {
   const HttpResponse answer =
       Send(this->near->callers(), MakeRequest("GET", "/levels/7"));
   CHECK_EQUAL(200, answer.result_int());
   CHECK_EQUAL(1024, answer.body().size());
 }
 
-TEST(Path, Body_StreamedThroughTwoNodes_ComesBackWhole) {
+TEST(Path, Body_StreamedThroughTwoNodes_Unchanged) {
   const std::string text = LongText();
   const HttpResponse answer =
       Send(this->far->callers(), MakeRequest("POST", "/echo", text));
@@ -132,14 +134,14 @@
   CHECK(text == answer.body());
 }
 
-TEST(Path, Head_ThroughTwoNodes_KeepsLengthWithoutBody) {
+TEST(Path, Head_ThroughTwoNodes_LengthWithoutBody) {
   const HttpResponse answer =
       Send(this->far->callers(), MakeRequest("HEAD", "/levels/7"));
   CHECK_EQUAL(200, answer.result_int());
   STRCMP_EQUAL("1024", HeaderOf(answer, "Content-Length").c_str());
 }
 
-TEST(Path, Request_WithoutARule_IsATypedNotRun) {
+TEST(Path, Request_NoMatchingRule_RefusedAsNotRun) {
   HttpRequest request = MakeRequest("GET", "/levels/7");
   request.set(boost::beast::http::field::host, "elsewhere.test");
   const HttpResponse answer = Send(this->near->callers(), request);
@@ -148,11 +150,11 @@
   STRCMP_EQUAL("not-run", HeaderOf(answer, "Basilsill-Promise").c_str());
 }
 
-// Story: a driver's phone sends a pickup confirmation, loses its connection
-// and sends it again through whichever VM the balancer picks. Until the end of
-// the first is in the log the resend is told that it is running; then it gets
-// the same answer. The charity is to be credited once.
-TEST(Path, Confirmation_SentAgainThroughAnotherVm_RunsOnceAndAnswersAlike) {
+// Failure: a request with an idempotency key runs twice. The caller loses its
+// connection and retries through another VM. Until the end of the first attempt
+// is in the log, the retry is refused as running; afterwards it gets the stored
+// response.
+TEST(Path, Confirmation_RetriedThroughAnotherVm_RunsOnceWithSameAnswer) {
   const std::string key = NewKey("pickup-1");
   const HttpResponse first =
       Send(this->near->callers(), Confirmation(key, "bank 7"));
@@ -168,7 +170,7 @@
   CHECK_EQUAL(1, Executions(*this->upstreams, key));
 }
 
-TEST(Path, Confirmation_SameKeyOtherBody_IsRefusedAndNotRun) {
+TEST(Path, Confirmation_SameKeyOtherBody_RefusedAsNotRun) {
   const std::string key = NewKey("pickup-2");
   Send(this->near->callers(), Confirmation(key, "bank 7"));
   const HttpResponse other =
@@ -178,7 +180,7 @@
   CHECK_EQUAL(1, Executions(*this->upstreams, key));
 }
 
-TEST(Path, Confirmation_WithoutKey_IsRefusedAndNotRun) {
+TEST(Path, Confirmation_NoKey_RefusedAsNotRun) {
   const HttpResponse answer =
       Send(this->near->callers(), MakeRequest("POST", "/confirm/7", "bank 7"));
   CHECK_EQUAL(400, answer.result_int());
@@ -186,10 +188,12 @@
   STRCMP_EQUAL("not-run", HeaderOf(answer, "Basilsill-Promise").c_str());
 }
 
-// Story: the platform's log is down. Readings go on as if nothing were; a
-// confirmation can't be claimed, so it is refused in time and told `not-run`,
-// and the driver may safely send it again later.
-TEST(Path, LogDown_ReadingsGoOnConfirmationsAreNotRun) {
+// Failure: an outage of the platform's log fails ordinary requests, or leaves
+// the outcome of requests with an idempotency key unknown. Ordinary requests
+// must be served. Requests with a key can't acquire a claim, so they must be
+// refused within their deadline with the promise `not-run`, so that callers can
+// safely retry.
+TEST(Path, Requests_LogDown_OnlyConfirmationsRefusedAsNotRun) {
   this->fleet.WithPlatform([](basilsill::ctl::PlatformServer& platform) {
     basilsill::ctl::PlatformFaults faults;
     faults.down = true;
@@ -209,9 +213,9 @@
   CHECK_EQUAL(0, Executions(*this->upstreams, key));
 }
 
-// Story: a VM is replaced while a clerk's export is on its way through it.
-// The shutdown must let the export end before the process does.
-TEST(Path, Drain_WithARequestInFlight_CutsNothingOff) {
+// Failure: a VM that shuts down exits while a request is in flight and cuts off
+// the answer.
+TEST(Path, Drain_RequestInFlight_AnswerComplete) {
   for (size_t i = 0; i < 2; ++i) {
     this->upstreams->Change(i, [](basilsill::ctl::UpstreamBehaviour& b) {
       b.service_mean = std::chrono::milliseconds(300);
@@ -233,11 +237,11 @@
   CHECK_EQUAL(200, answer.result_int());
 }
 
-// Story: a van's tablet uploads a long report. The first upstream reads some
-// of it and refuses; what it read is gone from the VM. Sent on to the second
-// upstream, the report would lack its beginning and yet look whole. The caller
-// gets its whole report back, or is told that it was not run; never a part.
-TEST(Path, LongBody_RefusedByOneUpstream_NeverReachesAnotherInPart) {
+// Failure: an upstream reads part of a long streamed body and refuses the
+// request. The VM no longer has that part; sent to a second upstream, the body
+// would lack its beginning and still look complete. The caller must get its
+// complete body back or the promise `not-run`.
+TEST(Path, LongBody_ShedByOneUpstream_NeverPartlySentToAnother) {
   this->upstreams->Change(
       0, [](basilsill::ctl::UpstreamBehaviour& b) { b.shed = true; });
   const std::string text = LongText();
@@ -253,9 +257,10 @@
   }
 }
 
-// Story: one of two upstreams sheds all it gets, then both do. Operators look
-// at the counters to tell what the callers did not notice from what they did.
-TEST(Path, RetriesAndRefusals_ShowOnMetricsWithTheirReasons) {
+// Failure: operators can't distinguish requests that succeeded after a retry
+// from those that were refused. One of two upstreams sheds all requests, then
+// both do; each must show in the metrics with its reason.
+TEST(Path, Metrics_RetriesAndRefusals_CountedByReason) {
   const auto shed = [this](size_t index) {
     this->upstreams->Change(
         index, [](basilsill::ctl::UpstreamBehaviour& b) { b.shed = true; });
@@ -292,11 +297,11 @@
   }
 };
 
-// Story: a caller, or whoever sits between, sends a request whose end two
-// servers read at different places; what one takes for its body the other
-// takes for a second request. Each such form is answered 400 and the
-// connection is closed, so nothing behind it is read as a request.
-TEST(Malformed, AmbiguousRequests_Are400AndClose) {
+// Failure: request smuggling. Two servers disagree on where a request ends;
+// what one takes for its body, the other takes for a second request. Each
+// ambiguous request must be answered with 400 and close the connection, so that
+// nothing behind it is read as a request.
+TEST(Malformed, Request_Ambiguous_Answered400AndClosed) {
   const std::string host = "Host: levels.test\r\n";
   const std::vector<std::string> requests = {
       "GET /a HTTP/1.1\r\n" + host +
@@ -325,7 +330,7 @@
   }
 }
 
-TEST(Malformed, HeadAboveItsLimit_Is431) {
+TEST(Malformed, Request_HeadAboveLimit_Answered431) {
   const std::string answer =
       SendRaw(this->node->callers(),
               "GET /a HTTP/1.1\r\nHost: levels.test\r\nX-Long: " +
@@ -335,7 +340,7 @@
 
 namespace {
 
-// Connections that say nothing.
+// Connections that send nothing.
 class IdleCallers {
  public:
   void Open(uint16_t port, size_t count) {
@@ -361,9 +366,9 @@
   IdleCallers callers;
 };
 
-// Failure: a VM that has no room for further callers resets each new connection
-// and goes on saying that it is ready.
-TEST(Readiness, Callers_LimitReached_FailsUntilSomeHaveLeft) {
+// Failure: a VM that has reached its limit of callers' connections resets each
+// new one and still reports that it is ready.
+TEST(Readiness, Callers_LimitReached_NotReadyUntilSomeDisconnect) {
   Fleet fleet([](basilsill::Settings& settings) {
     settings.limits.caller_connections = 4;
   });
@@ -377,9 +382,9 @@
   CHECK(basilsill::test::WaitUntil([&] { return ReadinessOf(node) == 200; }));
 }
 
-// Failure: links and upstream connections have taken what callers may take too,
-// so that nothing is left to serve those that are in.
-TEST(Readiness, Connections_AllTakenByCallers_SomeAreLeftForLinks) {
+// Failure: callers occupy all connections that the process may have, so that
+// none is left for links and upstreams to serve them.
+TEST(Readiness, Connections_ManyCallers_SomeReservedForLinks) {
   basilsill::Installation installation;
   installation.max_connections = 16;
   basilsill::Settings settings;
--- a/packages/node/test/rate_limit_header_test.cc
+++ b/packages/node/test/rate_limit_header_test.cc
@@ -1,4 +1,4 @@
-// Tests of how the rate limit of an upstream is read from its answers.
+// Tests of reading the rate limit that an upstream advertises in its answers.
 
 #include "rate_limit_header.h"
 
@@ -35,11 +35,11 @@
   }
 };
 
-TEST(RateLimitHeader, Parse_Absent_NamesNone) {
+TEST(RateLimitHeader, Parse_HeaderAbsent_None) {
   CHECK(RateLimitPresence::kNone == this->Parse().value().presence);
 }
 
-TEST(RateLimitHeader, Parse_UpstreamsHaveNone_NamesNone) {
+TEST(RateLimitHeader, Parse_NoHeaderConfigured_None) {
   this->Set("3");
   CHECK(RateLimitPresence::kNone ==
         ParseRateLimit(this->answer, "").value().presence);
@@ -52,7 +52,7 @@
   this->CheckNamed("1000000", 1e6);
 }
 
-TEST(RateLimitHeader, Parse_NoNumber_Syntax) {
+TEST(RateLimitHeader, Parse_NotANumber_Syntax) {
   this->CheckFault("", FailureKind::kSyntax);
   this->CheckFault("many", FailureKind::kSyntax);
   this->CheckFault("1,7", FailureKind::kSyntax);
@@ -66,14 +66,14 @@
   this->CheckFault("nan", FailureKind::kOutOfRange);
 }
 
-TEST(RateLimitHeader, Parse_StandsTwice_Duplicate) {
+TEST(RateLimitHeader, Parse_HeaderRepeated_Duplicate) {
   this->Set("1.7");
   this->answer.insert(this->name, "2");
   CHECK(FailureKind::kDuplicate == this->Parse().error().kind);
 }
 
-// A header that can't be read must neither name a limit nor end one.
-TEST(RateLimitHeader, Read_Malformed_SaysNothing) {
+// A malformed header must neither set a limit nor end one.
+TEST(RateLimitHeader, Read_Malformed_Unknown) {
   this->Set("many");
   const auto limit = ReadRateLimit(this->answer, this->name, {"10.0.0.1", 80});
   CHECK(RateLimitPresence::kUnknown == limit.presence);
--- a/packages/node/test/raw_upstream.cc
+++ b/packages/node/test/raw_upstream.cc
@@ -52,8 +52,7 @@
       thread([this] { this->Accept(); }) {}
 
 RawUpstream::~RawUpstream() {
-  // Closing does not wake a blocked accept, a connection that says nothing
-  // does.
+  // Closing the acceptor does not wake a blocked accept; a connection does.
   this->ends = true;
   tcp::socket last(this->io);
   NetError ignored;
@@ -61,7 +60,8 @@
   this->thread.join();
 }
 
-// One connection at a time: a test that needs the next one ends the first.
+// Serves one connection at a time: a test that needs a second one ends the
+// first.
 void RawUpstream::Accept() {
   for (;;) {
     tcp::socket socket(this->io);
--- a/packages/node/test/raw_upstream.h
+++ b/packages/node/test/raw_upstream.h
@@ -10,28 +10,29 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 
-/// An upstream of which a test says each byte.
+/// An upstream whose every byte is determined by the test.
 
 namespace basilsill::test {
 
-/// Ends the head of a message.
+/// The blank line that ends the head of a message.
 inline const std::string kHeadEnd = "\r\n\r\n";
 
 class RawUpstream {
  public:
-  /// One connection of the upstream, used on a thread of its own.
+  /// One connection of the upstream, served on the upstream's thread.
   class Exchange {
    public:
     explicit Exchange(boost::asio::ip::tcp::socket& socket) : socket(socket) {}
 
-    /// Reads until `end` has come.
-    /// @returns all that was read, without `end` if the caller closed before.
+    /// Reads up to and including `end`.
+    /// @returns everything that was read; it does not end with `end` if the
+    /// peer closed before.
     std::string ReadUntil(const std::string& end);
-    /// @returns false if the other side has closed.
+    /// @returns false if the peer has closed.
     bool Write(const std::string& bytes);
-    /// Blocks until the other side closes.
+    /// Blocks until the peer closes.
     void WaitForClose();
-    /// Reads `size` octets, or fewer if the other side closes before.
+    /// Reads `size` bytes, or fewer if the peer closes before.
     std::string Read(size_t size);
 
    private:
@@ -54,14 +55,15 @@
   std::thread thread;
 };
 
-/// What a caller got that sent raw bytes.
+/// The result of sending raw bytes as a caller.
 struct RawAnswer {
   std::string bytes;
   bool was_reset = false;
 };
 
-/// Sends `bytes` and reads until the connection ends. The callback is called
-/// once, when something of the answer has come.
+/// Sends `bytes` and reads until the connection ends.
+/// @param on_first Called once, when the first bytes of the answer have
+/// arrived.
 RawAnswer SendAndRead(uint16_t port,
                       const std::string& bytes,
                       const std::function<void()>& on_first = {});
--- a/packages/node/test/stream_test.cc
+++ b/packages/node/test/stream_test.cc
@@ -1,5 +1,5 @@
-// Tests of streamed bodies with upstreams of which each byte is known: what
-// comes at the end of a body, and bodies that end too early.
+// Tests of streamed bodies with upstreams that send exact bytes: trailers, and
+// bodies that end early.
 
 #include <chrono>
 #include <functional>
@@ -30,7 +30,7 @@
 
 constexpr size_t kNodes = 2;
 constexpr std::chrono::milliseconds kSoon{100};
-// Long enough for the start of an answer on a busy machine.
+// Long enough for an answer to begin on a busy machine.
 constexpr std::chrono::milliseconds kTotal{1000};
 const std::string kBodyEnd = "\r\n0\r\n\r\n";
 const std::string kReading =
@@ -58,7 +58,7 @@
   exchange.WaitForClose();
 }
 
-/// Begins an answer at once and goes on with it until the other side closes.
+/// Begins an answer at once and continues it until the peer closes.
 void AnswerWithoutEnd(RawUpstream::Exchange& exchange) {
   exchange.ReadUntil(kHeadEnd);
   exchange.Write(kChunkedHead + kFirstChunk);
@@ -66,7 +66,8 @@
   }
 }
 
-/// @returns true once the node's metrics show `count` requests in flight.
+/// Waits for the node's metrics to show `count` requests in flight.
+/// @returns false if they don't within the time limit of WaitUntil.
 bool ShowsInFlight(const RunningNode& node, int count) {
   const std::string row = "basilsill_requests_in_flight{worker=\"0\"} " +
                           std::to_string(count) + "\n";
@@ -77,8 +78,8 @@
   });
 }
 
-/// Asks until it is served: an upstream that has just died gets nothing for a
-/// moment, and callers are told to come back.
+/// Retries until the request is served: for a short time after an upstream has
+/// died, no requests are sent to it and callers are told to retry.
 RawAnswer ReadWhenServed(const RunningNode& node) {
   RawAnswer answer;
   basilsill::test::WaitUntil([&] {
@@ -90,8 +91,8 @@
 
 }  // namespace
 
-// Two VMs in two data centres; the upstream stands in the first, so what enters
-// at the second goes through two nodes.
+// Two VMs in two data centres. The upstream is in the first, so a request that
+// enters at the second passes through two nodes.
 TEST_GROUP(Stream) {
   std::unique_ptr<RawUpstream> upstream;
   std::unique_ptr<Fleet> fleet;
@@ -116,11 +117,12 @@
   }
 };
 
-TEST(Stream, Trailers_OfRequestAndAnswer_StayBehindTheBody) {
+TEST(Stream, Trailers_OfRequestAndAnswer_StayAfterBody) {
   std::string request;
   this->Start([&request](RawUpstream::Exchange& exchange) {
     request = exchange.ReadUntil("X-Sum: 5\r\n\r\n");
-    // It says that it closes: a report that meets the close would be lost.
+    // The upstream announces the close: a request that crosses an unannounced
+    // close would be lost.
     exchange.Write(kClosingHead + kFirstChunk +
                    "0\r\nX-Digest: d\r\nContent-Encoding: gzip\r\n\r\n");
   });
@@ -134,11 +136,12 @@
   }
 }
 
-// A caller sends three requests without waiting; the body of the third is still
-// on its way as the first is answered. Closing after that answer, for the sake
-// of the body, would drop the answer to the second, which runs already, and the
-// caller would send it again.
-TEST(Stream, Answer_WhileALaterBodyIsRead_LeavesTheConnectionOpen) {
+// Failure: a caller pipelines three requests, and the body of the third is
+// still arriving when the first is answered. If the VM closed the connection
+// after that answer because of the unread body, the answer to the second
+// request, which is already running, would be lost and the caller would send it
+// again.
+TEST(Stream, Answer_LaterBodyStillArriving_ConnectionStaysOpen) {
   std::promise<void> may_answer;
   const std::shared_future<void> released(may_answer.get_future());
   this->Start([released](RawUpstream::Exchange& exchange) {
@@ -167,11 +170,11 @@
   }
 }
 
-// Story: a clerk closes the browser in the middle of a long download whose
-// answer began at once, before a waiting caller would be watched for leaving.
-// The request has ended; if the VM kept it, it would hold a slot of the team
-// for ever, and no shutdown would find the VM at rest.
-TEST(Stream, Caller_GoneInTheMiddle_EndsTheRequest) {
+// Failure: a caller disconnects in the middle of a long answer that began at
+// once, before the VM started to watch the caller for a disconnect. If the VM
+// kept the request, it would occupy a slot of the team indefinitely, and a
+// shutdown would never find the VM idle.
+TEST(Stream, Caller_DisconnectsDuringAnswer_RequestEnds) {
   this->Start(&AnswerWithoutEnd);
   for (size_t i = 0; i < kNodes; ++i) {
     boost::asio::io_context io;
@@ -187,11 +190,11 @@
   }
 }
 
-// Story: a phone loses its network while it still sends an order of known
-// length. The VM had counted the request when its head came. If the count
-// stays up, the VM is never at rest again: its shutdown waits for a request
-// that nobody sends any more, and the gauge climbs with each such phone.
-TEST(Stream, Caller_GoneInTheMiddleOfABody_EndsTheRequest) {
+// Failure: a caller disconnects while it sends a body of known length. The VM
+// counted the request when its head arrived. If the count stayed up, a shutdown
+// would wait for a request that nobody sends any more, and the gauge would rise
+// with each such caller.
+TEST(Stream, Caller_DisconnectsDuringBody_RequestEnds) {
   this->Start(&AnswerHalf);
   for (size_t i = 0; i < kNodes; ++i) {
     boost::asio::io_context io;
@@ -205,9 +208,9 @@
   }
 }
 
-// Story: an upstream dies while a clerk's export is on its way. The clerk must
-// see a failed download, not a file that ends early and looks whole.
-TEST(Stream, Upstream_DyingInTheMiddle_IsResetToTheCaller) {
+// Failure: an upstream dies in the middle of an answer, and the caller takes
+// the part that it got for a complete answer.
+TEST(Stream, Upstream_DiesDuringAnswer_CallerSeesReset) {
   const std::string known =
       "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhello";
   std::string half;
@@ -226,9 +229,9 @@
   }
 }
 
-// Story: as above, but it is a VM between caller and upstream that is killed:
-// the one with the upstream's connection, then the one with the caller's.
-TEST(Stream, Node_KilledInTheMiddle_NeverLooksLikeAWholeAnswer) {
+// Failure: as above, but the VM with the connection to the upstream is killed
+// instead of the upstream.
+TEST(Stream, DispatcherNode_KilledDuringAnswer_AnswerNotComplete) {
   this->Start(&AnswerHalf);
   const RawAnswer answer = SendAndRead(this->node(1).callers(), kReading,
                                        [this] { this->node(0).Kill(); });
@@ -236,24 +239,24 @@
   CHECK_FALSE(answer.bytes.ends_with(kBodyEnd));
 }
 
-// Story: an upstream goes silent in the middle of an answer, and its
-// connection stays open. The caller's download fails after a while instead of
-// standing still for ever, and the upstream's slot is free again.
-TEST(Stream, Upstream_SilentInTheMiddle_IsCutOffOnBothSides) {
+// Failure: an upstream stops sending in the middle of an answer and keeps its
+// connection open. If the VM waited without limit, the caller's download would
+// hang and the upstream's slot would stay occupied.
+TEST(Stream, Upstream_SilentDuringAnswer_BothConnectionsReset) {
   this->Start(&AnswerHalf, [](basilsill::Settings& settings) {
     settings.limits.caller_idle = kSoon;
   });
   for (size_t i = 0; i < kNodes; ++i) {
     // The upstream serves one connection at a time, so the second download
-    // starts only if the first was ended there too.
+    // starts only if the first was ended at the upstream too.
     const RawAnswer answer = ReadWhenServed(this->node(i));
     CHECK(answer.was_reset);
   }
 }
 
-// Story: as above, with a silence that is allowed, but in all the request takes
-// longer than any may.
-TEST(Stream, Request_LongerThanTheTotalLimit_IsCutOff) {
+// Failure: as above, but the silence is within the idle limit and the request
+// exceeds the limit on its total time.
+TEST(Stream, Request_ExceedsTotalLimit_Reset) {
   this->Start(&AnswerHalf, [](basilsill::Settings& settings) {
     settings.limits.request_total = kTotal;
   });
@@ -261,10 +264,10 @@
   CHECK(answer.was_reset);
 }
 
-// Story: a phone loses its network in the middle of an upload and its
-// connection is never closed. The upstream must not take the half for whole,
+// Failure: a caller goes silent in the middle of an upload, and its connection
+// is never closed. The upstream must neither take the part for a complete body
 // nor keep a slot for it.
-TEST(Stream, Caller_SilentInTheMiddleOfABody_IsCutOffOnBothSides) {
+TEST(Stream, Caller_SilentDuringBody_BothConnectionsReset) {
   std::promise<std::string> seen;
   this->Start(
       [&seen](RawUpstream::Exchange& exchange) {
@@ -281,7 +284,7 @@
   CHECK_FALSE(bytes.ends_with(kBodyEnd));
 }
 
-TEST(Stream, EntryNode_KilledInTheMiddle_NeverLooksLikeAWholeAnswer) {
+TEST(Stream, EntryDispatcherNode_KilledDuringAnswer_AnswerNotComplete) {
   this->Start(&AnswerHalf);
   const RawAnswer answer = SendAndRead(this->node(1).callers(), kReading,
                                        [this] { this->node(1).Kill(); });
