--- a/packages/node/src/worker.cc
+++ b/packages/node/src/worker.cc
@@ -418,12 +418,16 @@
   const size_t limit = this->settings.limits.caller_connections / threads;
   const size_t taken = this->sessions.size();
   const size_t room = limit - std::min(limit, taken);
-  const size_t all = this->installation.max_connections / threads;
-  const auto others =
+  const size_t max_connections = this->installation.max_connections / threads;
+  const auto other_connections =
       static_cast<size_t>(this->counts->links.open.value() +
                           this->counts->upstream_connections.value());
-  const size_t unavailable = taken + others + all / kReservedDivisor;
-  return all == 0 ? room : std::min(room, all - std::min(all, unavailable));
+  const size_t unavailable =
+      taken + other_connections + max_connections / kReservedDivisor;
+  return max_connections == 0
+             ? room
+             : std::min(room, max_connections -
+                                  std::min(max_connections, unavailable));
 }
 
 bool Worker::AcceptsCallers(TimePoint now) const {
--- a/packages/node/test/path_test.cc
+++ b/packages/node/test/path_test.cc
@@ -57,8 +57,8 @@
   return std::to_string(millis) + "-" + name;
 }
 
-uint32_t Executions(const basilsill::ctl::EmulatedUpstreams& upstreams,
-                    const std::string& key) {
+uint32_t CountExecutions(const basilsill::ctl::EmulatedUpstreams& upstreams,
+                         const std::string& key) {
   uint32_t total = 0;
   for (size_t i = 0; i < upstreams.endpoints().size(); ++i) {
     const auto counts = upstreams.CountsOf(i);
@@ -167,7 +167,7 @@
   CHECK_EQUAL(200, again.result_int());
   CHECK(first.body() == again.body());
   STRCMP_EQUAL("whole", HeaderOf(again, "Basilsill-Replayed").c_str());
-  CHECK_EQUAL(1, Executions(*this->upstreams, key));
+  CHECK_EQUAL(1, CountExecutions(*this->upstreams, key));
 }
 
 TEST(Path, Confirmation_SameKeyOtherBody_RefusedAsNotRun) {
@@ -177,7 +177,7 @@
       Send(this->far->callers(), Confirmation(key, "bank 8"));
   CHECK_EQUAL(422, other.result_int());
   STRCMP_EQUAL("not-run", HeaderOf(other, "Basilsill-Promise").c_str());
-  CHECK_EQUAL(1, Executions(*this->upstreams, key));
+  CHECK_EQUAL(1, CountExecutions(*this->upstreams, key));
 }
 
 TEST(Path, Confirmation_NoKey_RefusedAsNotRun) {
@@ -210,7 +210,7 @@
   STRCMP_EQUAL("claim-unavailable",
                HeaderOf(refused, "Basilsill-Reason").c_str());
   STRCMP_EQUAL("not-run", HeaderOf(refused, "Basilsill-Promise").c_str());
-  CHECK_EQUAL(0, Executions(*this->upstreams, key));
+  CHECK_EQUAL(0, CountExecutions(*this->upstreams, key));
 }
 
 // Failure: a VM that shuts down exits while a request is in flight and cuts off
--- a/packages/node/test/stream_test.cc
+++ b/packages/node/test/stream_test.cc
@@ -26,19 +26,19 @@
 using basilsill::test::RunningNode;
 using basilsill::test::SendAndRead;
 
-using Serve = std::function<void(RawUpstream::Exchange&)>;
+using ServeFunction = std::function<void(RawUpstream::Exchange&)>;
 
 constexpr size_t kNodes = 2;
-constexpr std::chrono::milliseconds kSoon{100};
+constexpr std::chrono::milliseconds kShortIdleLimit{100};
 // Long enough for an answer to begin on a busy machine.
-constexpr std::chrono::milliseconds kTotal{1000};
+constexpr std::chrono::milliseconds kTotalLimit{1000};
 const std::string kBodyEnd = "\r\n0\r\n\r\n";
-const std::string kReading =
+const std::string kShortRequest =
     "GET /levels/7 HTTP/1.1\r\nHost: levels.test\r\nConnection: close\r\n\r\n";
-const std::string kReport =
+const std::string kChunkedRequest =
     "POST /report HTTP/1.1\r\nHost: levels.test\r\nConnection: close\r\n"
     "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nX-Sum: 5\r\n\r\n";
-const std::string kPartOfOrder =
+const std::string kPartialRequest =
     "POST /report HTTP/1.1\r\nHost: levels.test\r\nContent-Length: 10\r\n"
     "\r\nhello";
 const std::string kChunkedHead =
@@ -52,14 +52,14 @@
   return message.substr(0, message.find(kHeadEnd));
 }
 
-void AnswerHalf(RawUpstream::Exchange& exchange) {
+void SendPartialAnswer(RawUpstream::Exchange& exchange) {
   exchange.ReadUntil(kHeadEnd);
   exchange.Write(kChunkedHead + kFirstChunk);
   exchange.WaitForClose();
 }
 
 /// Begins an answer at once and continues it until the peer closes.
-void AnswerWithoutEnd(RawUpstream::Exchange& exchange) {
+void SendEndlessAnswer(RawUpstream::Exchange& exchange) {
   exchange.ReadUntil(kHeadEnd);
   exchange.Write(kChunkedHead + kFirstChunk);
   while (exchange.Write(kFirstChunk)) {
@@ -68,7 +68,7 @@
 
 /// Waits for the node's metrics to show `count` requests in flight.
 /// @returns false if they don't within the time limit of WaitUntil.
-bool ShowsInFlight(const RunningNode& node, int count) {
+bool WaitForInFlight(const RunningNode& node, int count) {
   const std::string row = "basilsill_requests_in_flight{worker=\"0\"} " +
                           std::to_string(count) + "\n";
   return basilsill::test::WaitUntil([&] {
@@ -80,10 +80,10 @@
 
 /// Retries until the request is served: for a short time after an upstream has
 /// died, no requests are sent to it and callers are told to retry.
-RawAnswer ReadWhenServed(const RunningNode& node) {
+RawAnswer RetryUntilServed(const RunningNode& node) {
   RawAnswer answer;
   basilsill::test::WaitUntil([&] {
-    answer = SendAndRead(node.callers(), kReading);
+    answer = SendAndRead(node.callers(), kShortRequest);
     return answer.bytes.find("no-upstream") == std::string::npos;
   });
   return answer;
@@ -97,7 +97,7 @@
   std::unique_ptr<RawUpstream> upstream;
   std::unique_ptr<Fleet> fleet;
 
-  void Start(Serve serve,
+  void Start(ServeFunction serve,
              std::function<void(basilsill::Settings&)> adjust = {}) {
     this->upstream = std::make_unique<RawUpstream>(std::move(serve));
     this->fleet = std::make_unique<Fleet>(std::move(adjust));
@@ -127,7 +127,8 @@
                    "0\r\nX-Digest: d\r\nContent-Encoding: gzip\r\n\r\n");
   });
   for (size_t i = 0; i < kNodes; ++i) {
-    const RawAnswer answer = SendAndRead(this->node(i).callers(), kReport);
+    const RawAnswer answer =
+        SendAndRead(this->node(i).callers(), kChunkedRequest);
     CHECK(request.ends_with("0\r\nX-Sum: 5\r\n\r\n"));
     CHECK(HeadOf(request).find("X-Sum") == std::string::npos);
     CHECK(answer.bytes.ends_with(
@@ -156,8 +157,8 @@
   const std::string two =
       "GET /a HTTP/1.1\r\nHost: levels.test\r\n\r\n"
       "GET /b HTTP/1.1\r\nHost: levels.test\r\n\r\n";
-  boost::asio::write(caller, boost::asio::buffer(two + kPartOfOrder));
-  const bool all_read = ShowsInFlight(this->node(0), 3);
+  boost::asio::write(caller, boost::asio::buffer(two + kPartialRequest));
+  const bool all_read = WaitForInFlight(this->node(0), 3);
   may_answer.set_value();
   CHECK(all_read);
   std::string bytes;
@@ -175,18 +176,18 @@
 // kept the request, it would occupy a slot of the team indefinitely, and a
 // shutdown would never find the VM idle.
 TEST(Stream, Caller_DisconnectsDuringAnswer_RequestEnds) {
-  this->Start(&AnswerWithoutEnd);
+  this->Start(&SendEndlessAnswer);
   for (size_t i = 0; i < kNodes; ++i) {
     boost::asio::io_context io;
     boost::asio::ip::tcp::socket caller(io);
     caller.connect(
         {boost::asio::ip::address_v4::loopback(), this->node(i).callers()});
-    boost::asio::write(caller, boost::asio::buffer(kReading));
+    boost::asio::write(caller, boost::asio::buffer(kShortRequest));
     std::string start(kChunkedHead.size(), ' ');
     boost::asio::read(caller, boost::asio::buffer(start));
-    CHECK(ShowsInFlight(this->node(i), 1));
+    CHECK(WaitForInFlight(this->node(i), 1));
     caller.close();
-    CHECK(ShowsInFlight(this->node(i), 0));
+    CHECK(WaitForInFlight(this->node(i), 0));
   }
 }
 
@@ -195,16 +196,16 @@
 // would wait for a request that nobody sends any more, and the gauge would rise
 // with each such caller.
 TEST(Stream, Caller_DisconnectsDuringBody_RequestEnds) {
-  this->Start(&AnswerHalf);
+  this->Start(&SendPartialAnswer);
   for (size_t i = 0; i < kNodes; ++i) {
     boost::asio::io_context io;
     boost::asio::ip::tcp::socket caller(io);
     caller.connect(
         {boost::asio::ip::make_address("127.0.0.1"), this->node(i).callers()});
-    boost::asio::write(caller, boost::asio::buffer(kPartOfOrder));
-    CHECK(ShowsInFlight(this->node(i), 1));
+    boost::asio::write(caller, boost::asio::buffer(kPartialRequest));
+    CHECK(WaitForInFlight(this->node(i), 1));
     caller.close();
-    CHECK(ShowsInFlight(this->node(i), 0));
+    CHECK(WaitForInFlight(this->node(i), 0));
   }
 }
 
@@ -222,7 +223,7 @@
     for (const std::string& bytes :
          {known, kChunkedHead + kFirstChunk, kChunkedHead + "ff\r\nhello"}) {
       half = bytes;
-      const RawAnswer answer = ReadWhenServed(this->node(i));
+      const RawAnswer answer = RetryUntilServed(this->node(i));
       CHECK_TEXT(answer.was_reset, bytes.c_str());
       CHECK_FALSE(answer.bytes.ends_with(kBodyEnd));
     }
@@ -232,8 +233,8 @@
 // Failure: as above, but the VM with the connection to the upstream is killed
 // instead of the upstream.
 TEST(Stream, DispatcherNode_KilledDuringAnswer_AnswerNotComplete) {
-  this->Start(&AnswerHalf);
-  const RawAnswer answer = SendAndRead(this->node(1).callers(), kReading,
+  this->Start(&SendPartialAnswer);
+  const RawAnswer answer = SendAndRead(this->node(1).callers(), kShortRequest,
                                        [this] { this->node(0).Kill(); });
   CHECK(answer.was_reset);
   CHECK_FALSE(answer.bytes.ends_with(kBodyEnd));
@@ -243,13 +244,13 @@
 // connection open. If the VM waited without limit, the caller's download would
 // hang and the upstream's slot would stay occupied.
 TEST(Stream, Upstream_SilentDuringAnswer_BothConnectionsReset) {
-  this->Start(&AnswerHalf, [](basilsill::Settings& settings) {
-    settings.limits.caller_idle = kSoon;
+  this->Start(&SendPartialAnswer, [](basilsill::Settings& settings) {
+    settings.limits.caller_idle = kShortIdleLimit;
   });
   for (size_t i = 0; i < kNodes; ++i) {
     // The upstream serves one connection at a time, so the second download
     // starts only if the first was ended at the upstream too.
-    const RawAnswer answer = ReadWhenServed(this->node(i));
+    const RawAnswer answer = RetryUntilServed(this->node(i));
     CHECK(answer.was_reset);
   }
 }
@@ -257,10 +258,10 @@
 // Failure: as above, but the silence is within the idle limit and the request
 // exceeds the limit on its total time.
 TEST(Stream, Request_ExceedsTotalLimit_Reset) {
-  this->Start(&AnswerHalf, [](basilsill::Settings& settings) {
-    settings.limits.request_total = kTotal;
+  this->Start(&SendPartialAnswer, [](basilsill::Settings& settings) {
+    settings.limits.request_total = kTotalLimit;
   });
-  const RawAnswer answer = ReadWhenServed(this->node(1));
+  const RawAnswer answer = RetryUntilServed(this->node(1));
   CHECK(answer.was_reset);
 }
 
@@ -274,9 +275,10 @@
         seen.set_value(exchange.ReadUntil("never"));
       },
       [](basilsill::Settings& settings) {
-        settings.limits.caller_idle = kSoon;
+        settings.limits.caller_idle = kShortIdleLimit;
       });
-  const std::string half = kReport.substr(0, kReport.find("0\r\nX-Sum"));
+  const std::string half =
+      kChunkedRequest.substr(0, kChunkedRequest.find("0\r\nX-Sum"));
   const RawAnswer answer = SendAndRead(this->node(1).callers(), half);
   CHECK(answer.was_reset);
   const std::string bytes = seen.get_future().get();
@@ -284,9 +286,9 @@
   CHECK_FALSE(bytes.ends_with(kBodyEnd));
 }
 
-TEST(Stream, EntryDispatcherNode_KilledDuringAnswer_AnswerNotComplete) {
-  this->Start(&AnswerHalf);
-  const RawAnswer answer = SendAndRead(this->node(1).callers(), kReading,
+TEST(Stream, EntryNode_KilledDuringAnswer_AnswerNotComplete) {
+  this->Start(&SendPartialAnswer);
+  const RawAnswer answer = SendAndRead(this->node(1).callers(), kShortRequest,
                                        [this] { this->node(1).Kill(); });
   CHECK(answer.bytes.find(kFirstChunk) != std::string::npos);
   CHECK_FALSE(answer.bytes.ends_with(kBodyEnd));
