--- a/packages/node/src/attempt_log.h
+++ b/packages/node/src/attempt_log.h
@@ -16,7 +16,7 @@
   const std::string& upstream;  ///< Its instance id, or its endpoint.
   const DispatchAction& action;
   const AttemptReport& report;
-  Duration waited;  ///< Time in the queue: from arrival at the dispatcher.
+  Duration waited;  ///< From arrival at the dispatcher to the attempt's start.
   Duration took;    ///< Time at the upstream.
 };
 
--- a/packages/node/src/caller_exchange.h
+++ b/packages/node/src/caller_exchange.h
@@ -104,8 +104,7 @@
   CallerHost& host;
   CallerWriter& writer;
   RequestMessage request;
-  TeamHandle key_team;  ///< The team of the caller's API key; invalid if the
-                        ///< rule requires none.
+  TeamHandle key_team;  ///< Team of the API key, if the rule requires one.
   Refusal fault = Refusal::kNone;
   AsyncEvent turn;
   std::string out;
--- a/packages/node/src/caller_session.h
+++ b/packages/node/src/caller_session.h
@@ -72,20 +72,17 @@
   CallerHost& host;
   Socket socket;
   RequestReader reader;
-  std::deque<ExchangePtr>
-      exchanges;           ///< In order; the first may write its answer.
-  AsyncBroadcast changed;  ///< An exchange was removed.
+  std::deque<ExchangePtr> exchanges;  ///< The first one may write.
+  AsyncBroadcast changed;             ///< An exchange was removed.
   /// Trailers of the last body read, without headers reserved to this VM.
   std::optional<HttpFields> forwarded_trailers;
   std::string body_prefix;  ///< Start of the streamed body, already read.
   TimePoint idle_since;
-  TimePoint head_since = kNever;     ///< Start of an incomplete request head.
-  TimePoint reading_since = kNever;  ///< Start of the pending body read.
-  bool awaits_continue =
-      false;  ///< The caller expects 100 Continue, not sent yet.
-  TimePoint lingering_since =
-      kNever;            ///< Start of the wait for the caller to close.
-  bool closing = false;  ///< No further request is read.
+  TimePoint head_since = kNever;       ///< Start of an incomplete request head.
+  TimePoint reading_since = kNever;    ///< Start of the pending body read.
+  bool awaits_continue = false;        ///< 100 Continue is due.
+  TimePoint lingering_since = kNever;  ///< Set by `BeginLinger`.
+  bool closing = false;                ///< No further request is read.
   bool broken = false;
 };
 
--- a/packages/node/src/net.h
+++ b/packages/node/src/net.h
@@ -43,7 +43,7 @@
 /// an IP address.
 Result<Tcp::endpoint> ToTcpEndpoint(const Endpoint& endpoint);
 
-/// @returns `endpoint` as the Endpoint type of the configuration.
+/// @returns `endpoint` as an Endpoint.
 Endpoint FromTcpEndpoint(const Tcp::endpoint& endpoint);
 
 /// Opens a listening socket.
--- a/packages/node/src/upstream_attempt.cc
+++ b/packages/node/src/upstream_attempt.cc
@@ -336,9 +336,9 @@
   return ParseLoad(this->AnswerHeader(this->pool.names().load));
 }
 
-// Classifies an attempt by the head of its answer. A successful answer that
-// lacks the upstream's integrity header, or has a content encoding, is not what
-// the upstream sent.
+// Classifies an attempt by the head of its answer. If upstreams sign their
+// answers, a successful answer without the signature, or with a content
+// encoding, which nobody requested, is not what the upstream meant to send.
 AttemptEnd UpstreamAttempt::Classify() const {
   const HeaderNames& names = this->pool.names();
   const auto& answer = this->connection->reader.message().get();
--- a/packages/node/src/upstream_attempt.h
+++ b/packages/node/src/upstream_attempt.h
@@ -94,8 +94,7 @@
   AttemptEnd aborted = AttemptEnd::kCount;
   bool drain_sign = false;
   bool has_started = false;
-  bool body_started =
-      false;  ///< `body_sent` will be set when sending has ended.
+  bool body_started = false;  ///< `body_sent` will be set.
   bool sending_body = false;
   bool reusable = false;
   AsyncEvent body_sent;
--- a/packages/node/src/worker.cc
+++ b/packages/node/src/worker.cc
@@ -418,16 +418,16 @@
   const size_t limit = this->settings.limits.caller_connections / threads;
   const size_t taken = this->sessions.size();
   const size_t room = limit - std::min(limit, taken);
-  const size_t max_connections = this->installation.max_connections / threads;
+  const size_t connection_limit = this->installation.max_connections / threads;
   const auto other_connections =
       static_cast<size_t>(this->counts->links.open.value() +
                           this->counts->upstream_connections.value());
   const size_t unavailable =
-      taken + other_connections + max_connections / kReservedDivisor;
-  return max_connections == 0
+      taken + other_connections + connection_limit / kReservedDivisor;
+  return connection_limit == 0
              ? room
-             : std::min(room, max_connections -
-                                  std::min(max_connections, unavailable));
+             : std::min(room, connection_limit -
+                                  std::min(connection_limit, unavailable));
 }
 
 bool Worker::AcceptsCallers(TimePoint now) const {
--- a/packages/node/src/worker.h
+++ b/packages/node/src/worker.h
@@ -206,8 +206,7 @@
   std::unordered_set<std::shared_ptr<CallerSession>> sessions;
   CallerLimits current_caller_limits;
   SplitChooser splits;
-  LeaseTime
-      api_keys_until;  ///< End of the time in which API keys are verified.
+  LeaseTime api_keys_until;  ///< Keys count as verified until then.
   QuotaBorrower borrower;
   std::map<uint64_t, QuotaWait*> quota_waits;  ///< By ticket.
   bool uses_quotas = false;
--- a/packages/node/test/http_reference.cc
+++ b/packages/node/test/http_reference.cc
@@ -93,9 +93,9 @@
 bool IsToken(std::string_view text) {
   return !text.empty() &&
          std::all_of(text.begin(), text.end(), [](unsigned char c) {
-           const bool parser = (c | 0x20) >= 'a' && (c | 0x20) <= 'z';
+           const bool letter = (c | 0x20) >= 'a' && (c | 0x20) <= 'z';
            const bool digit = c >= '0' && c <= '9';
-           return parser || digit ||
+           return letter || digit ||
                   kTokenMarks.find(static_cast<char>(c)) !=
                       std::string_view::npos;
          });
