--- a/packages/node/src/link_stream.cc
+++ b/packages/node/src/link_stream.cc
@@ -85,7 +85,7 @@
     : link(std::move(link)), stream(std::move(stream)) {}
 
 Task<BodyPiece> LinkBodySource::Read(std::span<char> buffer) {
-  while (this->held_from == this->held.size() && !this->ended) {
+  while (this->unread_offset == this->unread.size() && !this->ended) {
     if (this->stopped) {
       co_return BodyPiece{false, true, 0};
     }
@@ -96,8 +96,8 @@
     wire::LinkEvent event = std::move(this->stream->events.front());
     this->stream->events.pop_front();
     if (event.kind == wire::LinkEventKind::kData) {
-      this->held = std::get<wire::Data>(std::move(event.message)).bytes;
-      this->held_from = 0;
+      this->unread = std::get<wire::Data>(std::move(event.message)).bytes;
+      this->unread_offset = 0;
     } else if (event.kind == wire::LinkEventKind::kEnded) {
       this->ended = true;
       this->end_fields =
@@ -107,11 +107,11 @@
     }
   }
   const size_t size =
-      std::min(buffer.size(), this->held.size() - this->held_from);
-  std::memcpy(buffer.data(), this->held.data() + this->held_from, size);
-  this->held_from += size;
+      std::min(buffer.size(), this->unread.size() - this->unread_offset);
+  std::memcpy(buffer.data(), this->unread.data() + this->unread_offset, size);
+  this->unread_offset += size;
   this->link->Consumed(*this->stream, size);
-  const bool last = this->ended && this->held_from == this->held.size();
+  const bool last = this->ended && this->unread_offset == this->unread.size();
   co_return BodyPiece{true, last, size};
 }
 
--- a/packages/node/src/link_stream.h
+++ b/packages/node/src/link_stream.h
@@ -73,13 +73,13 @@
   }
 
   /// Sets the part of the body that was received with the head of the request.
-  void Hold(std::string bytes) { this->held = std::move(bytes); }
+  void Hold(std::string bytes) { this->unread = std::move(bytes); }
 
  private:
   std::shared_ptr<PeerLink> link;
   LinkStreamPtr stream;
-  std::string held;  ///< Received but not yet read.
-  size_t held_from = 0;
+  std::string unread;  ///< Received but not yet read.
+  size_t unread_offset = 0;
   HttpFields end_fields;  ///< The trailers.
   bool ended = false;
   bool stopped = false;
