--- a/packages/node/src/link_server.cc
+++ b/packages/node/src/link_server.cc
@@ -96,7 +96,7 @@
   if (open.end) {
     request.whole_body = std::move(open.body);
   } else {
-    source.Hold(std::move(open.body));
+    source.SetInitialBytes(std::move(open.body));
     request.source = &source;
   }
   LinkAnswerSink sink(link, stream);
--- a/packages/node/src/link_stream.h
+++ b/packages/node/src/link_stream.h
@@ -73,7 +73,7 @@
   }
 
   /// Sets the part of the body that was received with the head of the request.
-  void Hold(std::string bytes) { this->unread = std::move(bytes); }
+  void SetInitialBytes(std::string bytes) { this->unread = std::move(bytes); }
 
  private:
   std::shared_ptr<PeerLink> link;
