--- a/packages/node/include/basilsill/node/installation.h
+++ b/packages/node/include/basilsill/node/installation.h
@@ -69,11 +69,11 @@
   /// platform keeps leases.
   std::vector<std::string> data_centres;
   /// Readiness on an endpoint of its own; port 0: only on the admin port.
-  Endpoint ready_at{"", 0};
+  Endpoint readiness_endpoint{"", 0};
   std::string ready_path = "/readyz";
   /// Nothing is streamed: messages end soon, so that they can be held until
   /// they are whole, and be sent or asked for once more.
-  bool messages_end_soon = false;
+  bool no_streaming = false;
   /// Logs go there instead of to standard error.
   bool log_to_standard_output = false;
   /// Connections of all kinds that the process may have open; 0: not bounded.
--- a/packages/node/include/basilsill/node/task_end.h
+++ b/packages/node/include/basilsill/node/task_end.h
@@ -10,7 +10,7 @@
 namespace basilsill {
 
 /// The end is logged. One by a cancelled operation is an ordinary end.
-struct Unattended {
+struct DetachedTask {
   std::string_view task;  ///< As the log names it; outlives the coroutine.
 
   void operator()(const std::exception_ptr& error) const;
@@ -24,7 +24,7 @@
 
 /// Without this coroutine the node serves nobody, and nobody would see why. So
 /// the exception ends the process, which is started again.
-struct Vital {
+struct CriticalTask {
   std::string_view task;  ///< As in Unattended.
 
   void operator()(const std::exception_ptr& error) const;
--- a/packages/node/src/claim_host.cc
+++ b/packages/node/src/claim_host.cc
@@ -77,7 +77,7 @@
 
 void ClaimHost::Start() {
   boost::asio::co_spawn(this->context, this->TickLoop(),
-                        Unattended{"claim-tick"});
+                        DetachedTask{"claim-tick"});
 }
 
 void ClaimHost::Stop() {
@@ -149,13 +149,13 @@
       boost::asio::co_spawn(this->context,
                             this->Append(action.call, std::move(action.stream),
                                          std::move(action.records)),
-                            Unattended{"claim"});
+                            DetachedTask{"claim"});
       break;
     case ClaimActionKind::kRead:
       boost::asio::co_spawn(this->context,
                             this->Read(action.call, std::move(action.stream),
                                        action.from, action.max, action.wait),
-                            Unattended{"claim"});
+                            DetachedTask{"claim"});
       break;
     case ClaimActionKind::kGrant:
       this->DeliverVerdict(
--- a/packages/node/src/configuration_host.cc
+++ b/packages/node/src/configuration_host.cc
@@ -72,7 +72,7 @@
 
 void ConfigurationHost::Start() {
   boost::asio::co_spawn(this->context, this->ReadLoop(),
-                        Unattended{"configuration-read"});
+                        DetachedTask{"configuration-read"});
 }
 
 void ConfigurationHost::Stop() {
@@ -177,7 +177,7 @@
                          !this->writing_checkpoint;
   if (can_write && this->planner.Tick(now, situation)) {
     boost::asio::co_spawn(this->context, this->WriteCheckpointNow(),
-                          Unattended{"configuration"});
+                          DetachedTask{"configuration"});
   }
 }
 
@@ -255,11 +255,11 @@
         case ChangeActionKind::kAppend:
           boost::asio::co_spawn(this->context,
                                 this->Append(action.change, action.record),
-                                Unattended{"configuration"});
+                                DetachedTask{"configuration"});
           break;
         case ChangeActionKind::kReadNow:
           boost::asio::co_spawn(this->context, this->ReadOnce(milliseconds(0)),
-                                Unattended{"configuration"});
+                                DetachedTask{"configuration"});
           break;
         case ChangeActionKind::kReply:
           this->Tell(action.outcome);
--- a/packages/node/src/control.cc
+++ b/packages/node/src/control.cc
@@ -192,7 +192,8 @@
 void Control::Start() {
   this->links.Start();
   this->source->Start(*this);
-  boost::asio::co_spawn(this->context, this->TickLoop(), Vital{"control-tick"});
+  boost::asio::co_spawn(this->context, this->TickLoop(),
+                        CriticalTask{"control-tick"});
 }
 
 void Control::Stop() {
@@ -265,7 +266,7 @@
   this->source->Tick(now);
   this->RebuildIfChanged();
   this->PublishAsOf();
-  this->JudgeApiKeys(LeaseClock::now());
+  this->CheckApiKeyAge(LeaseClock::now());
   this->quotas.Tick();
   this->CountVms();
 }
@@ -282,7 +283,7 @@
 }
 
 // Callers with keys are better served by another VM meanwhile.
-void Control::JudgeApiKeys(LeaseTime now) {
+void Control::CheckApiKeyAge(LeaseTime now) {
   if (this->api_key_max_age.count() == 0 || !this->current_view) {
     return;
   }
--- a/packages/node/src/control.h
+++ b/packages/node/src/control.h
@@ -73,7 +73,7 @@
   void SendRateLimits(const std::vector<RateLimitUpdate>& news);
 
   /// A worker needs credits of teams' quotas.
-  void AskQuota(uint16_t worker, QuotaRequest request) {
+  void RequestQuotaCredits(uint16_t worker, QuotaRequest request) {
     this->quotas.Ask(worker, std::move(request));
   }
 
@@ -126,7 +126,7 @@
   void OnHeartbeat(VmHandle from, const wire::Heartbeat& heartbeat);
   void OnMessage(VmHandle from, const wire::PeerMessage& message);
   void PublishAsOf();
-  void JudgeApiKeys(LeaseTime now);
+  void CheckApiKeyAge(LeaseTime now);
   wire::Heartbeat MakeHeartbeat(bool answer_wanted) const;
 
   IoContext& context;
--- a/packages/node/src/control_links.cc
+++ b/packages/node/src/control_links.cc
@@ -41,7 +41,7 @@
 
 void ControlLinks::Start() {
   boost::asio::co_spawn(this->context, this->Accept(),
-                        Vital{"accept-control-links"});
+                        CriticalTask{"accept-control-links"});
 }
 
 void ControlLinks::Stop() {
@@ -64,7 +64,7 @@
 
 void ControlLinks::Open(VmHandle vm, const Endpoint& control) {
   boost::asio::co_spawn(this->context, this->Connect(vm, control),
-                        Unattended{"connect-control-link"});
+                        DetachedTask{"connect-control-link"});
 }
 
 Task<void> ControlLinks::Connect(VmHandle vm, Endpoint control) {
@@ -99,7 +99,8 @@
   mux.hello = this->options.hello;
   auto link = std::make_shared<PeerLink>(
       std::move(socket), mux, std::move(link_handlers), this->counts);
-  boost::asio::co_spawn(this->context, link->Run(), Unattended{"control-link"});
+  boost::asio::co_spawn(this->context, link->Run(),
+                        DetachedTask{"control-link"});
   return link;
 }
 
--- a/packages/node/src/dispatch_host.cc
+++ b/packages/node/src/dispatch_host.cc
@@ -313,7 +313,7 @@
     boost::asio::co_spawn(this->pool.executor(),
                           this->RunLoadQuery(action.upstream, found.target(),
                                              found.service->health_path),
-                          Unattended{"ask-upstream"});
+                          DetachedTask{"ask-upstream"});
     return;
   }
   this->dispatcher->OnLoadQueryEnd(MonotonicClock::now(), action.upstream, {});
@@ -366,7 +366,7 @@
   job->attempts.push_back({action.attempt, std::move(running)});
   boost::asio::co_spawn(this->pool.executor(),
                         this->RunAttempt(job, action, std::move(name), raw),
-                        Unattended{"attempt"});
+                        DetachedTask{"attempt"});
 }
 
 Task<void> DispatchHost::RunAttempt(JobPtr job,
--- a/packages/node/src/link_table.cc
+++ b/packages/node/src/link_table.cc
@@ -78,7 +78,7 @@
       std::move(socket), mux, std::move(link_handlers), this->counts);
   this->all.insert(link);
   this->counts.open.Set(static_cast<int64_t>(this->all.size()));
-  boost::asio::co_spawn(this->run_on, link->Run(), Unattended{"link"});
+  boost::asio::co_spawn(this->run_on, link->Run(), DetachedTask{"link"});
   return link;
 }
 
--- a/packages/node/src/log_source.cc
+++ b/packages/node/src/log_source.cc
@@ -79,7 +79,7 @@
   this->configuration.Start();
   this->claims.Start();
   boost::asio::co_spawn(this->context, this->FollowVmList(),
-                        Unattended{"log-source"});
+                        DetachedTask{"log-source"});
 }
 
 void LogSource::Stop() {
--- a/packages/node/src/node.cc
+++ b/packages/node/src/node.cc
@@ -106,7 +106,7 @@
     options.seed = (uint64_t{random()} << 32) | random();
     options.incarnation = this->incarnation;
     options.on_crashes = [this, i](std::vector<CrashReport> crashes) {
-      this->SpreadCrashes(i, std::move(crashes));
+      this->DistributeCrashReports(i, std::move(crashes));
     };
     options.on_rate_limits = [this](std::vector<RateLimitUpdate> news) {
       boost::asio::post(this->context, [this, news = std::move(news)] {
@@ -116,8 +116,8 @@
     options.on_quota_request = [this, i](QuotaRequest request) {
       boost::asio::post(this->context,
                         [this, i, request = std::move(request)]() mutable {
-                          this->control_side->AskQuota(static_cast<uint16_t>(i),
-                                                       std::move(request));
+                          this->control_side->RequestQuotaCredits(
+                              static_cast<uint16_t>(i), std::move(request));
                         });
     };
     const uint16_t base = this->settings.listen.links;
@@ -204,7 +204,7 @@
 Result<void> Node::CreateAdmin() {
   AdminSources sources;
   sources.phase = [this] { return this->phase(); };
-  sources.query_phase = [this] { return this->PhaseWithWorkers(); };
+  sources.query_phase = [this] { return this->QueryPhase(); };
   sources.metrics = [this] { return this->metrics.Render(); };
   const bool has_log = this->log_source != nullptr;
   if (has_log) {
@@ -227,13 +227,13 @@
 }
 
 Result<void> Node::CreateReadiness() {
-  if (this->installation.ready_at.port == 0) {
+  if (this->installation.readiness_endpoint.port == 0) {
     return boost::outcome_v2::success();
   }
   AddReadinessRoute(this->readiness_router, this->installation.ready_path,
-                    [this] { return this->PhaseWithWorkers(); });
+                    [this] { return this->QueryPhase(); });
   AdminOptions options;
-  options.listen = this->installation.ready_at;
+  options.listen = this->installation.readiness_endpoint;
   auto created =
       AdminServer::Create(this->context, options, this->readiness_router);
   if (!created) {
@@ -266,18 +266,18 @@
 // Failure: the control thread answers that the node is ready while its traffic
 // threads hang, spin, or have no room. It shows as a VM that the balancer keeps
 // sending callers to and that takes none of them.
-boost::asio::awaitable<NodePhase> Node::PhaseWithWorkers() {
+boost::asio::awaitable<NodePhase> Node::QueryPhase() {
   const NodePhase before = this->phase();
   if (before != NodePhase::kReady) {
     co_return before;
   }
-  const bool takes = co_await this->AskWorkers();
+  const bool takes = co_await this->QueryWorkers();
   this->NoteTakesCallers(takes);
   const NodePhase now = this->phase();
   co_return now == NodePhase::kReady && !takes ? NodePhase::kBusy : now;
 }
 
-boost::asio::awaitable<bool> Node::AskWorkers() {
+boost::asio::awaitable<bool> Node::QueryWorkers() {
   const auto inquiry =
       std::make_shared<Inquiry>(this->context, this->traffic.size());
   for (const auto& worker : this->traffic) {
@@ -304,7 +304,8 @@
 
 // Runs on the thread of worker `from`; the others and the peers are told from
 // the control thread.
-void Node::SpreadCrashes(size_t from, std::vector<CrashReport> crashes) {
+void Node::DistributeCrashReports(size_t from,
+                                  std::vector<CrashReport> crashes) {
   boost::asio::post(this->context, [this, from, crashes = std::move(crashes)] {
     for (size_t i = 0; i < this->traffic.size(); ++i) {
       if (i != from) {
@@ -321,7 +322,7 @@
   }
   this->control_side->Start();
   boost::asio::co_spawn(this->context, this->MetricsLoop(),
-                        Unattended{"metrics"});
+                        DetachedTask{"metrics"});
 }
 
 void Node::Reload(const Settings& changed) {
@@ -342,7 +343,7 @@
   }
   this->draining = true;
   boost::asio::co_spawn(this->context, this->RunDrain(std::move(on_stopped)),
-                        Vital{"drain"});
+                        CriticalTask{"drain"});
 }
 
 bool Node::busy() const {
--- a/packages/node/src/node.h
+++ b/packages/node/src/node.h
@@ -65,13 +65,13 @@
   Result<void> CreateReadiness();
   bool claims_idle() const;
   NodePhase phase() const;
-  boost::asio::awaitable<NodePhase> PhaseWithWorkers();
-  boost::asio::awaitable<bool> AskWorkers();
+  boost::asio::awaitable<NodePhase> QueryPhase();
+  boost::asio::awaitable<bool> QueryWorkers();
   void NoteTakesCallers(bool takes);
   boost::asio::awaitable<void> MetricsLoop();
   boost::asio::awaitable<void> RunDrain(
       std::function<void(bool whole)> on_stopped);
-  void SpreadCrashes(size_t from, std::vector<CrashReport> crashes);
+  void DistributeCrashReports(size_t from, std::vector<CrashReport> crashes);
   bool busy() const;
   void LogForcedStop() const;
 
--- a/packages/node/src/quota_host.cc
+++ b/packages/node/src/quota_host.cc
@@ -88,10 +88,10 @@
   }
   switch (this->office.NextLeaseCall(now)) {
     case QuotaLeaseCall::kRead:
-      asio::co_spawn(this->context, this->Read(), Unattended{"quota-read"});
+      asio::co_spawn(this->context, this->Read(), DetachedTask{"quota-read"});
       break;
     case QuotaLeaseCall::kWrite:
-      asio::co_spawn(this->context, this->Write(), Unattended{"quota-write"});
+      asio::co_spawn(this->context, this->Write(), DetachedTask{"quota-write"});
       break;
     default:
       break;
@@ -106,7 +106,7 @@
   if (this->office.has_pending_requests() &&
       !std::exchange(this->watches, true)) {
     asio::co_spawn(this->context, this->WatchOthers(),
-                   Unattended{"quota-watch"});
+                   DetachedTask{"quota-watch"});
   }
   this->NoteLending();
 }
--- a/packages/node/src/settings_check.cc
+++ b/packages/node/src/settings_check.cc
@@ -65,7 +65,8 @@
 
 }  // namespace
 
-void CheckTogether(const Settings& settings, std::vector<Failure>& failures) {
+void CheckConsistency(const Settings& settings,
+                      std::vector<Failure>& failures) {
   CheckPorts(settings, failures);
   const LimitSettings& limits = settings.limits;
   CheckOrder({"/limits/default_deadline_ms", limits.default_deadline},
--- a/packages/node/src/settings_check.h
+++ b/packages/node/src/settings_check.h
@@ -12,7 +12,7 @@
 
 /// Adds a failure to `failures` for each setting that clashes with another:
 /// ports used twice, ports past the last one, limits in the wrong order.
-void CheckTogether(const Settings& settings, std::vector<Failure>& failures);
+void CheckConsistency(const Settings& settings, std::vector<Failure>& failures);
 
 }  // namespace basilsill
 
--- a/packages/node/src/settings_parse.cc
+++ b/packages/node/src/settings_parse.cc
@@ -62,7 +62,7 @@
     }
     this->ReadObject("", root.get_object());
     this->CheckRequired();
-    CheckTogether(this->settings, this->failures);
+    CheckConsistency(this->settings, this->failures);
     if (!this->failures.empty()) {
       return std::move(this->failures);
     }
--- a/packages/node/src/settings_schema.cc
+++ b/packages/node/src/settings_schema.cc
@@ -349,7 +349,7 @@
   return json::serialize(std::visit(ToJson{}, value));
 }
 
-std::string PageRow(const SettingField& field) {
+std::string DocumentationRow(const SettingField& field) {
   Settings defaults;
   const std::string value =
       field.required ? "required" : PrintValue(field.member(defaults));
--- a/packages/node/src/settings_schema.h
+++ b/packages/node/src/settings_schema.h
@@ -63,7 +63,7 @@
 std::string PrintValue(const SettingRef& value);
 
 /// @returns the row of `field` in docs/SETTINGS.md.
-std::string PageRow(const SettingField& field);
+std::string DocumentationRow(const SettingField& field);
 
 }  // namespace basilsill
 
--- a/packages/node/src/task_end.cc
+++ b/packages/node/src/task_end.cc
@@ -28,11 +28,11 @@
 
 }  // namespace
 
-void Unattended::operator()(const std::exception_ptr& error) const {
+void DetachedTask::operator()(const std::exception_ptr& error) const {
   LogIfFailed(this->task, error);
 }
 
-void Vital::operator()(const std::exception_ptr& error) const {
+void CriticalTask::operator()(const std::exception_ptr& error) const {
   if (LogIfFailed(this->task, error)) {
     std::rethrow_exception(error);
   }
--- a/packages/node/src/worker.cc
+++ b/packages/node/src/worker.cc
@@ -42,7 +42,7 @@
   UpstreamPoolOptions options;
   options.names = installation.headers;
   options.hold_answers =
-      installation.messages_end_soon && installation.features.hold_answers;
+      installation.no_streaming && installation.features.hold_answers;
   options.connect_timeout = settings.limits.upstream_connect;
   options.idle_timeout = settings.limits.upstream_idle;
   options.reader.header_bytes = settings.limits.header_bytes;
@@ -195,9 +195,11 @@
 void Worker::Start() {
   const Executor executor = this->context->get_executor();
   boost::asio::co_spawn(executor, this->AcceptCallers(),
-                        Vital{"accept-callers"});
-  boost::asio::co_spawn(executor, this->AcceptLinks(), Vital{"accept-links"});
-  boost::asio::co_spawn(executor, this->TickLoop(), Vital{"worker-tick"});
+                        CriticalTask{"accept-callers"});
+  boost::asio::co_spawn(executor, this->AcceptLinks(),
+                        CriticalTask{"accept-links"});
+  boost::asio::co_spawn(executor, this->TickLoop(),
+                        CriticalTask{"worker-tick"});
   this->thread = std::thread([this] { this->context->run(); });
 }
 
--- a/packages/node/src/worker.h
+++ b/packages/node/src/worker.h
@@ -156,7 +156,7 @@
   }
   const Executor& executor() const override { return this->run_on; }
   bool buffers_unsized_bodies() const override {
-    return this->installation.messages_end_soon;
+    return this->installation.no_streaming;
   }
   bool leaving() const override { return this->is_leaving; }
   bool draining() const override { return this->is_draining; }
--- a/packages/node/test/accept_loop_test.cc
+++ b/packages/node/test/accept_loop_test.cc
@@ -57,7 +57,7 @@
     };
     boost::asio::co_spawn(
         this->io, basilsill::AcceptLoop(this->acceptor, std::move(loop)),
-        basilsill::Vital{"test"});
+        basilsill::CriticalTask{"test"});
     this->caller.open(basilsill::Tcp::v4());
     this->io.poll();
   }
--- a/packages/node/test/settings_test.cc
+++ b/packages/node/test/settings_test.cc
@@ -318,7 +318,7 @@
 TEST(Settings, Page_EachField_HasItsRow) {
   const std::string page = PageText();
   for (const SettingField& field : SettingsSchema()) {
-    const std::string row = PageRow(field) + "\n";
+    const std::string row = DocumentationRow(field) + "\n";
     CHECK_TEXT(page.find(row) != std::string::npos, row.c_str());
   }
   // Rows begin with a path, which no other line does.
