--- a/packages/node/include/basilsill/node/installation.h
+++ b/packages/node/include/basilsill/node/installation.h
@@ -17,73 +17,77 @@
 #include "basilsill/decision/repeat_budget.h"
 #include "basilsill/node/state_source.h"
 
-/// What differs from one installation to another beyond settings: the names
-/// of headers that its callers and upstreams speak, where readiness is asked,
-/// what the fleet may spend on repeats, and where state comes from.
+/// What differs between installations apart from the settings: header names,
+/// the readiness endpoint, the retry budget of the fleet and the source of
+/// state.
 
 namespace basilsill {
 
-/// Names of headers with a meaning. An empty one is not used.
+/// Names of the headers that a node interprets or sets. Headers with an empty
+/// name are not used.
 struct HeaderNames {
   std::string request_id = "X-Request-Id";
   std::string deadline = "Basilsill-Deadline-Ms";
   std::string promise = "Basilsill-Promise";
   std::string reason = "Basilsill-Reason";
-  /// Of an upstream: it refused the request before running it.
+  /// From an upstream: it refused the request before running it.
   std::string not_run = "Basilsill-Refused";
-  /// Of an upstream: it is leaving.
+  /// From an upstream: it is draining.
   std::string draining = "Basilsill-Draining";
   std::string idempotency_key = "Idempotency-Key";
-  /// Of an upstream, on each good answer: a signature that goes to the caller.
+  /// From an upstream, on each successful answer: a signature that is passed on
+  /// to the caller.
   std::string seal;
   /// To an upstream: only the instance with this id may run the request.
   std::string expected_instance;
-  /// Of an upstream, on health checks: its id.
+  /// From an upstream, on health checks: its instance id.
   std::string served_by;
-  /// Of an upstream: running, waiting, slots, and speed.
+  /// From an upstream: requests running, requests waiting, slots and speed.
   std::string load;
-  /// Of an upstream, on health checks: for how many milliseconds it is cold.
+  /// From an upstream, on health checks: how many milliseconds it stays cold.
   std::string cold;
-  /// Of an upstream: requests a second that it takes from all VMs together.
+  /// From an upstream: its rate limit in requests per second, for all VMs
+  /// together.
   std::string rate_limit = "Basilsill-Rate-Limit";
-  /// Of a caller: its team's API key. Never passed on.
+  /// From a caller: the API key of its team. Never passed on.
   std::string api_key = "Basilsill-Api-Key";
-  /// To an upstream: the team whose key the caller gave. Never taken from a
-  /// caller.
+  /// To an upstream: the team whose API key the caller sent. Never accepted
+  /// from a caller.
   std::string team = "Basilsill-Team";
-  bool via = true;  ///< Whether `Via` is added to requests.
-  /// Whether `Retry-After` may have a fraction.
+  bool via = true;  ///< Adds `Via` to requests.
+  /// Allows `Retry-After` to have a fraction.
   bool fractional_retry_after = false;
 };
 
 struct Installation {
   HeaderNames headers;
-  /// What the whole fleet may do beyond the first attempt of each request, for
-  /// one service. Absent: each team has budgets of its own, as the policy has
-  /// them.
+  /// Budget of the whole fleet, per service, for attempts beyond the first one
+  /// of each request. If absent, each team has budgets of its own, as set by
+  /// the policy.
   std::optional<RepeatBudgetOptions> repeats;
-  /// A caller's API key counts only while the configuration certainly is no
-  /// older; 0: however old it is.
+  /// API keys are relied on only while the configuration is known to be younger
+  /// than this; 0 accepts a configuration of any age.
   std::chrono::milliseconds api_key_max_age{0};
-  /// All data centres, which have equal shares of teams' quotas. Used where the
-  /// platform keeps leases.
+  /// All data centres; each has an equal share of the teams' quotas. Used if
+  /// the platform stores quota leases.
   std::vector<std::string> data_centres;
-  /// Readiness on an endpoint of its own; port 0: only on the admin port.
+  /// Separate endpoint for readiness; with port 0, readiness is served on the
+  /// admin port only.
   Endpoint readiness_endpoint{"", 0};
   std::string ready_path = "/readyz";
-  /// Nothing is streamed: messages end soon, so that they can be held until
-  /// they are whole, and be sent or asked for once more.
+  /// No message is streamed: each one ends soon, so that it can be buffered
+  /// until it is complete, and be sent or requested again.
   bool no_streaming = false;
-  /// Logs go there instead of to standard error.
+  /// Writes logs to standard output instead of standard error.
   bool log_to_standard_output = false;
-  /// Connections of all kinds that the process may have open; 0: not bounded.
+  /// Most open connections of the process, of all kinds; 0: unlimited.
   size_t max_connections = 0;
-  /// Requests in the process at once; memory is set aside for so many.
+  /// Most requests in the process at once; memory for them is preallocated.
   size_t max_requests = 16384;
-  /// Mechanisms of the decision code that are on.
+  /// Enabled mechanisms of the decision code.
   PolicyFeatures features;
-  /// Makes the source of state; empty: the log of basilsill's own platform,
-  /// with the resource API on the admin port.
+  /// Creates the source of state. If empty, the node uses the log of
+  /// basilsill's own platform and serves the resource API on the admin port.
   std::function<std::unique_ptr<StateSource>(boost::asio::io_context& context,
                                              const PolicyFeatures& features,
                                              const Endpoint& control)>
--- a/packages/node/include/basilsill/node/quota_lease_store.h
+++ b/packages/node/include/basilsill/node/quota_lease_store.h
@@ -11,24 +11,25 @@
 
 namespace basilsill {
 
-/// Where the leases of shares of quotas are kept: a log a share, of which a
-/// write names the end.
+/// Stores the leases of quota shares, in one log per share. A write names the
+/// end of the log that it expects, so that of concurrent writes one succeeds.
 class QuotaLeaseStore {
  public:
   struct Newest {
     std::optional<QuotaLeaseRecord> record;
-    uint64_t end = 0;  ///< Of the log.
+    uint64_t end = 0;  ///< Offset of the end of the log.
   };
 
   virtual ~QuotaLeaseStore() = default;
 
   /// @returns the newest record of `share`, or kPlatformUnavailable,
-  /// kPlatformRejected, kSyntax.
+  /// kPlatformRejected or kSyntax.
   virtual boost::asio::awaitable<Result<Newest>> ReadLease(uint16_t share) = 0;
 
   /// Writes `record` if the log of `share` ends at `end`.
-  /// @returns the new end, or kConflict if it ended elsewhere, or as above;
-  /// then the write may have been done, or may yet be.
+  /// @returns the new end, kConflict if the log ends elsewhere, or a failure of
+  /// ReadLease. After such a failure the write may have been done, or may still
+  /// be done later.
   virtual boost::asio::awaitable<Result<uint64_t>>
   WriteLease(uint16_t share, uint64_t end, QuotaLeaseRecord record) = 0;
 };
--- a/packages/node/include/basilsill/node/settings.h
+++ b/packages/node/include/basilsill/node/settings.h
@@ -14,29 +14,29 @@
 #include "basilsill/base/limits.h"
 #include "basilsill/decision/view.h"
 
-/// The settings of a node: one JSON file, with comments allowed, read once at
-/// the start and checked whole. docs/SETTINGS.md is the page of them. Each
-/// member here has one row in the schema (settings_schema.cc), from which
-/// parsing, checking, printing and the page are made.
+/// The settings of a node: one JSON file, with comments allowed. A file with
+/// any fault is rejected. docs/SETTINGS.md documents the settings. Parsing,
+/// checking, printing and that page are generated from the schema
+/// (settings_schema.cc), which has one row per setting.
 
 namespace basilsill {
 
-/// Who this VM is.
+/// Identity of this VM.
 struct VmSettings {
-  std::string name;         ///< As it stands in the platform's VM list.
-  std::string data_centre;  ///< Where it runs.
-  std::string address;      ///< IP number that all ports listen on.
-  /// Thousandths of a core that it may use; 0: not known, as in files. VMs
-  /// that have more work for those that have less.
+  std::string name;         ///< As in the platform's VM list.
+  std::string data_centre;  ///< Data centre that the VM runs in.
+  std::string address;      ///< IP address that all ports listen on.
+  /// CPU capacity in thousandths of a core; 0 if unknown. It can't be set in a
+  /// settings file. VMs with more capacity work for VMs with less.
   uint32_t capacity = 0;
 };
 
-/// Ports; 0 lets the kernel choose.
+/// Ports; with 0 the kernel chooses.
 struct ListenSettings {
   uint16_t callers = 8080;
-  uint16_t control = 8081;  ///< Links to other VMs' control threads.
+  uint16_t control = 8081;  ///< Links between control threads of VMs.
   uint16_t admin = 8082;    ///< Health, metrics and the resource API.
-  uint16_t links = 0;       ///< Worker i listens on this port plus i.
+  uint16_t links = 0;       ///< Worker i listens on `links` + i.
 };
 
 struct PlatformSettings {
@@ -54,9 +54,10 @@
   uint64_t body_bytes = limits::kMaxBodyBytes;
   uint32_t caller_connections = limits::kMaxCallerConnections;  ///< Per VM.
   std::chrono::milliseconds caller_idle = limits::kCallerIdleTimeout;
-  /// Longest time that one whole exchange with a caller may take.
+  /// Longest time from the first byte of a request to the last byte of its
+  /// answer.
   std::chrono::milliseconds request_total = limits::kMaxDeadline;
-  /// For requests whose caller and rule name no deadline.
+  /// Deadline of requests for which neither caller nor rule sets one.
   std::chrono::milliseconds default_deadline = limits::kDefaultDeadline;
   std::chrono::milliseconds upstream_connect = limits::kUpstreamConnectTimeout;
   std::chrono::milliseconds upstream_first_byte{30000};
@@ -67,20 +68,20 @@
 };
 
 struct ShutdownSettings {
-  /// Between failing readiness and closing the caller port.
+  /// Delay between failing readiness and closing the callers port.
   std::chrono::milliseconds ready_delay{2000};
-  /// After this, what is still in flight is cut off.
+  /// Requests still in flight after this time are aborted.
   std::chrono::milliseconds limit{60000};
 };
 
 struct LogSettings {
   Severity level = Severity::kInfo;
   std::string file;                 ///< Empty for standard error.
-  uint32_t events_per_second = 20;  ///< Lines of one event before a limit.
+  uint32_t events_per_second = 20;  ///< Rate limit on the lines of one event.
 };
 
 struct MeasuringSettings {
-  /// Probes that all VMs together may send.
+  /// Rate limit on the probes of all VMs together.
   double probes_per_second_fleet = 10;
 };
 
@@ -90,19 +91,19 @@
 };
 
 struct OnceSettings {
-  /// How long a key is known; older ones are refused.
+  /// How long an idempotency key is remembered; older keys are refused.
   std::chrono::milliseconds window = limits::kClaimWindow;
-  /// Claims are gathered for this long before one append.
+  /// How long claims are batched before one append.
   std::chrono::milliseconds batch{5};
   uint64_t kept_answer_bytes = limits::kMaxKeptAnswerBytes;
 };
 
 struct PolicySettings {
-  /// Mechanisms that are switched off, their names separated by commas.
+  /// Names of disabled mechanisms, separated by commas.
   std::string without;
 };
 
-/// Most rows that the schema can hold.
+/// Capacity of the schema, in rows.
 inline constexpr size_t kMaxSettingsFields = 64;
 
 struct Settings {
@@ -119,20 +120,21 @@
   OnceSettings once;
   PolicySettings policy;
 
-  /// Which rows of the schema the file gave; the others are defaults.
+  /// Rows of the schema that the file sets; the others have defaults.
   std::bitset<kMaxSettingsFields> from_file;
 };
 
-/// Parses and checks a whole settings text.
-/// @returns the settings, or every fault found: its path as a JSON pointer,
+/// Parses and checks the text of a settings file.
+/// @returns the settings, or all faults, each with its path as a JSON pointer,
 /// what was found and what is allowed.
 CheckedResult<Settings> ParseSettings(std::string_view text);
 
-/// Reads and parses a settings file; an unreadable one is a failure.
+/// Reads and parses a settings file. Fails with kUnreadable if it can't be
+/// read.
 CheckedResult<Settings> LoadSettings(const std::string& path);
 
-/// @returns the effective settings as a settings file, with a comment at each
-/// line that tells whether it comes from the file or is a default.
+/// @returns the effective settings as a settings file. A comment on each line
+/// says whether the value comes from the file or is a default.
 std::string PrintSettings(const Settings& settings);
 
 }  // namespace basilsill
--- a/packages/node/include/basilsill/node/state_source.h
+++ b/packages/node/include/basilsill/node/state_source.h
@@ -10,51 +10,51 @@
 #include "basilsill/node/quota_lease_store.h"
 #include "basilsill/wire/message.h"
 
-/// Where a node's configuration, upstreams and list of VMs come from. One
-/// installation keeps them in the log of basilsill's own platform protocol
-/// (log_source.h), another in a platform of its own, through an adapter.
-/// Everything here runs on the control thread.
+/// Source of a node's configuration, upstreams and list of VMs: the log of
+/// basilsill's own platform protocol (log_source.h), or an adapter to another
+/// platform. All methods and callbacks run on the control thread.
 
 namespace basilsill {
 
-/// What a call to the platform is for.
+/// Purpose of a call to the platform.
 enum class PlatformCall : uint8_t {
-  kList,      ///< The newest records of a topic.
-  kRead,      ///< What came since.
-  kAnnounce,  ///< To write entries of the list of VMs.
-  kRenew,     ///< The same, where an older entry had taken its place.
-  kRetry,     ///< Any of these, since the one before it failed.
-  kLease,     ///< For the lease of a share of quotas.
+  kList,      ///< Reads the newest records of a topic.
+  kRead,      ///< Reads the records that came later.
+  kAnnounce,  ///< Writes entries of the list of VMs.
+  kRenew,     ///< Rewrites entries that older ones have replaced.
+  kRetry,     ///< Repeats any of these after a failure.
+  kLease,     ///< Reads or writes the lease of a quota share.
   kCount
 };
 
-/// @returns the name of `purpose` as metrics carry it.
+/// @returns the name of `purpose` in metrics.
 std::string_view NameOf(PlatformCall purpose);
 
-/// What a source may ask of the control side.
+/// Interface of the control side for a source.
 class StateSourceHost {
  public:
   virtual ~StateSourceHost() = default;
 
-  /// `StateSource::state` or `ready` gives something else than before.
+  /// The result of `StateSource::state` or `StateSource::ready` has changed.
   virtual void OnStateChanged() = 0;
 
-  /// @param version Counts the lists of this process; a lower one is ignored.
+  /// @param version Increases with each list in this process; a list with a
+  /// lower version is ignored.
   virtual void OnVmList(uint64_t version, const std::vector<ListedVm>& vms) = 0;
 
   /// Sends `message` to `vm` if there is a link to it.
-  /// @returns false if there is none, or it is clogged.
+  /// @returns false if there is no link, or its send queue is full.
   virtual bool SendToPeer(VmHandle vm, const wire::PeerMessage& message) = 0;
 
-  /// @returns the VMs that a link stands with.
+  /// @returns the VMs to which there is a link.
   virtual std::vector<VmHandle> LinkedPeers() const = 0;
 
   virtual const Membership& membership() const = 0;
 
-  /// A call to the platform begins.
+  /// A call to the platform starts.
   virtual void OnPlatformCall(PlatformCall purpose) = 0;
 
-  /// A record of the platform names nothing that could be used.
+  /// A record of the platform was ignored because it can't be used.
   virtual void OnRecordIgnored(FailureKind reason) = 0;
 };
 
@@ -62,32 +62,32 @@
  public:
   virtual ~StateSource() = default;
 
-  /// @param host Outlives the source's work.
+  /// @param host Must stay valid until the source has stopped.
   virtual void Start(StateSourceHost& host) = 0;
   virtual void Stop() = 0;
   virtual void Tick(TimePoint now) = 0;
 
-  /// @returns true once `state` can be served by.
+  /// @returns true once requests can be served with `state`.
   virtual bool ready() const = 0;
   virtual const ConfigurationState& state() = 0;
 
-  /// @returns when `state` certainly was the newest; LeaseTime::max() where
-  /// that is not followed.
+  /// @returns the latest time at which `state` is known to have been the
+  /// newest; LeaseTime::max() if the source doesn't track it.
   virtual LeaseTime as_of() const { return LeaseTime::max(); }
 
-  /// @returns where leases of quotas are kept; null: the platform keeps none.
+  /// @returns the store of quota leases; null if the platform keeps none.
   virtual QuotaLeaseStore* quota_leases() { return nullptr; }
 
-  /// A message that is neither a heartbeat nor part of a request came.
+  /// A message that is neither a heartbeat nor a quota message was received.
   virtual void OnPeerMessage(VmHandle from, const wire::PeerMessage& message) {
     static_cast<void>(from);
     static_cast<void>(message);
   }
 
-  /// A control link with `vm` works.
+  /// A control link to `vm` is established.
   virtual void OnLinked(VmHandle vm) { static_cast<void>(vm); }
 
-  /// A view with new VMs was published.
+  /// A new view is about to be published; the VMs may have changed.
   virtual void OnFleetChanged() {}
 };
 
--- a/packages/node/include/basilsill/node/task_end.h
+++ b/packages/node/include/basilsill/node/task_end.h
@@ -4,28 +4,29 @@
 #include <exception>
 #include <string_view>
 
-/// What becomes of a coroutine that nobody waits for and that ends by an
-/// exception. Both types are completion tokens of co_spawn.
+/// Completion tokens of co_spawn for coroutines that nothing awaits. They
+/// handle an exception that ends the coroutine.
 
 namespace basilsill {
 
-/// The end is logged. One by a cancelled operation is an ordinary end.
+/// Logs the exception. A cancelled operation counts as a normal end.
 struct DetachedTask {
-  std::string_view task;  ///< As the log names it; outlives the coroutine.
+  std::string_view task;  ///< Name in the log; must outlive the coroutine.
 
   void operator()(const std::exception_ptr& error) const;
 
-  /// The same for a coroutine whose result nobody wants.
+  /// For a coroutine with a result, which is discarded.
   template <typename Result>
   void operator()(const std::exception_ptr& error, const Result&) const {
     (*this)(error);
   }
 };
 
-/// Without this coroutine the node serves nobody, and nobody would see why. So
-/// the exception ends the process, which is started again.
+/// For a coroutine without which the node can't serve requests. The exception
+/// is logged and rethrown: it ends the process, so that it is restarted instead
+/// of staying up without a visible fault.
 struct CriticalTask {
-  std::string_view task;  ///< As in Unattended.
+  std::string_view task;  ///< As in DetachedTask.
 
   void operator()(const std::exception_ptr& error) const;
 };
--- a/packages/node/src/command_line.cc
+++ b/packages/node/src/command_line.cc
@@ -14,7 +14,7 @@
 constexpr char kDescription[] = "Node of the basilsill load balancer.";
 constexpr size_t kNameColumn = 24;
 
-/// Keeps what TCLAP would print, so that the caller decides where it goes.
+/// Collects what TCLAP would print, so that the caller decides where it goes.
 class TextOutput : public TCLAP::CmdLineOutput {
  public:
   void usage(TCLAP::CmdLineInterface& line) override {  // NOLINT: TCLAP's name
@@ -22,7 +22,7 @@
                  " --settings FILE | --adapter\n\n" + line.getMessage() +
                  "\n\n";
     std::list<TCLAP::Arg*> arguments = line.getArgList();
-    arguments.reverse();  // TCLAP keeps the last one added first.
+    arguments.reverse();  // TCLAP lists the last added argument first.
     for (const TCLAP::Arg* argument : arguments) {
       std::string name = "  " + argument->longID();
       name.resize(std::max(name.size() + 1, kNameColumn), ' ');
@@ -43,7 +43,7 @@
   std::string text;
 };
 
-/// @returns the fault and the argument that it is about, if it has one.
+/// @returns the fault and the argument that caused it, if known.
 std::string Describe(const TCLAP::ArgException& fault) {
   const std::string argument = fault.argId();
   return argument == " " ? fault.error() : fault.error() + ", " + argument;
--- a/packages/node/src/command_line.h
+++ b/packages/node/src/command_line.h
@@ -9,7 +9,7 @@
 
 namespace basilsill {
 
-/// Exit status of a run or check that ended well.
+/// Exit status of a run or check without failure.
 inline constexpr int kExitSuccess = 0;
 /// Exit status of a node that failed while running.
 inline constexpr int kExitFailure = 1;
@@ -20,22 +20,22 @@
   kRun,
   kCheckSettings,
   kPrintSettings,
-  kPrintText,  ///< `text` has the help or the version.
+  kPrintText,  ///< Prints `text`: the help or the version.
   kCount
 };
 
 struct CommandLine {
   Command command = Command::kRun;
   std::string settings_file;
-  /// Settings come from the platform's own file, through the adapter.
+  /// Takes the settings from the users' platform, through the adapter.
   bool adapter = false;
-  /// Names of mechanisms to switch off, separated by commas; checked.
+  /// Names of mechanisms to disable, separated by commas. They are valid.
   std::string without{};
   std::string text;
 };
 
-/// @returns what the process shall do, or kSyntax with a detail for people
-/// (kExitUsage is due then). Writes nothing and ends nothing itself.
+/// @returns the command to run, or kSyntax with a readable detail; the process
+/// should then exit with kExitUsage. Prints nothing and does not exit.
 Result<CommandLine> ParseCommandLine(int argc, const char* const* argv);
 
 }  // namespace basilsill
--- a/packages/node/src/configuration_host.cc
+++ b/packages/node/src/configuration_host.cc
@@ -19,11 +19,11 @@
 
 constexpr size_t kRecordsPerRead = 512;
 constexpr milliseconds kReadWait{20000};
-// 32 random bits each.
+// Words of 32 random bits.
 constexpr int kChangeIdWords = 4;
 constexpr auto kAwait = boost::asio::as_tuple(boost::asio::use_awaitable);
 
-AppendResult EndOf(const Result<AppendAnswer>& answer) {
+AppendResult ToAppendResult(const Result<AppendAnswer>& answer) {
   if (answer) {
     return AppendResult::kAnswered;
   }
@@ -46,12 +46,12 @@
 
 }  // namespace
 
-// A proposal whose operator waits for an outcome.
-struct ConfigurationHost::Waiting {
-  explicit Waiting(boost::asio::io_context& context)
-      : told(context, boost::asio::steady_timer::time_point::max()) {}
+// A proposed change whose outcome the operator is waiting for.
+struct ConfigurationHost::PendingProposal {
+  explicit PendingProposal(boost::asio::io_context& context)
+      : replied(context, boost::asio::steady_timer::time_point::max()) {}
 
-  boost::asio::steady_timer told;
+  boost::asio::steady_timer replied;
   std::optional<ChangeOutcome> outcome;
 };
 
@@ -66,7 +66,7 @@
       handlers(std::move(handlers)),
       counts(counts),
       planner(MonotonicClock::now()),
-      moved(context, boost::asio::steady_timer::time_point::max()) {}
+      state_advanced(context, boost::asio::steady_timer::time_point::max()) {}
 
 ConfigurationHost::~ConfigurationHost() = default;
 
@@ -77,12 +77,13 @@
 
 void ConfigurationHost::Stop() {
   this->stopped = true;
-  this->moved.cancel();
+  this->state_advanced.cancel();
 }
 
 boost::asio::awaitable<void> ConfigurationHost::ReadLoop() {
   while (!this->stopped) {
-    // Until the state is whole, an answer without records is an answer too.
+    // Before the state has reached the end of the log, a read returns at once
+    // even without records, which shows that the end is reached.
     const bool settled = this->following.is_at_end();
     co_await this->ReadOnce(settled ? kReadWait : milliseconds(0));
   }
@@ -105,7 +106,7 @@
                                uint64_t ticket) {
   const bool known = answer || answer.error().kind == FailureKind::kTrimmed ||
                      answer.error().kind == FailureKind::kOutOfRange;
-  this->NoteLogAvailable(known, answer ? Failure{} : Failure(answer.error()));
+  this->SetLogAvailable(known, answer ? Failure{} : Failure(answer.error()));
   if (answer) {
     ConfigurationRead read = ToRead(from, answer.value().bounds);
     read.records = answer.value().records;
@@ -133,7 +134,7 @@
   this->changes_feed.OnFollow(result, this->following.state());
   this->changes.OnFollow(result, this->following);
   this->handlers.on_changed();
-  this->moved.cancel();
+  this->state_advanced.cancel();
 }
 
 void ConfigurationHost::OnSnapshot(const std::vector<std::string>& parts) {
@@ -146,8 +147,8 @@
   this->Pump();
 }
 
-void ConfigurationHost::NoteLogAvailable(bool available,
-                                         const Failure& failure) {
+void ConfigurationHost::SetLogAvailable(bool available,
+                                        const Failure& failure) {
   if (!available) {
     this->counts.platform_failures.Add();
     this->planner.OnLogUnavailable();
@@ -168,14 +169,14 @@
 void ConfigurationHost::Tick(TimePoint now) {
   this->changes.Tick(now, this->following);
   this->Pump();
-  CheckpointConditions situation;
-  situation.next_offset = this->following.state().next_offset();
-  situation.first = this->following.log_first();
-  situation.covered = this->following.covered();
-  situation.rank = this->handlers.checkpoint_rank();
+  CheckpointConditions conditions;
+  conditions.next_offset = this->following.state().next_offset();
+  conditions.first = this->following.log_first();
+  conditions.covered = this->following.covered();
+  conditions.rank = this->handlers.checkpoint_rank();
   const bool can_write = this->log_available && this->following.is_at_end() &&
                          !this->writing_checkpoint;
-  if (can_write && this->planner.Tick(now, situation)) {
+  if (can_write && this->planner.Tick(now, conditions)) {
     boost::asio::co_spawn(this->context, this->WriteCheckpointNow(),
                           DetachedTask{"configuration"});
   }
@@ -186,8 +187,8 @@
   const uint64_t offset = this->following.state().next_offset();
   const std::vector<std::string> parts =
       WriteCheckpoint(this->following.state(), this->NewChangeId());
-  // A checkpoint that stays incomplete is ignored, so a failure needs no
-  // clean-up: a later turn writes another.
+  // Readers ignore an incomplete checkpoint, so a failure needs no clean-up:
+  // a later tick writes another checkpoint.
   bool whole = true;
   for (const std::string& part : parts) {
     this->counts.log_appends.Add();
@@ -207,8 +208,8 @@
     milliseconds timeout,
     bool may_be_resend) {
   const uint64_t cookie = this->next_cookie++;
-  const auto wait = std::make_shared<Waiting>(this->context);
-  this->waiting.emplace(cookie, wait);
+  const auto proposal = std::make_shared<PendingProposal>(this->context);
+  this->pending_proposals.emplace(cookie, proposal);
   ChangeRequest request;
   request.change = std::move(change);
   request.cookie = cookie;
@@ -217,11 +218,11 @@
   request.deadline = now + timeout;
   this->changes.Propose(now, request, this->following);
   this->Pump();
-  while (!wait->outcome) {
-    co_await wait->told.async_wait(kAwait);
+  while (!proposal->outcome) {
+    co_await proposal->replied.async_wait(kAwait);
   }
-  this->waiting.erase(cookie);
-  co_return *wait->outcome;
+  this->pending_proposals.erase(cookie);
+  co_return *proposal->outcome;
 }
 
 boost::asio::awaitable<void> ConfigurationHost::AwaitBeyond(
@@ -230,18 +231,18 @@
   const auto until = boost::asio::steady_timer::clock_type::now() + timeout;
   while (!this->stopped && this->following.state().next_offset() <= offset &&
          boost::asio::steady_timer::clock_type::now() < until) {
-    // Waits for whichever is first: news, or the end of the time.
+    // Waits for a new state or for the timeout, whichever comes first.
     boost::asio::steady_timer limit(this->context, until);
     limit.async_wait([this](const boost::system::error_code& error) {
       if (!error) {
-        this->moved.cancel();
+        this->state_advanced.cancel();
       }
     });
-    co_await this->moved.async_wait(kAwait);
+    co_await this->state_advanced.async_wait(kAwait);
   }
 }
 
-// Carrying out one action can bring more; they are taken in rounds.
+// Performing an action can queue more, so the actions are taken in rounds.
 void ConfigurationHost::Pump() {
   if (this->pumping) {
     return;
@@ -262,7 +263,7 @@
                                 DetachedTask{"configuration"});
           break;
         case ChangeActionKind::kReply:
-          this->Tell(action.outcome);
+          this->Reply(action.outcome);
           break;
         case ChangeActionKind::kCount:
           break;
@@ -280,19 +281,20 @@
   const Result<AppendAnswer> answer = co_await this->log.Append(
       std::string(kConfigurationStream), std::move(records));
   if (!this->stopped) {
-    this->changes.OnAppend(MonotonicClock::now(), change, EndOf(answer));
+    this->changes.OnAppend(MonotonicClock::now(), change,
+                           ToAppendResult(answer));
     this->Pump();
   }
 }
 
-void ConfigurationHost::Tell(const ChangeOutcome& outcome) {
+void ConfigurationHost::Reply(const ChangeOutcome& outcome) {
   const bool accepted = outcome.status == ChangeStatus::kAccepted;
   Log(accepted ? Event::kChangeAccepted : Event::kChangeRejected,
       {{"change", outcome.change_id}, {"status", NameOf(outcome.status)}});
-  const auto found = this->waiting.find(outcome.cookie);
-  if (found != this->waiting.end() && !found->second->outcome) {
+  const auto found = this->pending_proposals.find(outcome.cookie);
+  if (found != this->pending_proposals.end() && !found->second->outcome) {
     found->second->outcome = outcome;
-    found->second->told.cancel();
+    found->second->replied.cancel();
   }
 }
 
--- a/packages/node/src/configuration_host.h
+++ b/packages/node/src/configuration_host.h
@@ -17,16 +17,17 @@
 #include "basilsill/platform/log_client.h"
 #include "metrics.h"
 
-/// Keeps this VM's configuration up with the platform's log, and takes
-/// operators' changes to it: carries out what the pure ConfigurationFollower,
-/// ChangeTable and CheckpointPlanner decide. Belongs to the control thread.
+/// Keeps this VM's configuration up to date with the platform's log and writes
+/// operators' changes to the log. Performs the input and output that the pure
+/// ConfigurationFollower, ChangeTable and CheckpointPlanner decide on. Runs on
+/// the control thread.
 
 namespace basilsill {
 
 struct ConfigurationHandlers {
-  /// The folded state has changed.
+  /// The state folded from the log has changed.
   std::function<void()> on_changed;
-  /// @returns how many live VMs write a checkpoint before this one.
+  /// @returns how many live VMs precede this one in writing checkpoints.
   std::function<size_t()> checkpoint_rank;
 };
 
@@ -42,15 +43,16 @@
   void Start();
   void Stop();
 
-  /// Takes `change` to its first outcome, which may be kUnresolved.
+  /// Proposes `change` and waits for its first outcome, which may be
+  /// kUnresolved.
   boost::asio::awaitable<ChangeOutcome>
   Propose(Change change, std::chrono::milliseconds timeout, bool may_be_resend);
 
-  /// Waits until the state has moved beyond `offset`, or for `timeout`.
+  /// Waits until the state has passed `offset`, or for `timeout`.
   boost::asio::awaitable<void> AwaitBeyond(uint64_t offset,
                                            std::chrono::milliseconds timeout);
 
-  /// Takes over a peer's snapshot.
+  /// Applies the snapshot of a peer.
   void OnSnapshot(const std::vector<std::string>& parts);
 
   void Tick(TimePoint now);
@@ -58,11 +60,11 @@
   const ConfigurationFollower& follower() const { return this->following; }
   const ChangeFeed& feed() const { return this->changes_feed; }
 
-  /// @returns an id for a change, unique for ever.
+  /// @returns a random id for a change: 128 bits, so that it never repeats.
   std::string NewChangeId();
 
  private:
-  struct Waiting;
+  struct PendingProposal;
 
   boost::asio::awaitable<void> ReadLoop();
   boost::asio::awaitable<bool> ReadOnce(std::chrono::milliseconds wait);
@@ -70,9 +72,9 @@
   boost::asio::awaitable<void> WriteCheckpointNow();
   void OnRead(const ReadResult& answer, uint64_t from, uint64_t ticket);
   void OnFollowed(const FollowResult& result);
-  void NoteLogAvailable(bool available, const Failure& failure);
+  void SetLogAvailable(bool available, const Failure& failure);
   void Pump();
-  void Tell(const ChangeOutcome& outcome);
+  void Reply(const ChangeOutcome& outcome);
 
   boost::asio::io_context& context;
   LogClient& log;
@@ -83,8 +85,8 @@
   ChangeTable changes;
   ChangeFeed changes_feed;
   CheckpointPlanner planner;
-  std::map<uint64_t, std::shared_ptr<Waiting>> waiting;
-  boost::asio::steady_timer moved;
+  std::map<uint64_t, std::shared_ptr<PendingProposal>> pending_proposals;
+  boost::asio::steady_timer state_advanced;
   uint64_t next_cookie = 1;
   bool log_available = true;
   bool writing_checkpoint = false;
--- a/packages/node/src/control.cc
+++ b/packages/node/src/control.cc
@@ -67,10 +67,11 @@
          view->data_centres[handle.index].drained;
 }
 
-// Tells of data centres that the operator drains, or has taken back.
-void NoteDrains(const RoutingView* before,
-                const RoutingView& after,
-                ControlMetrics& counts) {
+// Logs which data centres the operator has drained or taken back, and counts
+// the drained ones.
+void ReportDrainChanges(const RoutingView* before,
+                        const RoutingView& after,
+                        ControlMetrics& counts) {
   int64_t drained = 0;
   for (const DataCentreRow& row : after.data_centres) {
     drained += row.drained ? 1 : 0;
@@ -158,8 +159,9 @@
     this->PumpMembership();
     return result;
   };
-  link.on_heard = [this](VmHandle vm, uint64_t heard) {
-    return this->members->OnMessageReceived(MonotonicClock::now(), vm, heard);
+  link.on_received = [this](VmHandle vm, uint64_t sender_incarnation) {
+    return this->members->OnMessageReceived(MonotonicClock::now(), vm,
+                                            sender_incarnation);
   };
   link.on_linked = [this](VmHandle vm) { this->OnLinked(vm); };
   link.on_heartbeat = [this](VmHandle vm, const wire::Heartbeat& heartbeat) {
@@ -203,11 +205,12 @@
   this->links.Stop();
 }
 
-// Failure: a VM starts, or begins to need this one, just after this one has
-// told its peers that it leaves. It takes this one for live and hands it work
-// until the next heartbeat, a second later. It shows as requests that reach a
-// VM long after its order to end. So links that open later say so in their
-// introduction, and one that was being opened is told as soon as it works.
+// Failure: a VM opens a link to this one just after this one has notified its
+// peers that it is leaving. That VM considers this one live and sends it
+// requests until the next heartbeat, a second later, so requests arrive long
+// after the shutdown began. Hence the hello on links that open later says that
+// this VM is leaving, and a link whose handshake was in progress gets a
+// heartbeat that says so (OnLinked).
 void Control::Leave() {
   this->leaving = true;
   this->quotas.Leave();
@@ -226,8 +229,8 @@
 }
 
 void Control::OnStateChanged() {
-  // The next tick builds a view: changes often come in groups. The first one
-  // is built at once, since nothing is served before.
+  // The next tick builds a view, since changes often come in groups. The first
+  // view is built at once, since nothing is served without one.
   this->configuration_changed = true;
   if (!this->current_view) {
     this->RebuildIfChanged();
@@ -237,7 +240,8 @@
 void Control::OnVmList(uint64_t version, const std::vector<ListedVm>& vms) {
   const TimePoint now = MonotonicClock::now();
   this->members->OnVmList(now, version, vms);
-  // What others could tell is not waited for until the next tick.
+  // Without a view, links to peers that can send the state are opened now, not
+  // at the next tick.
   if (!this->current_view) {
     this->SetNeeds(now);
     this->members->Tick(now);
@@ -258,7 +262,7 @@
   }
 }
 
-// The systems of the control side, in the order in which they run.
+// Runs the parts of the control side in a fixed order.
 void Control::Tick(TimePoint now) {
   this->SetNeeds(now);
   this->members->Tick(now);
@@ -271,8 +275,8 @@
   this->CountVms();
 }
 
-// Workers take over a view and what is said of its age in the order in which
-// they are told, so a view is never said to be newer than it is.
+// Workers apply views and as-of times in the order in which they are published,
+// so that a worker never takes its view for newer than it is.
 void Control::PublishAsOf() {
   const LeaseTime as_of = this->source->as_of();
   const bool is_built = this->current_view && !this->configuration_changed;
@@ -282,7 +286,8 @@
   }
 }
 
-// Callers with keys are better served by another VM meanwhile.
+// A node that can't rely on its API keys is not ready: callers with keys are
+// better served by another VM meanwhile.
 void Control::CheckApiKeyAge(LeaseTime now) {
   if (this->api_key_max_age.count() == 0 || !this->current_view) {
     return;
@@ -347,20 +352,21 @@
   }
 }
 
-// Links are kept with the VMs that work for others: those that dispatch for a
-// shard or would do so next, and those that tell this data centre what they
-// read at the platform. Where all are of one size these are nearly all VMs of a
-// small fleet; in a large one the small VMs have none among themselves. A VM
-// that has no view yet needs two more, which help it to start.
+// Keeps links with the VMs that work for others: those that dispatch for a
+// shard or are next in line to do so, and those that relay to this data centre
+// what they read from the platform. One more link goes to the next VM in the
+// ring. In a small fleet of VMs of equal size these are nearly all VMs; in a
+// large fleet, small VMs have no links among themselves. A VM without a view
+// also needs two startup peers, which help it to start.
 //
-// They change with the view and with membership only, and to collect them costs
-// an order of all VMs, so that isn't done at every tick.
+// The needs change only with the view and the membership. Collecting them sorts
+// all VMs, so it isn't done on every tick.
 void Control::SetNeeds(TimePoint now) {
-  const bool is_stale = this->needs_of_view != this->current_view ||
-                        this->needs_of_membership != this->members->version();
+  const bool is_stale = this->needs_view != this->current_view ||
+                        this->needs_membership != this->members->version();
   if (is_stale) {
-    this->needs_of_view = this->current_view;
-    this->needs_of_membership = this->members->version();
+    this->needs_view = this->current_view;
+    this->needs_membership = this->members->version();
     this->CollectNeeds();
   }
   this->members->SetNeeds(now, this->needs);
@@ -385,9 +391,9 @@
 
 std::set<VmHandle> Control::CollectWorkers() const {
   if (!this->current_view) {
-    const std::vector<VmHandle> helpers =
+    const std::vector<VmHandle> startup_peers =
         StartupPeers(this->members->rows(), this->members->self());
-    return {helpers.begin(), helpers.end()};
+    return {startup_peers.begin(), startup_peers.end()};
   }
   std::set<VmHandle> workers;
   for (const auto& service : this->current_view->services) {
@@ -400,7 +406,7 @@
 }
 
 void Control::OnHeartbeat(VmHandle from, const wire::Heartbeat& heartbeat) {
-  this->force.OnApplied(from, heartbeat.applied_offset);
+  this->in_force_table.OnApplied(from, heartbeat.applied_offset);
   if (heartbeat.state == VmState::kLeaving) {
     this->members->OnLeaving(MonotonicClock::now(), from,
                              heartbeat.incarnation);
@@ -433,10 +439,10 @@
   this->links.Broadcast(heartbeat);
 }
 
-// What a VM without a link misses comes again soon.
-void Control::SendRateLimits(const std::vector<RateLimitUpdate>& news) {
+// A VM without a link misses its reports; they are sent again soon.
+void Control::SendRateLimits(const std::vector<RateLimitUpdate>& updates) {
   std::map<VmHandle, wire::Heartbeat> messages;
-  for (const RateLimitUpdate& item : news) {
+  for (const RateLimitUpdate& item : updates) {
     const auto [place, is_new] =
         messages.try_emplace(item.to, this->MakeHeartbeat(false));
     std::vector<RateLimitReport>& reports = place->second.rate_limits;
@@ -453,7 +459,8 @@
   const bool changed = this->configuration_changed ||
                        this->members->version() != this->built_membership;
   const TimePoint begun = MonotonicClock::now();
-  if (!changed || !this->source->ready() || !this->pace.MayBuild(begun)) {
+  if (!changed || !this->source->ready() ||
+      !this->build_throttle.MayBuild(begun)) {
     return;
   }
   const ConfigurationState& state = this->source->state();
@@ -465,13 +472,14 @@
                     this->builder->Build(state, {this->members->rows(),
                                                  this->members->data_centres(),
                                                  this->members->self()}));
-  const bool is_news = AppliedOffsetChanged(before.get(), *this->current_view);
+  const bool offset_changed =
+      AppliedOffsetChanged(before.get(), *this->current_view);
   const bool is_first = this->built_views++ == 0;
   this->configuration_changed = false;
   this->built_membership = this->members->version();
-  this->force.SetVms(this->members->rows());
-  this->force.OnApplied(this->members->self(),
-                        this->current_view->applied_offset);
+  this->in_force_table.SetVms(this->members->rows());
+  this->in_force_table.OnApplied(this->members->self(),
+                                 this->current_view->applied_offset);
   this->counts.view_version.Set(
       static_cast<int64_t>(this->current_view->version));
   this->counts.applied_offset.Set(
@@ -482,14 +490,14 @@
   if (is_first) {
     Log(Event::kNodeReady, {{"vm", this->settings.vm.name}});
   }
-  NoteDrains(before.get(), *this->current_view, this->counts);
+  ReportDrainChanges(before.get(), *this->current_view, this->counts);
   this->source->OnFleetChanged();
   this->quotas.ApplyView(*this->current_view);
   this->handlers.publish(this->current_view);
-  if (is_news) {
+  if (offset_changed) {
     this->links.Broadcast(this->MakeHeartbeat(false));
   }
-  this->pace.OnBuilt(begun, MonotonicClock::now());
+  this->build_throttle.OnBuilt(begun, MonotonicClock::now());
 }
 
 }  // namespace basilsill
--- a/packages/node/src/control.h
+++ b/packages/node/src/control.h
@@ -19,39 +19,40 @@
 #include "metrics.h"
 #include "quota_host.h"
 
-/// The control side of a node: keeps links to peers, and publishes a routing
-/// view whenever its source of state or membership changed. All on one thread.
+/// The control side of a node: keeps links to peers and publishes a routing
+/// view when the state or the membership has changed. Runs on one thread.
 
 namespace basilsill {
 
 struct ControlOptions {
   uint64_t incarnation = 0;
-  std::vector<Endpoint> workers;  ///< Where this node's workers take links.
+  std::vector<Endpoint> workers;  ///< Where this node's workers accept links.
   /// As in Installation.
   std::chrono::milliseconds api_key_max_age{0};
   std::vector<std::string> data_centres;
 };
 
-/// What the control side tells the rest of the node.
+/// Callbacks from the control side to the rest of the node.
 struct ControlHandlers {
   std::function<void(RoutingViewPtr)> publish;
-  /// Deaths of upstreams that peers saw.
+  /// Peers reported crashes of upstreams.
   std::function<void(const std::vector<CrashReport>&)> on_crashes;
-  /// Other VMs heard of rate limits.
+  /// Other VMs reported rate limits.
   std::function<void(const std::vector<RateLimitReport>&)> on_rate_limits;
-  /// The configuration of the published view certainly was the newest then.
+  /// The configuration of the published view is known to have been the newest
+  /// at `as_of`.
   std::function<void(LeaseTime as_of)> on_as_of;
-  /// A lender answers what a worker asked.
+  /// A lender has answered the quota request of a worker.
   std::function<void(uint16_t worker, const QuotaAnswer&)> on_quota_answer;
 };
 
-/// Makes the source of state, once the endpoint of control links is known.
+/// Creates the source of state, given the endpoint of control links.
 using MakeStateSource =
     std::function<Result<std::unique_ptr<StateSource>>(const Endpoint&)>;
 
 class Control final : private StateSourceHost {
  public:
-  /// @param settings Must outlive the control side, as must `counts`.
+  /// @param settings Must outlive the result, as must `counts`.
   static Result<std::unique_ptr<Control>> Create(
       IoContext& context,
       const Settings& settings,
@@ -63,21 +64,21 @@
   void Start();
   void Stop();
 
-  /// Tells peers that this VM leaves.
+  /// Notifies peers that this VM is leaving.
   void Leave();
 
-  /// Tells peers of deaths of upstreams that this node's workers saw.
+  /// Reports to peers the upstream crashes that this node's workers saw.
   void SendCrashes(std::vector<CrashReport> crashes);
 
-  /// Tells each VM what it has to know of rate limits.
-  void SendRateLimits(const std::vector<RateLimitUpdate>& news);
+  /// Sends each VM the rate limits that are addressed to it.
+  void SendRateLimits(const std::vector<RateLimitUpdate>& updates);
 
-  /// A worker needs credits of teams' quotas.
+  /// Requests credits of teams' quotas for a worker.
   void RequestQuotaCredits(uint16_t worker, QuotaRequest request) {
-    this->quotas.Ask(worker, std::move(request));
+    this->quotas.RequestCredits(worker, std::move(request));
   }
 
-  /// @returns true while there is a view that callers can be served by.
+  /// @returns true while there is a view with which callers can be served.
   bool ready() const {
     return this->current_view != nullptr && this->source->ready() &&
            this->api_keys_verified;
@@ -85,7 +86,7 @@
   const RoutingViewPtr& view() const { return this->current_view; }
   const Membership& membership() const override { return *this->members; }
   const std::string& vm_name() const { return this->settings.vm.name; }
-  const InForceTable& in_force() const { return this->force; }
+  const InForceTable& in_force() const { return this->in_force_table; }
   Endpoint endpoint() const { return this->links.endpoint(); }
 
  private:
@@ -138,20 +139,21 @@
   std::unique_ptr<Membership> members;
   ControlLinks links;
   QuotaHost quotas;
-  InForceTable force;
+  InForceTable in_force_table;
   std::unique_ptr<ViewBuilder> builder;
   RoutingViewPtr current_view;
   std::vector<PeerNeed> needs;
-  /// What `needs` were collected from.
-  RoutingViewPtr needs_of_view;
-  uint64_t needs_of_membership = 0;
+  /// View and membership version from which `needs` was collected.
+  RoutingViewPtr needs_view;
+  uint64_t needs_membership = 0;
   uint64_t built_membership = 0;
   uint64_t counted_membership = 0;
   uint64_t built_views = 0;
-  ViewBuildThrottle pace;
+  ViewBuildThrottle build_throttle;
   std::chrono::milliseconds api_key_max_age;
   LeaseTime published_as_of = LeaseTime::min();
-  /// False while API keys can't be relied on and there are some.
+  /// False while there are API keys that can't be relied on, because the
+  /// configuration may be outdated.
   bool api_keys_verified = true;
   bool leaving = false;
   bool configuration_changed = false;
--- a/packages/node/src/control_links.cc
+++ b/packages/node/src/control_links.cc
@@ -91,8 +91,8 @@
                                     wire::PeerMessage message) {
     this->OnMessage(link, std::move(message));
   };
-  link_handlers.on_over = [this, expected](const PeerLinkPtr& link) {
-    this->OnOver(link, expected);
+  link_handlers.on_closed = [this, expected](const PeerLinkPtr& link) {
+    this->OnClosed(link, expected);
   };
   wire::LinkMuxOptions mux;
   mux.side = side;
@@ -131,7 +131,7 @@
     return;
   }
   const Peer peer = found->second;
-  if (!this->handlers.on_heard(peer.vm, peer.incarnation)) {
+  if (!this->handlers.on_received(peer.vm, peer.incarnation)) {
     return;
   }
   if (const auto* heartbeat = std::get_if<wire::Heartbeat>(&message)) {
@@ -141,13 +141,13 @@
   }
 }
 
-void ControlLinks::OnOver(const PeerLinkPtr& link, VmHandle expected) {
+void ControlLinks::OnClosed(const PeerLinkPtr& link, VmHandle expected) {
   const auto found = this->links.find(link);
   if (found != this->links.end()) {
     const Peer peer = found->second;
     this->links.erase(found);
     this->counts.open.Set(static_cast<int64_t>(this->links.size()));
-    // Of two links with one peer the loss of one is no sign against it.
+    // A peer is lost only if it has no other open link.
     if (!this->Find(peer.vm) && !this->stopped) {
       this->handlers.on_lost(peer.vm, peer.incarnation);
     }
--- a/packages/node/src/control_links.h
+++ b/packages/node/src/control_links.h
@@ -10,29 +10,30 @@
 #include "net.h"
 #include "peer_link.h"
 
-/// The control links of a node: opened and dropped as membership asks, and
-/// taken from peers that open them. Belongs to the control thread.
+/// The control links of a node: opened and dropped on request of the
+/// membership, and accepted from peers. Runs on the control thread.
 
 namespace basilsill {
 
-/// What happens on control links.
+/// Callbacks for events on control links.
 struct ControlLinkHandlers {
-  /// A process introduced itself. A link whose process is not accepted is
+  /// A process has sent its hello. If the verdict is not kAccepted, the link is
   /// closed.
   std::function<HelloResult(const VmHello&)> on_hello;
-  /// Any message came. False: it is of another incarnation, drop it.
-  std::function<bool(VmHandle, uint64_t incarnation)> on_heard;
-  /// A link to a process that was accepted works.
+  /// A message of any kind was received.
+  /// @returns false if it is from another incarnation and has to be dropped.
+  std::function<bool(VmHandle, uint64_t incarnation)> on_received;
+  /// A link to an accepted process is established.
   std::function<void(VmHandle)> on_linked;
   std::function<void(VmHandle, const wire::Heartbeat&)> on_heartbeat;
   std::function<void(VmHandle, uint64_t incarnation)> on_lost;
   std::function<void(VmHandle)> on_open_failed;
-  /// Any message but a heartbeat came.
+  /// A message other than a heartbeat was received.
   std::function<void(VmHandle, const wire::PeerMessage&)> on_message;
 };
 
 struct ControlLinkOptions {
-  wire::Hello hello;  ///< What this node says of itself.
+  wire::Hello hello;  ///< Hello that this node sends.
   std::chrono::milliseconds connect_timeout{1000};
 };
 
@@ -45,24 +46,24 @@
                LinkCounters& counts,
                Counter& accept_failures);
 
-  /// Takes links from peers.
+  /// Starts accepting links from peers.
   void Start();
   void Stop();
 
-  /// On links that open from here on, this node says that it leaves.
+  /// Marks this node as leaving in the hello of links that open from now on.
   void Leave() { this->options.hello.leaving = true; }
 
   void Open(VmHandle vm, const Endpoint& control);
   void Drop(VmHandle vm);
 
   /// Sends `message` to `vm` if there is a link to it.
-  /// @returns false if there is none, or it is clogged.
+  /// @returns false if there is no link, or its send queue is full.
   bool Send(VmHandle vm, wire::PeerMessage message);
 
   /// Sends `message` on every link.
   void Broadcast(const wire::PeerMessage& message);
 
-  /// @returns the VMs that a link stands with.
+  /// @returns the VMs to which there is a link.
   std::vector<VmHandle> Linked() const;
 
   Endpoint endpoint() const { return this->listens_at; }
@@ -78,7 +79,7 @@
   PeerLinkPtr Add(Socket socket, wire::LinkSide side, VmHandle expected);
   void OnReady(const PeerLinkPtr& link, VmHandle expected);
   void OnMessage(const PeerLinkPtr& link, wire::PeerMessage message);
-  void OnOver(const PeerLinkPtr& link, VmHandle expected);
+  void OnClosed(const PeerLinkPtr& link, VmHandle expected);
   PeerLinkPtr Find(VmHandle vm) const;
 
   IoContext& context;
--- a/packages/node/src/link_server.cc
+++ b/packages/node/src/link_server.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::microseconds;
 
-// Handles mean nothing on another VM: what a peer sends is found by name.
+// Handles are valid on one VM only, so peers send names.
 template <typename Row>
 const Row* FindByName(const std::vector<Row>& rows, std::string_view name) {
   const auto found =
--- a/packages/node/src/link_server.h
+++ b/packages/node/src/link_server.h
@@ -6,13 +6,13 @@
 #include "dispatch_host.h"
 #include "peer_link.h"
 
-/// Requests that other workers hand over to this worker's dispatcher.
+/// Serves requests that other workers forward to this worker's dispatcher.
 
 namespace basilsill {
 
-/// Serves one stream that a peer opened, to its end.
+/// Serves one stream that a peer opened, until it ends.
 /// @param view The routing view at the time of opening.
-/// @param request_id_header Name of the header that holds the request's id.
+/// @param request_id_header Name of the header with the request id.
 Task<void> ServeLinkStream(RoutingViewPtr view,
                            DispatchHost& dispatch,
                            PeerLinkPtr link,
@@ -20,7 +20,7 @@
                            wire::Open open,
                            std::string request_id_header);
 
-/// Turns away a stream that a peer opened. Nothing of it may have run.
+/// Refuses a stream that a peer opened. Its request must not have been started.
 void RefuseLinkStream(PeerLink& link, LinkStream& stream, Refusal refusal);
 
 }  // namespace basilsill
--- a/packages/node/src/link_table.cc
+++ b/packages/node/src/link_table.cc
@@ -14,12 +14,13 @@
 
 using std::chrono::microseconds;
 
-// A link that nothing has used for so long is closed; opening another costs
+// A link that has been idle for this long is closed. Opening another one costs
 // about as much as one call.
-constexpr std::chrono::seconds kLinkIdle{60};
-// A VM that shuts down opens links for the last requests of its own callers.
-// Between two of these less time passes than this, a few round trips.
-constexpr std::chrono::milliseconds kLinkIdleAtEnd{50};
+constexpr std::chrono::seconds kMaxLinkIdle{60};
+// Idle limit while draining. A VM that shuts down still opens links for the
+// last requests of its own callers, which follow each other within less time
+// than this, a few round trips.
+constexpr std::chrono::milliseconds kMaxLinkIdleWhileDraining{50};
 
 }  // namespace
 
@@ -34,17 +35,17 @@
 
 void LinkTable::ApplyView(const RoutingViewPtr& view) {
   this->view = view;
-  // A VM that started again has a new handle, and so new links; those of its
-  // old self are let go.
+  // A restarted VM has a new handle and gets new links. Entries of the old
+  // handle are removed.
   std::erase_if(this->peers, [&view](const auto& entry) {
     return FindVm(*view, entry.first.vm) == nullptr;
   });
 }
 
-// Failure: a VM that shuts down has said GoAway on each link, and a peer that
-// has not heard yet that it leaves opens another one. It shows as work that
-// comes until the process ends, and ends with it. So that link is told too,
-// before it can bring a request.
+// Failure: a VM that shuts down has sent GoAway on each link, and a peer that
+// does not know yet that it is leaving opens another one. Requests then keep
+// arriving until the process ends, and are lost with it. So GoAway is sent on
+// such a link too, before it can carry a request.
 void LinkTable::Accept(Socket socket) {
   const PeerLinkPtr link =
       this->Add(std::move(socket), wire::LinkSide::kAcceptor, VmHandle{});
@@ -66,18 +67,18 @@
   link_handlers.on_go_away = [this, vm](const PeerLinkPtr& link) {
     this->Remove(link, vm);
   };
-  link_handlers.on_over = [this, vm](const PeerLinkPtr& link) {
+  link_handlers.on_closed = [this, vm](const PeerLinkPtr& link) {
     this->Remove(link, vm);
-    this->all.erase(link);
-    this->counts.open.Set(static_cast<int64_t>(this->all.size()));
+    this->links.erase(link);
+    this->counts.open.Set(static_cast<int64_t>(this->links.size()));
   };
   wire::LinkMuxOptions mux;
   mux.side = side;
   mux.hello = this->options.hello;
   auto link = std::make_shared<PeerLink>(
       std::move(socket), mux, std::move(link_handlers), this->counts);
-  this->all.insert(link);
-  this->counts.open.Set(static_cast<int64_t>(this->all.size()));
+  this->links.insert(link);
+  this->counts.open.Set(static_cast<int64_t>(this->links.size()));
   boost::asio::co_spawn(this->run_on, link->Run(), DetachedTask{"link"});
   return link;
 }
@@ -198,22 +199,23 @@
 
 void LinkTable::Drain() {
   this->is_draining = true;
-  for (const PeerLinkPtr& link : std::set<PeerLinkPtr>(this->all)) {
+  for (const PeerLinkPtr& link : std::set<PeerLinkPtr>(this->links)) {
     link->Drain();
   }
 }
 
 size_t LinkTable::CountBusy(TimePoint now) const {
   return static_cast<size_t>(std::count_if(
-      this->all.begin(), this->all.end(),
+      this->links.begin(), this->links.end(),
       [now](const PeerLinkPtr& link) { return link->IsBusy(now); }));
 }
 
 void LinkTable::Tick(TimePoint now) {
-  const Duration most = this->is_draining ? kLinkIdleAtEnd : kLinkIdle;
-  for (const PeerLinkPtr& link : std::set<PeerLinkPtr>(this->all)) {
+  const Duration max_idle =
+      this->is_draining ? kMaxLinkIdleWhileDraining : kMaxLinkIdle;
+  for (const PeerLinkPtr& link : std::set<PeerLinkPtr>(this->links)) {
     const TimePoint idle = link->idle_since();
-    if (idle != kNever && now - idle > most) {
+    if (idle != kNever && now - idle > max_idle) {
       link->Drain();
     }
   }
--- a/packages/node/src/link_table.h
+++ b/packages/node/src/link_table.h
@@ -12,21 +12,21 @@
 #include "http_message.h"
 #include "peer_link.h"
 
-/// The data links of one worker: to workers that dispatch for it, opened on
-/// demand, and from workers that it dispatches for.
+/// The data links of one worker: links to workers that dispatch for it, opened
+/// on demand, and links from workers for which it dispatches.
 
 namespace basilsill {
 
-/// What the links need of their worker.
+/// Callbacks from the links to their worker.
 struct LinkTableHandlers {
-  /// A peer hands over a request for a dispatcher of this worker.
+  /// A peer forwards a request to a dispatcher of this worker.
   std::function<void(const PeerLinkPtr&, LinkStreamPtr, wire::Open)> on_open;
   std::function<void(VmHandle, const ShardSummary&)> on_summary;
   std::function<void(VmHandle, bool usable)> on_link;
 };
 
 struct LinkTableOptions {
-  wire::Hello hello;  ///< What this worker says of itself.
+  wire::Hello hello;  ///< Hello that this worker sends.
   std::chrono::milliseconds connect_timeout{1000};
 };
 
@@ -42,21 +42,24 @@
   /// Takes over a connection that a peer opened.
   void Accept(Socket socket);
 
-  /// Serves `request` through the dispatcher of the target's shard.
+  /// Forwards `request` to the dispatcher of the target's shard and relays the
+  /// answer to `sink`.
   Task<ServeOutcome> Serve(RequestMessage& request,
                            const Target& target,
                            AnswerSink& sink);
 
-  /// Tells peers to open no further streams here, on this and on later links.
+  /// Sends GoAway on all present and later links, so that peers open no further
+  /// streams here.
   void Drain();
 
-  /// @returns how many links would lose something if the process ended.
+  /// @returns the number of links that would lose data if the process ended
+  /// now.
   size_t CountBusy(TimePoint now) const;
 
-  /// Closes links that nothing has used for long.
+  /// Closes links that have been idle for too long.
   void Tick(TimePoint now);
 
-  size_t count() const { return this->all.size(); }
+  size_t count() const { return this->links.size(); }
 
  private:
   struct PeerKey {
@@ -87,7 +90,7 @@
   LinkCounters& counts;
   RoutingViewPtr view;
   std::map<PeerKey, std::shared_ptr<Peer>> peers;
-  std::set<PeerLinkPtr> all;
+  std::set<PeerLinkPtr> links;
   bool is_draining = false;
 };
 
--- a/packages/node/src/log_source.cc
+++ b/packages/node/src/log_source.cc
@@ -135,8 +135,8 @@
     }
   }
   fleet.appenders = std::max<size_t>(1, members.LiveCount());
-  // No partition is read ahead: entry workers ask the table of their own VM
-  // alone, which reads a stream when a key of it is asked for.
+  // No partition is read ahead: entry workers use only the claim table of their
+  // own VM, which reads a stream when a key of it is requested.
   return fleet;
 }
 
--- a/packages/node/src/log_source.h
+++ b/packages/node/src/log_source.h
@@ -15,15 +15,16 @@
 #include "metrics.h"
 #include "snapshot_exchange.h"
 
-/// State from the log and the VM list of basilsill's own platform protocol:
-/// operators' changes are folded by every VM, peers help a VM that can't read
-/// the log with a snapshot, and requests that must not repeat are claimed.
+/// State from the log and the VM list of basilsill's own platform protocol.
+/// Every VM folds the operators' changes in the log; a VM that can't read the
+/// log gets a snapshot from a peer. Requests that must not run twice are
+/// claimed in the log.
 
 namespace basilsill {
 
 class LogSource final : public StateSource {
  public:
-  /// @param settings Must outlive the source, as must `counts`.
+  /// @param settings Must outlive the result, as must `counts`.
   static Result<std::unique_ptr<LogSource>> Create(
       boost::asio::io_context& context,
       const Settings& settings,
--- a/packages/node/src/main.cc
+++ b/packages/node/src/main.cc
@@ -40,7 +40,7 @@
   }
 }
 
-// A file with any fault is refused whole, and the node goes on as it is.
+// A file with any fault is rejected; the node keeps its present settings.
 void Reload(basilsill::Node& node, const LoadSetup& load) {
   const basilsill::CheckedResult<Setup> setup = load();
   if (!setup) {
@@ -68,8 +68,8 @@
   }
   basilsill::Node& node = *created.value();
   int status = basilsill::kExitSuccess;
-  const auto stop = [&](bool whole) {
-    status = whole ? basilsill::kExitSuccess : basilsill::kExitFailure;
+  const auto stop = [&](bool is_clean) {
+    status = is_clean ? basilsill::kExitSuccess : basilsill::kExitFailure;
     context.stop();
   };
   const auto signals = basilsill::ShutdownSignals::Create(
@@ -96,7 +96,7 @@
   return status;
 }
 
-// What the settings and the command line switch off is off.
+// Disables the mechanisms that the settings or the command line name.
 basilsill::CheckedResult<Setup> WithoutMechanisms(
     basilsill::CheckedResult<Setup> setup,
     const std::string& without) {
@@ -114,7 +114,7 @@
   return setup;
 }
 
-LoadSetup SourceOf(const basilsill::CommandLine& command_line) {
+LoadSetup MakeSetupLoader(const basilsill::CommandLine& command_line) {
   if (command_line.adapter) {
     return [without = command_line.without] {
       return WithoutMechanisms(basilsill::adapter::SetUpFromEnvironment(),
@@ -133,7 +133,7 @@
 }
 
 int RunCommand(const basilsill::CommandLine& command_line) {
-  const LoadSetup load = SourceOf(command_line);
+  const LoadSetup load = MakeSetupLoader(command_line);
   const basilsill::CheckedResult<Setup> setup = load();
   if (!setup) {
     return ReportFaults(setup.error());
@@ -149,11 +149,11 @@
   }
 }
 
-// Failure: all work has ended, and the process stays until it is killed, since
-// what a library keeps in static objects waits for its threads. It shows as a
-// VM that is back three seconds late after each planned restart. All that is to
-// be written has been, so nothing is lost by leaving without them.
-[[noreturn]] void ExitAtOnce(int status) {
+// Failure: all work has ended, but the process stays until it is killed, since
+// static objects of a library wait for their threads. Each planned restart then
+// takes three seconds longer. All output has been written by now, so exiting
+// without destroying static objects loses nothing.
+[[noreturn]] void ExitWithoutCleanup(int status) {
   std::cout.flush();
   std::fflush(nullptr);
   std::_Exit(status);
@@ -170,5 +170,5 @@
     std::cout << command_line.value().text;
     return basilsill::kExitSuccess;
   }
-  ExitAtOnce(RunCommand(command_line.value()));
+  ExitWithoutCleanup(RunCommand(command_line.value()));
 }
--- a/packages/node/src/node.cc
+++ b/packages/node/src/node.cc
@@ -21,29 +21,30 @@
 
 constexpr std::chrono::milliseconds kDrainPoll{20};
 
-// Within this time each traffic thread has to say that it takes callers:
-// shorter than balancers wait for the answer, so that they get one.
+// Time limit for the traffic threads to answer whether they take callers. It is
+// shorter than the time that balancers wait for a readiness answer, so that the
+// balancers get one.
 constexpr std::chrono::milliseconds kTakesCallersLimit{400};
 
-// Answers of traffic threads, gathered on the control thread.
-struct Inquiry {
-  Inquiry(IoContext& context, size_t workers)
-      : missing(workers), over(context, kTakesCallersLimit) {}
+// Collects the answers of the traffic threads, on the control thread.
+struct WorkerQuery {
+  WorkerQuery(IoContext& context, size_t workers)
+      : missing(workers), timeout(context, kTakesCallersLimit) {}
 
   void OnAnswer(bool takes) {
     this->all_take = this->all_take && takes;
     if (--this->missing == 0) {
-      this->over.cancel();
+      this->timeout.cancel();
     }
   }
 
   size_t missing;
   bool all_take = true;
-  boost::asio::steady_timer over;
+  boost::asio::steady_timer timeout;
 };
 
-// Claims rest on it that no two processes of a VM ever share an incarnation,
-// which a clock alone does not give.
+// Claims rely on no two processes of a VM ever having the same incarnation. A
+// clock alone does not guarantee that, so random bits are added.
 uint64_t NewIncarnation() {
   std::random_device random;
   const auto now = std::chrono::time_point_cast<std::chrono::milliseconds>(
@@ -108,9 +109,9 @@
     options.on_crashes = [this, i](std::vector<CrashReport> crashes) {
       this->DistributeCrashReports(i, std::move(crashes));
     };
-    options.on_rate_limits = [this](std::vector<RateLimitUpdate> news) {
-      boost::asio::post(this->context, [this, news = std::move(news)] {
-        this->control_side->SendRateLimits(news);
+    options.on_rate_limits = [this](std::vector<RateLimitUpdate> updates) {
+      boost::asio::post(this->context, [this, updates = std::move(updates)] {
+        this->control_side->SendRateLimits(updates);
       });
     };
     options.on_quota_request = [this, i](QuotaRequest request) {
@@ -130,7 +131,7 @@
     }
     this->traffic.push_back(std::move(worker).value());
     this->metrics.AddWorker(this->traffic.back()->metrics());
-    // Where the kernel chose the port, the other workers share it.
+    // If the kernel chose the port, the other workers listen on the same one.
     callers = this->traffic.back()->callers_endpoint();
   }
   return boost::outcome_v2::success();
@@ -148,11 +149,12 @@
       worker->ImportCrashes(crashes);
     }
   };
-  handlers.on_rate_limits = [this](const std::vector<RateLimitReport>& told) {
-    for (const auto& worker : this->traffic) {
-      worker->ImportRateLimits(told);
-    }
-  };
+  handlers.on_rate_limits =
+      [this](const std::vector<RateLimitReport>& reports) {
+        for (const auto& worker : this->traffic) {
+          worker->ImportRateLimits(reports);
+        }
+      };
   handlers.on_as_of = [this](LeaseTime as_of) {
     for (const auto& worker : this->traffic) {
       worker->ImportConfigurationAsOf(as_of);
@@ -264,36 +266,34 @@
 }
 
 // Failure: the control thread answers that the node is ready while its traffic
-// threads hang, spin, or have no room. It shows as a VM that the balancer keeps
-// sending callers to and that takes none of them.
+// threads hang, spin or have no room for callers. The balancer then keeps
+// sending callers to a VM that takes none of them.
 boost::asio::awaitable<NodePhase> Node::QueryPhase() {
   const NodePhase before = this->phase();
   if (before != NodePhase::kReady) {
     co_return before;
   }
   const bool takes = co_await this->QueryWorkers();
-  this->NoteTakesCallers(takes);
+  this->ReportTakesCallers(takes);
   const NodePhase now = this->phase();
   co_return now == NodePhase::kReady && !takes ? NodePhase::kBusy : now;
 }
 
 boost::asio::awaitable<bool> Node::QueryWorkers() {
-  const auto inquiry =
-      std::make_shared<Inquiry>(this->context, this->traffic.size());
+  const auto query =
+      std::make_shared<WorkerQuery>(this->context, this->traffic.size());
   for (const auto& worker : this->traffic) {
-    worker->QueryAcceptsCallers(
-        [&context = this->context, inquiry](bool takes) {
-          boost::asio::post(context,
-                            [inquiry, takes] { inquiry->OnAnswer(takes); });
-        });
+    worker->QueryAcceptsCallers([&context = this->context, query](bool takes) {
+      boost::asio::post(context, [query, takes] { query->OnAnswer(takes); });
+    });
   }
   boost::system::error_code answered;
-  co_await inquiry->over.async_wait(
+  co_await query->timeout.async_wait(
       boost::asio::redirect_error(boost::asio::use_awaitable, answered));
-  co_return inquiry->missing == 0 && inquiry->all_take;
+  co_return query->missing == 0 && query->all_take;
 }
 
-void Node::NoteTakesCallers(bool takes) {
+void Node::ReportTakesCallers(bool takes) {
   const bool was_taking = this->metrics.control.callers_not_taken.value() == 0;
   this->metrics.control.callers_not_taken.Set(takes ? 0 : 1);
   if (takes != was_taking) {
@@ -302,8 +302,8 @@
   }
 }
 
-// Runs on the thread of worker `from`; the others and the peers are told from
-// the control thread.
+// Runs on the thread of worker `from`. The other workers and the peers are
+// notified from the control thread.
 void Node::DistributeCrashReports(size_t from,
                                   std::vector<CrashReport> crashes) {
   boost::asio::post(this->context, [this, from, crashes = std::move(crashes)] {
@@ -337,7 +337,7 @@
   return this->traffic.front()->callers_endpoint();
 }
 
-void Node::Drain(std::function<void(bool whole)> on_stopped) {
+void Node::Drain(std::function<void(bool is_clean)> on_stopped) {
   if (this->draining) {
     return;
   }
@@ -370,37 +370,38 @@
 }
 
 boost::asio::awaitable<void> Node::RunDrain(
-    std::function<void(bool whole)> on_stopped) {
+    std::function<void(bool is_clean)> on_stopped) {
   LogDraining(this->settings.vm.name);
-  // From here on each answer asks its caller to come on another connection.
+  // From now on, each answer asks its caller to use another connection.
   for (const auto& worker : this->traffic) {
     worker->AnnounceLeave();
   }
-  // Peers stop sending work here at once; callers come until the platform's
-  // balancer has seen readiness fail.
+  // Peers stop forwarding requests here at once. Callers keep coming until the
+  // platform's balancer has seen readiness fail.
   this->control_side->Leave();
   const auto started = MonotonicClock::now();
   boost::asio::steady_timer timer(this->context,
                                   this->settings.shutdown.ready_delay);
-  // The platform's balancer needs this long to see that readiness fails; new
-  // callers are still served meanwhile.
+  // The platform's balancer needs this delay to see readiness fail; new callers
+  // are served meanwhile.
   co_await timer.async_wait(boost::asio::use_awaitable);
   for (const auto& worker : this->traffic) {
     worker->Drain();
   }
   const auto limit = started + this->settings.shutdown.limit;
-  // Ends of requests that must not repeat go into the log before the process
-  // goes, or their resends would be told `unknown`.
+  // The outcomes of requests that must not run twice have to be in the log
+  // before the process ends; otherwise callers that resend such a request get
+  // `unknown`.
   while ((this->busy() || !this->claims_idle()) &&
          MonotonicClock::now() < limit) {
     timer.expires_after(kDrainPoll);
     co_await timer.async_wait(boost::asio::use_awaitable);
   }
-  const bool cuts_off = this->busy();
-  if (cuts_off) {
+  const bool is_cut_off = this->busy();
+  if (is_cut_off) {
     this->LogForcedStop();
   }
-  on_stopped(!cuts_off);
+  on_stopped(!is_cut_off);
 }
 
 void Node::Stop() {
--- a/packages/node/src/node.h
+++ b/packages/node/src/node.h
@@ -17,15 +17,15 @@
 #include "metrics_page.h"
 #include "worker.h"
 
-/// One node: the control side on the thread that runs the io_context, and
-/// its workers on threads of their own. Several nodes fit into one process.
+/// One node: the control side, on the thread that runs the io_context, and its
+/// workers, each on a thread of its own. A process can hold several nodes.
 
 namespace basilsill {
 
 class Node {
  public:
-  /// Opens all sockets.
-  /// @param context Run by the control thread; must outlive the node.
+  /// Creates a node and opens its listening sockets.
+  /// @param context Runs on the control thread; must outlive the node.
   static Result<std::unique_ptr<Node>> Create(IoContext& context,
                                               Settings settings,
                                               Installation installation = {});
@@ -33,20 +33,22 @@
 
   void Start();
 
-  /// Begins a graceful shutdown: readiness fails at once, callers are
-  /// refused after the settable delay, and `on_stopped` is called on the
-  /// control thread once nothing is in flight or the limit has passed.
-  void Drain(std::function<void(bool whole)> on_stopped);
+  /// Starts a graceful shutdown: readiness fails at once, and callers are
+  /// refused after ShutdownSettings::ready_delay. `on_stopped` is called on the
+  /// control thread once nothing is in flight or ShutdownSettings::limit has
+  /// passed; `is_clean` is false if requests were cut off.
+  void Drain(std::function<void(bool is_clean)> on_stopped);
 
-  /// Ends all threads now, whatever is in flight.
+  /// Ends all threads at once; requests in flight are aborted.
   void Stop();
 
-  /// Takes over what can change while the node runs: the times of a shutdown.
+  /// Applies the settings that can change while the node runs: those of the
+  /// shutdown.
   void Reload(const Settings& changed);
 
   bool ready() const;
 
-  /// @returns how many requests of peers have not ended here.
+  /// @returns the number of unfinished requests that peers have forwarded here.
   int64_t CountPeerRequests() const;
   const Control& control() const { return *this->control_side; }
   Endpoint callers_endpoint() const;
@@ -67,10 +69,10 @@
   NodePhase phase() const;
   boost::asio::awaitable<NodePhase> QueryPhase();
   boost::asio::awaitable<bool> QueryWorkers();
-  void NoteTakesCallers(bool takes);
+  void ReportTakesCallers(bool takes);
   boost::asio::awaitable<void> MetricsLoop();
   boost::asio::awaitable<void> RunDrain(
-      std::function<void(bool whole)> on_stopped);
+      std::function<void(bool is_clean)> on_stopped);
   void DistributeCrashReports(size_t from, std::vector<CrashReport> crashes);
   bool busy() const;
   void LogForcedStop() const;
@@ -82,7 +84,7 @@
   MetricsPage metrics;
   std::vector<std::unique_ptr<Worker>> traffic;
   std::unique_ptr<Control> control_side;
-  LogSource* log_source = nullptr;  ///< Null where state comes from elsewhere.
+  LogSource* log_source = nullptr;  ///< Null if the state has another source.
   AdminRouter router;
   AdminRouter readiness_router;
   std::unique_ptr<AdminServer> admin;
--- a/packages/node/src/peer_link.cc
+++ b/packages/node/src/peer_link.cc
@@ -14,12 +14,12 @@
 namespace {
 
 constexpr size_t kReadBytes = 64 * 1024;
-// Taken from the mux for one write: enough to fill a packet train, little
-// enough that what is urgent does not wait behind it.
+// Bytes taken from the mux for one write: enough to fill a packet train, and
+// few enough that urgent messages do not wait long behind them.
 constexpr size_t kWriteBytes = 64 * 1024;
 
-// A peer that has everything closes at once; one that is gone is not waited for
-// any longer.
+// How long to wait for the peer to close. A peer that has received everything
+// closes at once; one that has not closed by then is taken as gone.
 constexpr std::chrono::seconds kLingerTime{1};
 
 template <typename Handler, typename... Arguments>
@@ -55,23 +55,23 @@
   boost::asio::co_spawn(this->run_on, this->WriteLoop(),
                         [self](const std::exception_ptr& /*error*/) {});
   std::vector<char> buffer(kReadBytes);
-  while (!this->is_over) {
+  while (!this->is_closed) {
     const auto [error, size] = co_await this->socket.async_read_some(
         boost::asio::buffer(buffer), kTask);
     if (error) {
       break;
     }
     this->counts.bytes_received.Add(size);
-    const Result<void> taken =
+    const Result<void> accepted =
         this->mux.OnBytes(MonotonicClock::now(), {buffer.data(), size});
-    this->TakeEvents();
-    if (!taken) {
-      LogMalformed(this->mux.peer().vm, taken.error());
+    this->DeliverEvents();
+    if (!accepted) {
+      LogMalformed(this->mux.peer().vm, accepted.error());
       break;
     }
     this->Flush();
   }
-  this->Lose();
+  this->HandleClosed();
 }
 
 Task<void> PeerLink::WriteLoop() {
@@ -79,7 +79,7 @@
   wire::FrameBuffer frames;
   std::vector<std::span<const char>> parts;
   std::vector<boost::asio::const_buffer> buffers;
-  while (!this->is_over) {
+  while (!this->is_closed) {
     if (!this->mux.HasOutput()) {
       if (this->mux.CanClose()) {
         co_await this->CloseGently();
@@ -104,7 +104,7 @@
       this->Close();
       co_return;
     }
-    this->TakeEvents();
+    this->DeliverEvents();
   }
 }
 
@@ -130,40 +130,40 @@
   this->streams.erase(stream.id);
 }
 
-// Whether bytes have arrived shows only as the peer closes, which it does once
-// it has all. One that does not is waited for as long as for its close.
+// Only the peer's close shows that all bytes have arrived. Without it, the link
+// counts as busy for kLingerTime after its last activity.
 bool PeerLink::IsBusy(TimePoint now) const {
   const TimePoint idle = this->mux.idle_since();
   const bool has_work = idle == kNever || this->is_writing;
   const TimePoint last = std::max(idle, this->written_at);
-  return !this->is_over && (has_work || now - last < kLingerTime);
+  return !this->is_closed && (has_work || now - last < kLingerTime);
 }
 
 void PeerLink::Drain() {
   this->mux.SendGoAway();
-  this->TakeEvents();
+  this->DeliverEvents();
   this->Flush();
 }
 
-// Failure: the last answer on a link is still in this side's buffers as both
-// sides have said that they end. Closing at once, with bytes of the peer still
-// unread (credit for that very answer), resets the connection, and what has not
-// left yet is dropped. It shows as an answer that breaks off at a VM that shuts
-// down. So only the sending side is closed; the peer closes when it has all.
+// Failure: both sides have sent GoAway while the last answer is still in this
+// side's send buffer. Closing at once, with unread bytes of the peer (credit
+// for that very answer), resets the connection and drops the unsent bytes: the
+// answer of a VM that shuts down is truncated. So only the sending direction is
+// closed; the peer closes once it has received everything.
 Task<void> PeerLink::CloseGently() {
   const PeerLinkPtr self = this->shared_from_this();
   NetError ignored;
   this->socket.shutdown(Tcp::socket::shutdown_send, ignored);
   Timer limit(this->run_on, kLingerTime);
-  this->closing = &limit;
+  this->close_timer = &limit;
   co_await limit.async_wait(kTask);
-  this->closing = nullptr;
+  this->close_timer = nullptr;
   this->Close();
 }
 
 void PeerLink::Close() {
-  if (this->closing != nullptr) {
-    this->closing->cancel();
+  if (this->close_timer != nullptr) {
+    this->close_timer->cancel();
   }
   NetError ignored;
   this->socket.close(ignored);
@@ -189,17 +189,17 @@
   }
 }
 
-void PeerLink::TakeEvents() {
-  // Delivering an event may bring the next; a list of its own keeps the walk
-  // valid.
+void PeerLink::DeliverEvents() {
+  // Delivering an event may add events, so the loop iterates over a list of its
+  // own.
   std::vector<wire::LinkEvent> batch;
-  std::swap(batch, this->taken);
+  std::swap(batch, this->event_batch);
   this->mux.TakeEvents(batch);
   for (wire::LinkEvent& event : batch) {
     this->Deliver(std::move(event));
   }
   batch.clear();
-  std::swap(batch, this->taken);
+  std::swap(batch, this->event_batch);
 }
 
 void PeerLink::Deliver(wire::LinkEvent event) {
@@ -233,16 +233,16 @@
   stream->Deliver(std::move(event));
 }
 
-void PeerLink::Lose() {
-  if (this->is_over) {
+void PeerLink::HandleClosed() {
+  if (this->is_closed) {
     return;
   }
-  this->is_over = true;
+  this->is_closed = true;
   this->Close();
   this->mux.OnLost();
-  this->TakeEvents();
+  this->DeliverEvents();
   Log(Event::kLinkLost, {{"peer", this->mux.peer().vm}});
-  Notify(this->handlers.on_over, this->shared_from_this());
+  Notify(this->handlers.on_closed, this->shared_from_this());
 }
 
 }  // namespace basilsill
--- a/packages/node/src/peer_link.h
+++ b/packages/node/src/peer_link.h
@@ -12,29 +12,29 @@
 #include "link_stream.h"
 #include "metrics.h"
 
-/// A connection between two nodes: of two workers, to carry requests as
-/// streams, or of two control threads.
+/// A connection between two nodes: either between two workers, carrying
+/// requests as streams, or between two control threads.
 
 namespace basilsill {
 
 class PeerLink;
 using PeerLinkPtr = std::shared_ptr<PeerLink>;
 
-/// What a link tells its owner, on the owner's thread. Each may be empty.
+/// Callbacks of a link to its owner, on the owner's thread. Each may be empty.
 struct LinkHandlers {
-  /// The peer has introduced itself.
+  /// The hello of the peer has arrived.
   std::function<void(const PeerLinkPtr&)> on_ready;
   /// The peer opened a stream: a request for a dispatcher of this worker.
   std::function<void(const PeerLinkPtr&, LinkStreamPtr, wire::Open)> on_open;
-  /// A message that belongs to no stream.
+  /// A message that belongs to no stream has arrived.
   std::function<void(const PeerLinkPtr&, wire::PeerMessage)> on_message;
-  /// The peer takes no new streams.
+  /// The peer takes no new streams any more.
   std::function<void(const PeerLinkPtr&)> on_go_away;
   /// The link has ended. Called once.
-  std::function<void(const PeerLinkPtr&)> on_over;
+  std::function<void(const PeerLinkPtr&)> on_closed;
 };
 
-/// Orders streams, for tables.
+/// Orders stream ids in a map.
 struct StreamIdLess {
   bool operator()(const wire::StreamId& a, const wire::StreamId& b) const {
     return std::tie(a.opener, a.index, a.generation) <
@@ -49,26 +49,27 @@
            LinkHandlers handlers,
            LinkCounters& counts);
 
-  /// Reads and writes until the link is over.
+  /// Reads and writes until the link is closed.
   Task<void> Run();
 
   /// Opens a stream.
-  /// @returns nullptr if the link can't take it; nothing was sent then.
+  /// @returns nullptr if the link can't take another stream; nothing is sent
+  /// then.
   LinkStreamPtr Open(wire::Open open);
 
-  /// Ends interest in a stream's answer.
+  /// Cancels a stream, whose answer is no longer wanted.
   void Cancel(LinkStream& stream);
 
-  /// The stream's coroutine has ended; later events of it are dropped.
+  /// Removes a stream whose coroutine has ended. Its later events are dropped.
   void Forget(const LinkStream& stream);
 
-  /// Takes no new streams; the link closes when all are over.
+  /// Takes no new streams and closes the link once all streams have ended.
   void Drain();
 
   /// Closes at once; open streams are lost.
   void Close();
 
-  /// Queues what `change` sends and wakes the writing side.
+  /// Calls `change` with the mux and wakes the write loop for what it queued.
   template <typename Change>
   auto Send(Change&& change) {
     auto result = change(this->mux);
@@ -76,29 +77,32 @@
     return result;
   }
 
-  /// As `Send`, for what does no harm if the link or stream is over, since
-  /// the loss is told by an event of its own.
+  /// As `Send`, for messages that may be dropped if the link or the stream has
+  /// ended, since an event reports that end.
+  /// @returns false if the message was dropped.
   template <typename Change>
   bool TrySend(Change&& change) {
     return this->Send(std::forward<Change>(change)).has_value();
   }
 
-  /// @returns how many octets of a body the stream takes now.
+  /// @returns how many bytes of a body the stream takes now. If it is 0, an
+  /// event reports when the stream takes more.
   size_t WritableBytes(const LinkStream& stream);
 
-  /// The shell has passed on `bytes` of the stream's body.
+  /// Reports that `bytes` of the stream's body have been consumed, which gives
+  /// the peer credit for more.
   void Consumed(const LinkStream& stream, size_t bytes);
 
   const wire::Hello& peer() const { return this->mux.peer(); }
   /// @returns true until the link has ended.
-  bool open() const { return !this->is_over; }
+  bool open() const { return !this->is_closed; }
 
-  /// @returns true if a stream can be opened on it.
-  bool usable() const { return !this->is_over && this->mux.CanOpenStreams(); }
+  /// @returns true if a stream can be opened on the link.
+  bool usable() const { return !this->is_closed && this->mux.CanOpenStreams(); }
   TimePoint idle_since() const { return this->mux.idle_since(); }
 
-  /// @returns true while the end of the process would lose something: a stream
-  /// is open, or what was written last may not have arrived.
+  /// @returns true while data would be lost if the process ended: a stream is
+  /// open, or the bytes written last may not have arrived yet.
   bool IsBusy(TimePoint now) const;
   TimePoint last_received() const { return this->mux.last_received(); }
   const Executor& executor() const { return this->run_on; }
@@ -107,9 +111,9 @@
   Task<void> WriteLoop();
   Task<void> CloseGently();
   void Flush();
-  void TakeEvents();
+  void DeliverEvents();
   void Deliver(wire::LinkEvent event);
-  void Lose();
+  void HandleClosed();
 
   Executor run_on;
   Socket socket;
@@ -117,12 +121,12 @@
   LinkHandlers handlers;
   LinkCounters& counts;
   std::map<wire::StreamId, LinkStreamPtr, StreamIdLess> streams;
-  std::vector<wire::LinkEvent> taken;
+  std::vector<wire::LinkEvent> event_batch;
   AsyncEvent output;
-  Timer* closing = nullptr;  ///< Runs while the peer is to close.
+  Timer* close_timer = nullptr;  ///< Set while waiting for the peer to close.
   TimePoint written_at{};
   bool is_writing = false;
-  bool is_over = false;
+  bool is_closed = false;
 };
 
 }  // namespace basilsill
--- a/packages/node/src/quota_host.cc
+++ b/packages/node/src/quota_host.cc
@@ -15,10 +15,10 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-// How often questions to other lenders are looked at while there are any.
-constexpr milliseconds kWatchInterval{20};
+// How often requests to other lenders are checked while any are pending.
+constexpr milliseconds kPollInterval{20};
 
-// Without leases to keep, each VM has a share of its own.
+// Without a lease store, each VM has an equal share of its own.
 QuotaCoordinatorOptions OptionsFor(QuotaCoordinatorOptions options,
                                    const QuotaLeaseStore* leases) {
   if (leases == nullptr) {
@@ -35,7 +35,7 @@
                      ControlMetrics& counts,
                      QuotaHostHandlers handlers)
     : context(context),
-      office(OptionsFor(std::move(options), leases)),
+      coordinator(OptionsFor(std::move(options), leases)),
       leases(leases),
       counts(counts),
       handlers(std::move(handlers)),
@@ -43,37 +43,37 @@
 
 void QuotaHost::ApplyView(const RoutingView& view) {
   const LeaseTime now = LeaseClock::now();
-  this->office.ApplyView(now, view);
+  this->coordinator.ApplyView(now, view);
   this->Pump(now);
 }
 
-void QuotaHost::Ask(uint16_t worker, QuotaRequest request) {
+void QuotaHost::RequestCredits(uint16_t worker, QuotaRequest request) {
   const LeaseTime now = LeaseClock::now();
-  this->office.Ask(now, worker, std::move(request));
+  this->coordinator.Ask(now, worker, std::move(request));
   this->Pump(now);
 }
 
 void QuotaHost::OnRequest(VmHandle from, const QuotaRequest& request) {
   const LeaseTime now = LeaseClock::now();
-  this->office.OnRequest(now, from, request);
+  this->coordinator.OnRequest(now, from, request);
   this->Pump(now);
 }
 
 void QuotaHost::OnAnswer(VmHandle from, const QuotaAnswer& answer) {
   const LeaseTime now = LeaseClock::now();
-  this->office.OnAnswer(now, from, answer);
+  this->coordinator.OnAnswer(now, from, answer);
   this->Pump(now);
 }
 
 void QuotaHost::Tick() {
   const LeaseTime now = LeaseClock::now();
-  this->office.Tick(now);
+  this->coordinator.Tick(now);
   this->Pump(now);
 }
 
 void QuotaHost::Leave() {
   const LeaseTime now = LeaseClock::now();
-  this->office.Leave(now);
+  this->coordinator.Leave(now);
   this->Pump(now);
 }
 
@@ -86,7 +86,7 @@
   if (this->stopped) {
     return;
   }
-  switch (this->office.NextLeaseCall(now)) {
+  switch (this->coordinator.NextLeaseCall(now)) {
     case QuotaLeaseCall::kRead:
       asio::co_spawn(this->context, this->Read(), DetachedTask{"quota-read"});
       break;
@@ -96,19 +96,20 @@
     default:
       break;
   }
-  // One that can't be sent may make others.
-  for (std::vector<OutgoingQuotaMessage> sends = this->office.TakeOutgoing();
-       !sends.empty(); sends = this->office.TakeOutgoing()) {
+  // A message that can't be sent may cause the coordinator to queue others.
+  for (std::vector<OutgoingQuotaMessage> sends =
+           this->coordinator.TakeOutgoing();
+       !sends.empty(); sends = this->coordinator.TakeOutgoing()) {
     for (const OutgoingQuotaMessage& send : sends) {
       this->Send(now, send);
     }
   }
-  if (this->office.has_pending_requests() &&
-      !std::exchange(this->watches, true)) {
-    asio::co_spawn(this->context, this->WatchOthers(),
+  if (this->coordinator.has_pending_requests() &&
+      !std::exchange(this->is_polling, true)) {
+    asio::co_spawn(this->context, this->PollPendingRequests(),
                    DetachedTask{"quota-watch"});
   }
-  this->NoteLending();
+  this->ReportLending();
 }
 
 void QuotaHost::Send(LeaseTime now, const OutgoingQuotaMessage& send) {
@@ -124,59 +125,60 @@
                         : this->handlers.send(
                               send.to.vm, std::get<QuotaRequest>(send.message));
   if (!is_sent) {
-    this->office.OnUnsent(now, send);
+    this->coordinator.OnUnsent(now, send);
   }
 }
 
-void QuotaHost::NoteLending() {
-  const bool lends = this->office.lends();
+void QuotaHost::ReportLending() {
+  const bool lends = this->coordinator.lends();
   if (lends == std::exchange(this->was_lending, lends)) {
     return;
   }
   this->counts.lends_quotas.Set(lends ? 1 : 0);
   Log(lends ? Event::kQuotaLeaseTaken : Event::kQuotaLeaseEnded,
-      {{"share", this->office.share()}});
+      {{"share", this->coordinator.share()}});
 }
 
-asio::awaitable<void> QuotaHost::WatchOthers() {
-  while (!this->stopped && this->office.has_pending_requests()) {
-    this->timer.expires_after(kWatchInterval);
+asio::awaitable<void> QuotaHost::PollPendingRequests() {
+  while (!this->stopped && this->coordinator.has_pending_requests()) {
+    this->timer.expires_after(kPollInterval);
     co_await this->timer.async_wait(asio::as_tuple(asio::use_awaitable));
     this->Tick();
   }
-  this->watches = false;
+  this->is_polling = false;
 }
 
 asio::awaitable<void> QuotaHost::Read() {
   const Result<QuotaLeaseStore::Newest> newest =
-      co_await this->leases->ReadLease(this->office.share());
+      co_await this->leases->ReadLease(this->coordinator.share());
   const LeaseTime now = LeaseClock::now();
   if (newest) {
-    this->office.OnLeaseRead(now, newest.value().record, newest.value().end);
+    this->coordinator.OnLeaseRead(now, newest.value().record,
+                                  newest.value().end);
   } else {
-    this->NoteFailed(now, newest.error());
+    this->OnLeaseCallFailed(now, newest.error());
   }
   this->Pump(now);
 }
 
 asio::awaitable<void> QuotaHost::Write() {
   const Result<uint64_t> end = co_await this->leases->WriteLease(
-      this->office.share(), this->office.lease().end(),
-      this->office.lease().record());
+      this->coordinator.share(), this->coordinator.lease().end(),
+      this->coordinator.lease().record());
   const LeaseTime now = LeaseClock::now();
   if (end) {
-    this->office.OnLeaseWritten(now, end.value());
+    this->coordinator.OnLeaseWritten(now, end.value());
   } else if (end.error().kind == FailureKind::kConflict) {
-    this->office.OnLeaseConflict(now);
+    this->coordinator.OnLeaseConflict(now);
   } else {
-    this->NoteFailed(now, end.error());
+    this->OnLeaseCallFailed(now, end.error());
   }
   this->Pump(now);
 }
 
-void QuotaHost::NoteFailed(LeaseTime now, const Failure& failure) {
-  this->office.OnLeaseFailed(now);
-  Log(Event::kQuotaLeaseFailed, {{"share", this->office.share()},
+void QuotaHost::OnLeaseCallFailed(LeaseTime now, const Failure& failure) {
+  this->coordinator.OnLeaseFailed(now);
+  Log(Event::kQuotaLeaseFailed, {{"share", this->coordinator.share()},
                                  {"failure", failure.kind},
                                  {"detail", failure.detail}});
 }
--- a/packages/node/src/quota_host.h
+++ b/packages/node/src/quota_host.h
@@ -13,20 +13,22 @@
 #include "metrics.h"
 #include "net.h"
 
-/// Carries out what a VM's QuotaCoordinator decides, on the control thread.
+/// Sends the messages and makes the lease calls that a VM's QuotaCoordinator
+/// decides on. Runs on the control thread.
 
 namespace basilsill {
 
 struct QuotaHostHandlers {
-  /// @returns false if there is no link.
+  /// Sends a message to a VM.
+  /// @returns false if the message can't be sent.
   std::function<bool(VmHandle, const wire::PeerMessage&)> send;
-  /// A worker of this VM gets its answer.
+  /// Delivers an answer to a worker of this VM.
   std::function<void(uint16_t worker, const QuotaAnswer&)> answer;
 };
 
 class QuotaHost {
  public:
-  /// @param leases Outlives the host; null: the platform keeps none.
+  /// @param leases Must outlive the host; null if the platform keeps no leases.
   QuotaHost(IoContext& context,
             QuotaCoordinatorOptions options,
             QuotaLeaseStore* leases,
@@ -34,7 +36,7 @@
             QuotaHostHandlers handlers);
 
   void ApplyView(const RoutingView& view);
-  void Ask(uint16_t worker, QuotaRequest request);
+  void RequestCredits(uint16_t worker, QuotaRequest request);
   void OnRequest(VmHandle from, const QuotaRequest& request);
   void OnAnswer(VmHandle from, const QuotaAnswer& answer);
   void Tick();
@@ -44,20 +46,20 @@
  private:
   void Pump(LeaseTime now);
   void Send(LeaseTime now, const OutgoingQuotaMessage& send);
-  void NoteLending();
-  void NoteFailed(LeaseTime now, const Failure& failure);
+  void ReportLending();
+  void OnLeaseCallFailed(LeaseTime now, const Failure& failure);
   boost::asio::awaitable<void> Read();
   boost::asio::awaitable<void> Write();
-  boost::asio::awaitable<void> WatchOthers();
+  boost::asio::awaitable<void> PollPendingRequests();
 
   IoContext& context;
-  QuotaCoordinator office;
+  QuotaCoordinator coordinator;
   QuotaLeaseStore* leases;
   ControlMetrics& counts;
   QuotaHostHandlers handlers;
   boost::asio::steady_timer timer;
   bool was_lending = false;
-  bool watches = false;
+  bool is_polling = false;
   bool stopped = false;
 };
 
--- a/packages/node/src/settings.cc
+++ b/packages/node/src/settings.cc
@@ -13,7 +13,7 @@
 
 constexpr size_t kReadBytes = 4096;
 
-/// @returns the section in which `path` stands; empty at the top.
+/// @returns the section that contains `path`; empty at the top level.
 std::string_view SectionOf(std::string_view path) {
   const size_t end = path.rfind('/');
   return end == 0 ? std::string_view() : path.substr(1, end - 1);
@@ -23,7 +23,7 @@
   return path.substr(path.rfind('/') + 1);
 }
 
-/// Prints the sections one after the other, each line with its source.
+/// Prints the settings section by section, each line with its source.
 class SettingsPrinter {
  public:
   void Print(const SettingField& field,
--- a/packages/node/src/settings_check.cc
+++ b/packages/node/src/settings_check.cc
@@ -10,7 +10,7 @@
 
 constexpr uint32_t kLastPort = 65535;
 
-/// A run of ports that one setting claims.
+/// A range of ports that one setting uses.
 struct PortClaim {
   const char* path;
   uint32_t first;
--- a/packages/node/src/settings_check.h
+++ b/packages/node/src/settings_check.h
@@ -6,12 +6,12 @@
 #include "basilsill/base/error.h"
 #include "basilsill/node/settings.h"
 
-/// Checks of settings that hold only together.
+/// Checks that settings are consistent with each other.
 
 namespace basilsill {
 
-/// Adds a failure to `failures` for each setting that clashes with another:
-/// ports used twice, ports past the last one, limits in the wrong order.
+/// Adds a failure to `failures` for each setting that conflicts with another:
+/// ports used twice, port ranges beyond 65535, limits in the wrong order.
 void CheckConsistency(const Settings& settings, std::vector<Failure>& failures);
 
 }  // namespace basilsill
--- a/packages/node/src/settings_parse.cc
+++ b/packages/node/src/settings_parse.cc
@@ -22,7 +22,7 @@
 constexpr json::parse_options kParseOptions = {.allow_comments = true,
                                                .allow_trailing_commas = true};
 
-/// @returns "line L, column C" of the byte at `offset`, both from 1.
+/// @returns "line L, column C" of the byte at `offset`, both counted from 1.
 std::string PositionOf(std::string_view text, size_t offset) {
   const std::string_view before = text.substr(0, offset);
   const auto line = 1 + std::count(before.begin(), before.end(), '\n');
@@ -48,7 +48,7 @@
   return parser.release();
 }
 
-/// Walks a parsed file and reads what the schema knows.
+/// Reads all settings of a parsed file and collects the faults.
 class SettingsReader {
  public:
   CheckedResult<Settings> Read(std::string_view text, const json::value& root) {
@@ -87,7 +87,7 @@
     } else if (!this->IsSection(path)) {
       this->failures.push_back(
           {FailureKind::kUnknownField, path,
-           FoundAndAllowed(value, this->KeysBeside(path))});
+           FoundAndAllowed(value, this->AllowedSiblingKeys(path))});
     } else if (!value.is_object()) {
       this->failures.push_back(
           {FailureKind::kWrongType, path, FoundAndAllowed(value, "an object")});
@@ -104,8 +104,8 @@
                        });
   }
 
-  /// @returns the keys that the object around `path` may have.
-  static std::string KeysBeside(const std::string& path) {
+  /// @returns the keys that the object containing `path` may have.
+  static std::string AllowedSiblingKeys(const std::string& path) {
     const std::string prefix = path.substr(0, path.rfind('/') + 1);
     std::string keys;
     std::string_view last;
--- a/packages/node/src/settings_schema.cc
+++ b/packages/node/src/settings_schema.cc
@@ -34,7 +34,7 @@
 constexpr double kMaxHedgeRatio = 0.5;
 constexpr double kMaxKeptAnswerBytes = 64.0 * 1024;
 
-// Durations are ranges in milliseconds.
+// Bounds of durations, in milliseconds.
 constexpr double kSecond = 1000;
 constexpr double kMinute = 60 * kSecond;
 constexpr double kHour = 60 * kMinute;
@@ -249,7 +249,7 @@
   return std::to_string(static_cast<uint64_t>(number));
 }
 
-/// Without an exponent, as people write it.
+/// Formats `number` without an exponent.
 std::string Decimal(double number) {
   std::array<char, 32> digits{};
   const auto end = std::to_chars(digits.begin(), digits.end(), number,
@@ -277,7 +277,7 @@
   return "a path, or an empty string";
 }
 
-/// Describes by the type of the member.
+/// Describes the allowed values by the type of the member.
 struct DescribeAllowed {
   const SettingField& field;
 
--- a/packages/node/src/settings_schema.h
+++ b/packages/node/src/settings_schema.h
@@ -13,12 +13,13 @@
 #include "basilsill/base/event.h"
 #include "basilsill/node/settings.h"
 
-/// The table of all settings. Parsing, checking, printing and the page
-/// docs/SETTINGS.md are made from it.
+/// The table of all settings. Parsing, checking, printing and docs/SETTINGS.md
+/// are generated from it.
 
 namespace basilsill {
 
-/// Where one setting lives. The C++ type decides how it is read and printed.
+/// Reference to the member of one setting. The type of the member determines
+/// how it is read and printed.
 using SettingRef = std::variant<std::string*,
                                 uint16_t*,
                                 uint32_t*,
@@ -28,11 +29,11 @@
                                 Severity*,
                                 std::vector<Endpoint>*>;
 
-/// What a text setting may hold.
+/// Format of a text setting.
 enum class TextFormat : uint8_t {
   kName,     ///< 1 to kMaxNameLength of a-z, 0-9 and inner hyphens.
-  kAddress,  ///< An IP number, never a host name.
-  kPath,     ///< Of a file; may be empty.
+  kAddress,  ///< An IP address, not a host name.
+  kPath,     ///< Path of a file; may be empty.
   /// Names of mechanisms, separated by commas; may be empty.
   kMechanisms,
   kCount
@@ -42,8 +43,9 @@
 struct SettingField {
   std::string_view path;  ///< JSON pointer: `/name` or `/section/name`.
   SettingRef (*member)(Settings& settings);
-  bool required = false;  ///< Without a default.
-  /// Range of a number, or of a duration in milliseconds, both ends allowed.
+  bool required = false;  ///< Has no default.
+  /// Inclusive range of a number, of a duration in milliseconds, or of the
+  /// number of endpoints.
   double least = 0;
   double most = 0;
   TextFormat format = TextFormat::kCount;
@@ -53,10 +55,11 @@
 /// @returns the name of `severity` in settings.
 std::string_view SeverityName(Severity severity);
 
-/// @returns all rows; those of one section stand together.
+/// @returns all rows; those of one section are adjacent.
 std::span<const SettingField> SettingsSchema();
 
-/// @returns what `field` may hold, for failures and for the page.
+/// @returns a description of the allowed values of `field`, for failures and
+/// for docs/SETTINGS.md.
 std::string AllowedValues(const SettingField& field);
 
 /// @returns the value as JSON text.
--- a/packages/node/src/settings_value.cc
+++ b/packages/node/src/settings_value.cc
@@ -25,7 +25,7 @@
 constexpr uint16_t kMinEndpointPort = 1;
 constexpr uint16_t kMaxEndpointPort = 65535;
 
-std::string Shown(const json::value& value) {
+std::string Abbreviated(const json::value& value) {
   std::string text = json::serialize(value);
   if (text.size() > kMaxShownBytes) {
     text.resize(kMaxShownBytes);
@@ -56,7 +56,7 @@
     case TextFormat::kAddress:
       return IsAddress(text);
     case TextFormat::kPath:
-      // The system's calls end a path at a NUL and would use another file.
+      // System calls take a path to end at a NUL and would use another file.
       return text.find('\0') == std::string_view::npos;
     case TextFormat::kMechanisms:
       return FeaturesWithout(text).has_value();
@@ -76,7 +76,7 @@
   return std::nullopt;
 }
 
-/// Reads one value by the type of the member that it goes to.
+/// Reads one value into a member, by the type of the member.
 class ValueReader {
  public:
   ValueReader(const SettingField& field,
@@ -154,7 +154,8 @@
          FoundAndAllowed(this->value, AllowedValues(this->field))});
   }
 
-  /// @returns the number; ranges end at 2^53, so a double holds it exactly.
+  /// @returns the number if it is in the range of the field. Ranges end at 2^53
+  /// at most, so a double holds each integer exactly.
   std::optional<double> NumberInRange() {
     if (!this->value.is_number()) {
       this->Fail(FailureKind::kWrongType);
@@ -257,7 +258,7 @@
 
 std::string FoundAndAllowed(const json::value& found,
                             const std::string& allowed) {
-  return "found " + Shown(found) + ", allowed is " + allowed;
+  return "found " + Abbreviated(found) + ", allowed is " + allowed;
 }
 
 }  // namespace basilsill
--- a/packages/node/src/settings_value.h
+++ b/packages/node/src/settings_value.h
@@ -9,12 +9,13 @@
 #include "basilsill/base/error.h"
 #include "settings_schema.h"
 
-/// Reads single values of a settings file.
+/// Reads and checks single values of a settings file.
 
 namespace basilsill {
 
-/// Checks `value` against `field` and stores it into `settings`. Each fault
-/// goes to `failures`; a faulty value leaves the setting as it is.
+/// Checks `value` against `field` and stores it in `settings`. Faults are added
+/// to `failures`. A faulty value leaves the setting unchanged, except for a
+/// list with a faulty endpoint.
 void ReadSetting(const SettingField& field,
                  const boost::json::value& value,
                  Settings& settings,
--- a/packages/node/src/settings_watch.cc
+++ b/packages/node/src/settings_watch.cc
@@ -12,7 +12,7 @@
       path(std::move(path)),
       on_change(std::move(on_change)),
       interval(interval),
-      known(this->Look()) {}
+      last_stamp(this->ReadStamp()) {}
 
 void SettingsWatch::Start() {
   this->timer.expires_after(this->interval);
@@ -24,7 +24,7 @@
   });
 }
 
-std::optional<SettingsWatch::Stamp> SettingsWatch::Look() const {
+std::optional<SettingsWatch::Stamp> SettingsWatch::ReadStamp() const {
   std::error_code failed;
   Stamp stamp;
   stamp.written = std::filesystem::last_write_time(this->path, failed);
@@ -34,14 +34,14 @@
   return failed ? std::nullopt : std::optional<Stamp>(stamp);
 }
 
-// Failure: the file is replaced, and for a moment there is none. That is no
-// change of settings; what comes in its place is.
+// Failure: while the file is being replaced, it is missing for a moment. That
+// is not reported as a change; the file that replaces it is.
 void SettingsWatch::Check() {
-  const std::optional<Stamp> now = this->Look();
-  if (!now || now == this->known) {
+  const std::optional<Stamp> current = this->ReadStamp();
+  if (!current || current == this->last_stamp) {
     return;
   }
-  this->known = now;
+  this->last_stamp = current;
   this->on_change();
 }
 
--- a/packages/node/src/settings_watch.h
+++ b/packages/node/src/settings_watch.h
@@ -12,9 +12,9 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 
-/// Notices that a file was written or replaced, for a settings file that
-/// changes without a signal. It looks now and then: not every system tells of
-/// changes, and nothing in the file is urgent.
+/// Detects that a file was written or replaced, for a settings file that
+/// changes without a signal. It polls the file: not every system notifies of
+/// changes, and no setting is urgent.
 
 namespace basilsill {
 
@@ -31,7 +31,7 @@
   void Start();
 
  private:
-  /// What tells one state of the file from the next.
+  /// Identifies a version of the file.
   struct Stamp {
     std::filesystem::file_time_type written;
     uintmax_t size = 0;
@@ -39,14 +39,14 @@
     friend bool operator==(const Stamp&, const Stamp&) = default;
   };
 
-  std::optional<Stamp> Look() const;
+  std::optional<Stamp> ReadStamp() const;
   void Check();
 
   boost::asio::steady_timer timer;
   std::string path;
   std::function<void()> on_change;
   std::chrono::milliseconds interval;
-  std::optional<Stamp> known;
+  std::optional<Stamp> last_stamp;
 };
 
 }  // namespace basilsill
--- a/packages/node/src/signals.cc
+++ b/packages/node/src/signals.cc
@@ -7,7 +7,7 @@
 
 namespace basilsill {
 
-/// Shared with the pending wait, which may outlive the face.
+/// Shared with the pending wait, which may outlive the ShutdownSignals object.
 struct ShutdownSignals::State : std::enable_shared_from_this<State> {
   State(boost::asio::io_context& context, ShutdownHandlers handlers)
       : signals(context, SIGTERM, SIGINT, SIGHUP),
@@ -38,8 +38,8 @@
   boost::asio::signal_set signals;
   ShutdownHandlers handlers;
   bool seen = false;
-  /// Guards against a signal that arrived before Cancel and is delivered
-  /// after it: the owner of the handlers may be gone by then.
+  /// Drops a signal that arrives before Cancel and is delivered after it: the
+  /// owner of the handlers may have been destroyed by then.
   bool cancelled = false;
 };
 
--- a/packages/node/src/signals.h
+++ b/packages/node/src/signals.h
@@ -6,18 +6,18 @@
 
 #include <boost/asio/io_context.hpp>
 
-/// The signals that end a node.
+/// The signals that shut down or reload a node.
 
 namespace basilsill {
 
-/// Both run on the thread of the io_context.
+/// Handlers of signals. They run on the thread of the io_context.
 struct ShutdownHandlers {
   std::function<void()> graceful;  ///< First SIGTERM or SIGINT.
   std::function<void()> forced;    ///< Each further one.
-  std::function<void()> reload{};  ///< SIGHUP; empty: it is ignored.
+  std::function<void()> reload{};  ///< SIGHUP; ignored if empty.
 };
 
-/// Waits for signals while it lives.
+/// Waits for signals until it is cancelled or destroyed.
 class ShutdownSignals {
  public:
   static std::unique_ptr<ShutdownSignals> Create(
@@ -35,9 +35,9 @@
   std::shared_ptr<State> state;
 };
 
-/// Ignores SIGPIPE: without this, a reader of standard error that goes away
-/// would end the process at its next line of log. The write then fails with
-/// EPIPE and the line is lost.
+/// Ignores SIGPIPE. Otherwise, when the reader of standard error closes the
+/// pipe, the next log line ends the process. With SIGPIPE ignored, the write
+/// fails with EPIPE and the line is lost.
 void IgnoreBrokenPipes();
 
 }  // namespace basilsill
--- a/packages/node/src/snapshot_exchange.cc
+++ b/packages/node/src/snapshot_exchange.cc
@@ -10,10 +10,11 @@
 namespace basilsill {
 namespace {
 
-// A peer that does not answer for so long is given up for another.
-constexpr std::chrono::seconds kPatience{2};
+// A snapshot that a peer has not completed within this time is requested from
+// another peer.
+constexpr std::chrono::seconds kSnapshotTimeout{2};
 constexpr uint64_t kMaxSnapshotBytes = 64 * 1024 * 1024;
-// Parts are JSON without line breaks, so that one a line can be told apart.
+// Parts are JSON without line breaks, so a line break can separate them.
 constexpr char kSeparator = '\n';
 
 std::vector<std::string> SplitLines(const std::string& text) {
@@ -32,13 +33,13 @@
                                    SnapshotHandlers handlers)
     : follower(follower), handlers(std::move(handlers)) {}
 
-void SnapshotExchange::RefreshText() {
-  this->given_offset = this->follower.state().next_offset();
-  this->given.clear();
-  const std::string id = "snapshot-" + std::to_string(this->given_offset);
+void SnapshotExchange::RefreshOutgoing() {
+  this->outgoing_offset = this->follower.state().next_offset();
+  this->outgoing.clear();
+  const std::string id = "snapshot-" + std::to_string(this->outgoing_offset);
   for (const std::string& part : WriteCheckpoint(this->follower.state(), id)) {
-    this->given += part;
-    this->given += kSeparator;
+    this->outgoing += part;
+    this->outgoing += kSeparator;
   }
 }
 
@@ -49,19 +50,20 @@
     return chunk;
   }
   if (request.position == 0) {
-    this->RefreshText();
+    this->RefreshOutgoing();
   }
-  // The state moved on while the peer was reading: it has to begin again.
+  // The state has changed while the peer was reading, so the peer gets the new
+  // snapshot from its start.
   const bool moved =
-      request.position > 0 && request.applied_offset != this->given_offset;
+      request.position > 0 && request.applied_offset != this->outgoing_offset;
   const uint64_t position = moved ? 0 : request.position;
   if (moved) {
-    this->RefreshText();
+    this->RefreshOutgoing();
   }
-  chunk.applied_offset = this->given_offset;
-  chunk.position = std::min<uint64_t>(position, this->given.size());
-  chunk.total = this->given.size();
-  chunk.bytes = this->given.substr(chunk.position, limits::kBodyChunkBytes);
+  chunk.applied_offset = this->outgoing_offset;
+  chunk.position = std::min<uint64_t>(position, this->outgoing.size());
+  chunk.total = this->outgoing.size();
+  chunk.bytes = this->outgoing.substr(chunk.position, limits::kBodyChunkBytes);
   return chunk;
 }
 
@@ -72,40 +74,42 @@
     return;
   }
   if (chunk.position == 0) {
-    this->taken.clear();
-    this->taken_offset = chunk.applied_offset;
+    this->incoming.clear();
+    this->incoming_offset = chunk.applied_offset;
   }
-  const bool fits = chunk.position == this->taken.size() &&
-                    chunk.applied_offset == this->taken_offset;
+  const bool fits = chunk.position == this->incoming.size() &&
+                    chunk.applied_offset == this->incoming_offset;
   if (!fits) {
     return;
   }
-  this->taken += chunk.bytes;
-  if (this->taken.size() < chunk.total) {
-    this->handlers.ask(from, {this->taken_offset, this->taken.size()});
+  this->incoming += chunk.bytes;
+  if (this->incoming.size() < chunk.total) {
+    this->handlers.send_request(from,
+                                {this->incoming_offset, this->incoming.size()});
     return;
   }
   this->source = VmHandle{};
-  this->handlers.on_snapshot(SplitLines(std::exchange(this->taken, {})));
+  this->handlers.on_snapshot(SplitLines(std::exchange(this->incoming, {})));
 }
 
 void SnapshotExchange::Tick(TimePoint now, const std::vector<VmHandle>& peers) {
-  const bool asking = IsValid(this->source);
+  const bool is_waiting = IsValid(this->source);
   if (!this->follower.wants_snapshot()) {
     this->source = VmHandle{};
     return;
   }
-  if (peers.empty() || (asking && now - this->asked_at < kPatience)) {
+  if (peers.empty() ||
+      (is_waiting && now - this->requested_at < kSnapshotTimeout)) {
     return;
   }
-  this->asked_at = now;
-  this->Begin(peers[this->next_peer++ % peers.size()]);
+  this->requested_at = now;
+  this->RequestFrom(peers[this->next_peer++ % peers.size()]);
 }
 
-void SnapshotExchange::Begin(VmHandle peer) {
-  this->taken.clear();
+void SnapshotExchange::RequestFrom(VmHandle peer) {
+  this->incoming.clear();
   this->source = peer;
-  if (!this->handlers.ask(peer, {})) {
+  if (!this->handlers.send_request(peer, {})) {
     this->source = VmHandle{};
   }
 }
--- a/packages/node/src/snapshot_exchange.h
+++ b/packages/node/src/snapshot_exchange.h
@@ -9,19 +9,21 @@
 #include "basilsill/decision/view.h"
 #include "basilsill/wire/message.h"
 
-/// Configuration from one VM to another, a chunk at a time: for a VM that
-/// starts while the log is down, or whose records are past retention.
+/// Transfers the configuration from one VM to another in chunks, for a VM that
+/// starts while the log is unavailable, or that needs records which the log has
+/// already trimmed.
 
 namespace basilsill {
 
 struct SnapshotHandlers {
-  /// Sends a request to a peer. @returns false if there is no link to it.
-  std::function<bool(VmHandle, const wire::SnapshotRequest&)> ask;
-  /// A whole snapshot came.
+  /// Sends a request to a peer.
+  /// @returns false if there is no link to it.
+  std::function<bool(VmHandle, const wire::SnapshotRequest&)> send_request;
+  /// A complete snapshot has been received.
   std::function<void(const std::vector<std::string>& parts)> on_snapshot;
 };
 
-/// Belongs to the control thread.
+/// Runs on the control thread.
 class SnapshotExchange {
  public:
   SnapshotExchange(const ConfigurationFollower& follower,
@@ -30,28 +32,29 @@
   /// @returns the chunk that answers `request`.
   wire::SnapshotChunk Answer(const wire::SnapshotRequest& request);
 
-  /// Takes in a chunk and asks for the next.
+  /// Appends a chunk and requests the next one.
   void OnChunk(VmHandle from, const wire::SnapshotChunk& chunk);
 
-  /// Asks one of `peers` after the other while a snapshot is wanted.
+  /// While a snapshot is wanted, requests it from one of `peers` after the
+  /// other.
   void Tick(TimePoint now, const std::vector<VmHandle>& peers);
 
  private:
-  void Begin(VmHandle peer);
-  void RefreshText();
+  void RequestFrom(VmHandle peer);
+  void RefreshOutgoing();
 
   const ConfigurationFollower& follower;
   SnapshotHandlers handlers;
 
-  // What this VM gives: the parts of its state, one a line.
-  std::string given;
-  uint64_t given_offset = 0;
+  // Snapshot that this VM sends: the parts of its state, one per line.
+  std::string outgoing;
+  uint64_t outgoing_offset = 0;
 
-  // What this VM takes.
+  // Snapshot that this VM receives.
   VmHandle source;
-  std::string taken;
-  uint64_t taken_offset = 0;
-  TimePoint asked_at{};
+  std::string incoming;
+  uint64_t incoming_offset = 0;
+  TimePoint requested_at{};
   size_t next_peer = 0;
 };
 
--- a/packages/node/src/task_end.cc
+++ b/packages/node/src/task_end.cc
@@ -8,7 +8,8 @@
 namespace basilsill {
 namespace {
 
-// @returns true if `error` says more than that the coroutine was stopped.
+// Logs `error` unless it is empty or a cancelled operation.
+// @returns true if the coroutine failed.
 bool LogIfFailed(std::string_view task, const std::exception_ptr& error) {
   if (!error) {
     return false;
--- a/packages/node/test/command_line_test.cc
+++ b/packages/node/test/command_line_test.cc
@@ -1,4 +1,4 @@
-// Tests of the node's command line and of its signals.
+// Tests of the node's command line and of its signal handling.
 
 #include "command_line.h"
 
@@ -40,7 +40,7 @@
         Command::kPrintSettings);
 }
 
-TEST(CommandLine, Parse_HelpAndVersion_GiveTheirText) {
+TEST(CommandLine, Parse_HelpAndVersion_ReturnText) {
   const CommandLine help = Parse({"--help"}).value();
   CHECK(help.command == Command::kPrintText);
   for (const char* name : {"--settings", "--check", "--print-settings",
@@ -81,7 +81,7 @@
   void Raise(int number) {
     const int before = this->graceful + this->forced;
     std::raise(number);
-    // The io_context also runs handlers of its own for a signal.
+    // The io_context also runs internal handlers for a signal.
     while (this->graceful + this->forced == before) {
       this->context.run_one();
     }
@@ -104,7 +104,7 @@
   CHECK_EQUAL(0, this->graceful);
 }
 
-TEST(ShutdownSignals, Cancel_SignalOnItsWay_CallsNobody) {
+TEST(ShutdownSignals, Cancel_SignalPending_CallsNoHandler) {
   std::raise(SIGTERM);
   this->signals.reset();
   this->context.run();
--- a/packages/node/test/fleet.cc
+++ b/packages/node/test/fleet.cc
@@ -18,9 +18,9 @@
 namespace http = boost::beast::http;
 using boost::asio::ip::tcp;
 
-// Far beyond what any wait needs; a test that gets here has failed.
-constexpr std::chrono::seconds kPatience{60};
-constexpr std::chrono::milliseconds kBetweenChecks{5};
+// Far longer than any wait needs; a test that reaches it has failed.
+constexpr std::chrono::seconds kWaitTimeout{60};
+constexpr std::chrono::milliseconds kPollInterval{5};
 
 Settings MakeSettings(const std::string& name,
                       const std::string& data_centre,
@@ -68,7 +68,7 @@
 
 RunningNode::RunningNode(const Settings& settings,
                          const Installation& installation)
-    : vm(settings.vm.name), place(settings.vm.data_centre) {
+    : vm(settings.vm.name), data_centre_name(settings.vm.data_centre) {
   this->control_thread.Run([&] {
     this->node =
         Node::Create(this->control_thread.context(), settings, installation)
@@ -86,7 +86,7 @@
 }
 
 void RunningNode::Kill() {
-  // The thread goes first: what it still had to do refers to the node.
+  // The thread is stopped first, since its pending handlers refer to the node.
   this->control_thread.Stop();
   this->node.reset();
 }
@@ -102,11 +102,12 @@
 bool RunningNode::DrainAndWait() {
   std::promise<bool> stopped;
   this->control_thread.Run([&] {
-    this->node->Drain([&stopped](bool whole) { stopped.set_value(whole); });
+    this->node->Drain(
+        [&stopped](bool is_clean) { stopped.set_value(is_clean); });
   });
-  const bool whole = stopped.get_future().get();
+  const bool is_clean = stopped.get_future().get();
   this->Kill();
-  return whole;
+  return is_clean;
 }
 
 Fleet::Fleet(std::function<void(Settings&)> adjust)
@@ -246,13 +247,13 @@
   return answer;
 }
 
-bool WaitUntil(const std::function<bool()>& holds) {
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+bool WaitUntil(const std::function<bool()>& condition) {
+  const auto until = std::chrono::steady_clock::now() + kWaitTimeout;
   while (std::chrono::steady_clock::now() < until) {
-    if (holds()) {
+    if (condition()) {
       return true;
     }
-    std::this_thread::sleep_for(kBetweenChecks);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return false;
 }
--- a/packages/node/test/fleet.h
+++ b/packages/node/test/fleet.h
@@ -16,8 +16,8 @@
 #include "basilsill/ctl/upstream.h"
 #include "node.h"
 
-/// A small installation inside one test process: an emulated platform,
-/// emulated upstreams and real nodes, on ports that the kernel chooses.
+/// A small installation in one test process: an emulated platform, emulated
+/// upstreams and real nodes, on ports that the kernel chooses.
 
 namespace basilsill::test {
 
@@ -34,10 +34,10 @@
 
   IoContext& context() { return this->io; }
 
-  /// Ends the thread; what its io_context has left to do is dropped.
+  /// Ends the thread; pending handlers of its io_context are dropped.
   void Stop();
 
-  /// Runs `work` on the thread and waits for it.
+  /// Runs `work` on the thread and waits until it is done.
   void Run(const std::function<void()>& work);
 
  private:
@@ -46,26 +46,26 @@
   std::thread thread;
 };
 
-/// One node with the thread of its control side.
+/// A node and the thread of its control side.
 class RunningNode {
  public:
   explicit RunningNode(const Settings& settings,
                        const Installation& installation = {});
   ~RunningNode();
 
-  /// Ends the node at once, whatever is in flight.
+  /// Ends the node at once; requests in flight are aborted.
   void Kill();
 
-  /// Shuts the node down gracefully and waits for its end.
+  /// Shuts the node down gracefully and waits until it has stopped.
   /// @returns true if nothing was cut off.
   bool DrainAndWait();
 
   const std::string& name() const { return this->vm; }
-  const std::string& data_centre() const { return this->place; }
+  const std::string& data_centre() const { return this->data_centre_name; }
   uint16_t callers() const { return this->callers_port; }
   uint16_t admin() const { return this->admin_port; }
   Endpoint control() const { return this->control_endpoint; }
-  /// @returns where its first worker takes links.
+  /// @returns the endpoint at which the first worker accepts links.
   Endpoint links() const { return this->links_endpoint; }
 
   /// @returns the first shard of the first service in the node's view.
@@ -73,7 +73,7 @@
 
  private:
   std::string vm;
-  std::string place;
+  std::string data_centre_name;
   ContextThread control_thread;
   std::unique_ptr<Node> node;
   uint16_t callers_port = 0;
@@ -84,24 +84,25 @@
 
 class Fleet {
  public:
-  /// @param adjust Changes the settings of each node, if given.
+  /// @param adjust Changes the settings of each node; may be empty.
   explicit Fleet(std::function<void(Settings&)> adjust = {});
   ~Fleet();
 
   RunningNode& AddNode(const std::string& name, const std::string& data_centre);
 
-  /// Starts `count` upstreams and declares them as a set of the service.
+  /// Starts `count` upstreams; `Configure` declares them as a set of the
+  /// service.
   ctl::EmulatedUpstreams& AddUpstreams(const std::string& data_centre,
                                        size_t count);
 
-  /// Declares one upstream that the test itself runs at `port`.
+  /// Adds one upstream that the test itself runs at `port`.
   void AddUpstreamAt(const std::string& data_centre, uint16_t port);
 
   /// Declares a team, a service and the rules that the tests use, and waits
-  /// until all of it, with the upstreams, is in force on every node.
+  /// until all of it, including the upstreams, is in force on every node.
   void Configure();
 
-  /// Runs `use` with the platform, on the platform's thread.
+  /// Calls `use` with the platform, on the platform's thread.
   void WithPlatform(const std::function<void(ctl::PlatformServer&)>& use);
 
   const std::vector<std::unique_ptr<RunningNode>>& nodes() const {
@@ -121,10 +122,10 @@
 };
 
 /// Sends one request on a connection of its own.
-/// @throws boost::system::system_error if there is no whole answer.
+/// @throws boost::system::system_error if the answer is missing or incomplete.
 HttpResponse Send(uint16_t port, const HttpRequest& request);
 
-/// @returns a request of `method` for `target`.
+/// @returns a request for `target` of the host levels.test.
 HttpRequest MakeRequest(const std::string& method,
                         const std::string& target,
                         const std::string& body = "");
@@ -132,9 +133,9 @@
 /// Sends raw bytes and reads until the other side closes.
 std::string SendRaw(uint16_t port, const std::string& bytes);
 
-/// Waits until `holds`, checking again and again.
-/// @returns false if it did not come true for very long.
-bool WaitUntil(const std::function<bool()>& holds);
+/// Polls `condition` until it is true.
+/// @returns false if it has not become true within a minute.
+bool WaitUntil(const std::function<bool()>& condition);
 
 }  // namespace basilsill::test
 
--- a/packages/node/test/leave_test.cc
+++ b/packages/node/test/leave_test.cc
@@ -1,10 +1,9 @@
-// Tests of a VM that shuts down while other VMs work with it. Seen in a large
-// fleet whose rolling restarts overlap: callers got 502 for requests at which
-// an upstream was at work, and half answers. Such a request had come to one VM
-// and was handed to another; that one had been told to end, waited for the
-// connections of its own callers alone, and was gone with the work of others.
-// Its log showed the order to end, new work of peers long after it, and the end
-// in the same millisecond as the upstream's connection was closed.
+// Tests of a VM that shuts down while other VMs forward requests to it.
+// Failure: rolling restarts of a large fleet overlap. A caller's request
+// arrives at one VM and is forwarded to another that is draining. The draining
+// VM waits only for the connections of its own callers and exits while an
+// upstream still runs the forwarded request: callers get 502 or truncated
+// answers.
 
 #include <chrono>
 #include <future>
@@ -41,21 +40,21 @@
 namespace wire = basilsill::wire;
 
 constexpr size_t kBodyBytes = 200'000;
-// Most of an answer is still in the buffer of the side that sends it.
+// So small that most of an answer stays in the buffer of its sender.
 constexpr int kSmallBuffer = 4096;
 constexpr int kSummaries = 20'000;
-// A VM that ends looks some 20 ms apart whether it may go. That it stays for so
-// long can only be seen by waiting; a slow machine never fails for it.
-constexpr std::chrono::milliseconds kLongerThanItsPoll{200};
-// Callers come for so long after the order to end.
+// A draining VM checks about every 20 ms whether it may exit. Only waiting for
+// several checks shows that it does not; a slow machine can't fail the test.
+constexpr std::chrono::milliseconds kSeveralDrainPolls{200};
+// Callers are accepted for this long after the drain has started.
 constexpr std::chrono::milliseconds kReadyDelay{200};
-// What is lost is lost soon where a test fails.
+// Makes a failing test end soon.
 constexpr std::chrono::seconds kLimit{5};
-const std::string kReading =
+const std::string kReadRequest =
     "GET /levels/7 HTTP/1.1\r\nHost: levels.test\r\n\r\n";
 
-/// An upstream that begins to answer when it is told to.
-class HeldUpstream {
+/// An upstream that holds back its answers until `Answer` is called.
+class BlockingUpstream {
  public:
   void WaitForRequest() { this->has_request.get_future().wait(); }
   void Answer() {
@@ -87,8 +86,9 @@
       [this](RawUpstream::Exchange& exchange) { this->Serve(exchange); }};
 };
 
-/// @returns true once the node's metrics show `row`.
-bool Shows(const RunningNode& node, const std::string& row) {
+/// Waits until the node's metrics contain `row`.
+/// @returns false if they don't within the limit of WaitUntil.
+bool WaitForMetric(const RunningNode& node, const std::string& row) {
   return WaitUntil([&] {
     const HttpResponse page =
         Send(node.admin(), MakeRequest("GET", "/metrics"));
@@ -100,7 +100,7 @@
   return Send(node.admin(), MakeRequest("GET", "/readyz")).result_int() == 200;
 }
 
-/// @returns what comes until the other side closes.
+/// @returns the bytes received until the other side closes.
 std::string ReadToEnd(tcp::socket& socket) {
   std::string bytes;
   boost::system::error_code end;
@@ -109,7 +109,8 @@
   return bytes;
 }
 
-/// @returns true once the node takes no more callers.
+/// Waits until the node accepts no more callers.
+/// @returns false if it still does at the limit of WaitUntil.
 bool HasClosedCallersPort(const RunningNode& node) {
   return WaitUntil([&] {
     boost::asio::io_context io;
@@ -123,11 +124,11 @@
 
 }  // namespace
 
-// Two VMs in two data centres; the one upstream stands in the first, whose VM
-// dispatches for it.
+// Two VMs in two data centres. The only upstream is in the first data centre,
+// whose VM dispatches to it.
 TEST_GROUP(Leave) {
   boost::asio::io_context io;
-  HeldUpstream upstream;
+  BlockingUpstream upstream;
   Fleet fleet{[](basilsill::Settings& settings) {
     settings.shutdown.ready_delay = kReadyDelay;
     settings.shutdown.limit = kLimit;
@@ -144,13 +145,13 @@
     this->fleet.Configure();
   }
 
-  // Whatever failed, nothing is left waiting for the upstream.
+  // Releases the upstream even after a failure, so that nothing waits for it.
   void teardown() override {
     this->upstream.Answer();
   }
 
-  // Sends a request to `node`, and returns as it is at work.
-  void Ask(const RunningNode& node) {
+  // Sends a request to `node` and returns once the upstream is running it.
+  void StartRequest(const RunningNode& node) {
     const uint16_t port = node.callers();
     this->answer = std::async(std::launch::async, [port] {
       return Send(port, MakeRequest("GET", "/levels/7"));
@@ -164,7 +165,7 @@
         std::async(std::launch::async, [node] { return node->DrainAndWait(); });
   }
 
-  // The held request goes on to its end, and nothing is cut off.
+  // Lets the upstream answer; the request must complete and the drain be clean.
   void EndDrain() {
     this->upstream.Answer();
     const HttpResponse got = this->answer.get();
@@ -182,21 +183,22 @@
     return socket;
   }
 
-  // Opens a link to the dispatcher's VM.
+  // Opens a link to `to`.
   PlainPeer Link(const Endpoint& to, wire::LinkRole role) {
     return {this->Connect(to.port), PeerHello(role, "nadezhda-1")};
   }
 
-  // Sends a request, and `behind` once the VM is to end and the first is at
-  // work.
-  void CheckFirstAnswerCloses(const std::string& behind) {
+  // Sends a request, and then `behind` on the same connection while the VM is
+  // draining and the upstream runs the first request. Only the first must be
+  // answered.
+  void CheckFirstAnswerClosesConnection(const std::string& behind) {
     tcp::socket caller = this->Connect(this->dispatcher->callers());
-    boost::asio::write(caller, boost::asio::buffer(kReading));
+    boost::asio::write(caller, boost::asio::buffer(kReadRequest));
     this->upstream.WaitForRequest();
     this->BeginDrain();
     CHECK(HasClosedCallersPort(*this->dispatcher));
     boost::asio::write(caller, boost::asio::buffer(behind));
-    CHECK(this->drained.wait_for(kLongerThanItsPoll) ==
+    CHECK(this->drained.wait_for(kSeveralDrainPolls) ==
           std::future_status::timeout);
     this->upstream.Answer();
     const std::string bytes = ReadToEnd(caller);
@@ -208,24 +210,26 @@
   }
 };
 
-// A VM is told to end while an upstream works on a request that another VM has
-// handed it. It has no callers of its own, takes itself for idle and ends. The
-// upstream's run is cut, and the caller of the other VM gets 502.
-TEST(Leave, Drain_RequestOfAPeerIsAtWork_IsAnsweredFirst) {
-  this->Ask(*this->entry);
-  CHECK(Shows(*this->dispatcher, R"(basilsill_peer_requests{worker="0"} 1)"));
+// Failure: a VM drains while an upstream runs a request that another VM has
+// forwarded to it. It has no callers of its own, takes itself for idle and
+// exits. The upstream's connection is closed, and the caller of the other VM
+// gets 502.
+TEST(Leave, Drain_PeerRequestInFlight_IsAnsweredFirst) {
+  this->StartRequest(*this->entry);
+  CHECK(WaitForMetric(*this->dispatcher,
+                      R"(basilsill_peer_requests{worker="0"} 1)"));
   this->BeginDrain();
   CHECK(HasClosedCallersPort(*this->dispatcher));
-  CHECK(this->drained.wait_for(kLongerThanItsPoll) ==
+  CHECK(this->drained.wait_for(kSeveralDrainPolls) ==
         std::future_status::timeout);
   this->EndDrain();
 }
 
-// The last answer has left the upstream and lies in the buffers between two
-// VMs as the first of them ends. What the peer has sent meanwhile is unread, so
-// the end of the process resets the connection, and the rest of the answer is
-// dropped: the caller gets half of it.
-TEST(Leave, Drain_AnswerLiesInTheLinksBuffers_ArrivesWhole) {
+// Failure: a VM exits while the last answer, which the upstream has completed,
+// is still in the buffers of a link to a peer. Bytes that the peer has sent
+// meanwhile are unread, so the exit resets the connection and drops the rest of
+// the answer: the caller gets a truncated answer.
+TEST(Leave, Drain_AnswerInLinkBuffers_ArrivesComplete) {
   PlainPeer peer = this->Link(this->dispatcher->links(), wire::LinkRole::kData);
   CHECK(peer.ReadUntil([&peer] { return !peer.mux.peer().vm.empty(); }));
   const ShardKey shard = this->dispatcher->FirstShard();
@@ -233,10 +237,11 @@
   peer.Flush();
   this->upstream.WaitForRequest();
   this->upstream.Answer();
-  CHECK(Shows(*this->dispatcher, R"(basilsill_peer_requests{worker="0"} 0)"));
+  CHECK(WaitForMetric(*this->dispatcher,
+                      R"(basilsill_peer_requests{worker="0"} 0)"));
   this->BeginDrain();
   CHECK(HasClosedCallersPort(*this->dispatcher));
-  CHECK(this->drained.wait_for(kLongerThanItsPoll) ==
+  CHECK(this->drained.wait_for(kSeveralDrainPolls) ==
         std::future_status::timeout);
   for (int i = 0; i < kSummaries; ++i) {
     CHECK(peer.mux.Post(wire::Summary{}).has_value());
@@ -245,29 +250,30 @@
   while (peer.Read()) {
     peer.Flush();
   }
-  CHECK_EQUAL(kBodyBytes, peer.body);
-  CHECK(peer.ended);
+  CHECK_EQUAL(kBodyBytes, peer.body_bytes);
+  CHECK(peer.body_ended);
   CHECK(this->drained.get());
 }
 
-// A caller sends request after request on a connection, without waiting for
-// answers. A VM that is told to end reads on while the first is at work:
-// seconds later it still takes requests, whose answers wait behind the first
-// one, and ends with answers that were ready but had no turn.
-TEST(Leave, Caller_SendsAnotherBehindOneAtWork_IsLeftUnread) {
-  this->CheckFirstAnswerCloses(kReading);
+// Failure: a caller pipelines requests on a connection. A draining VM keeps
+// reading while the first request is in flight, so it takes new requests
+// seconds after the drain began. Their answers wait behind the first one and
+// are lost when the VM exits.
+TEST(Leave, Drain_CallerPipelinesRequest_IsLeftUnread) {
+  this->CheckFirstAnswerClosesConnection(kReadRequest);
 }
 
-TEST(Leave, Caller_SentHalfAnotherBehindOneAtWork_IsLeftUnread) {
-  this->CheckFirstAnswerCloses(kReading.substr(0, kReading.size() / 2));
+TEST(Leave, Drain_CallerPipelinesHalfRequest_IsLeftUnread) {
+  this->CheckFirstAnswerClosesConnection(
+      kReadRequest.substr(0, kReadRequest.size() / 2));
 }
 
-// A caller has its last answer, and was told that the connection closes, but
-// keeps it. The VM waits for the caller to close, up to the limit of its end,
-// and reports that it has cut something off.
-TEST(Leave, Drain_CallerKeepsItsConnection_EndsWhole) {
+// Failure: a caller has received its last answer with `Connection: close`, but
+// keeps the connection open. The VM waits for the caller to close until the
+// shutdown limit and reports that it has cut off requests.
+TEST(Leave, Drain_CallerKeepsConnectionOpen_EndsClean) {
   tcp::socket caller = this->Connect(this->dispatcher->callers());
-  boost::asio::write(caller, boost::asio::buffer(kReading));
+  boost::asio::write(caller, boost::asio::buffer(kReadRequest));
   this->upstream.WaitForRequest();
   this->BeginDrain();
   CHECK(HasClosedCallersPort(*this->dispatcher));
@@ -276,31 +282,31 @@
   CHECK(this->drained.get());
 }
 
-// An answer that closes its connection is still on its way to a slow caller,
-// which has sent another request behind. A VM that shuts down takes the
-// connection for idle and closes it. Bytes of the caller then reset it, and the
-// caller gets the beginning of the answer.
-TEST(Leave, Drain_LastAnswerIsOnItsWayToTheCaller_ArrivesWhole) {
+// Failure: the last answer on a connection is still being sent to a slow
+// caller, which has sent another request behind it. A draining VM takes the
+// connection for idle and closes it. Bytes of the caller then reset the
+// connection, and the caller gets a truncated answer.
+TEST(Leave, Drain_LastAnswerInFlightToCaller_ArrivesComplete) {
   tcp::socket caller = this->Connect(this->dispatcher->callers());
-  boost::asio::write(caller, boost::asio::buffer(kReading));
+  boost::asio::write(caller, boost::asio::buffer(kReadRequest));
   this->upstream.WaitForRequest();
   this->BeginDrain();
   CHECK(WaitUntil([this] { return !IsReady(*this->dispatcher); }));
   this->upstream.Answer();
-  CHECK(Shows(*this->dispatcher,
-              R"(basilsill_requests_in_flight{worker="0"} 0)"));
-  boost::asio::write(caller, boost::asio::buffer(kReading));
+  CHECK(WaitForMetric(*this->dispatcher,
+                      R"(basilsill_requests_in_flight{worker="0"} 0)"));
+  boost::asio::write(caller, boost::asio::buffer(kReadRequest));
   CHECK(HasClosedCallersPort(*this->dispatcher));
-  boost::asio::write(caller, boost::asio::buffer(kReading));
+  boost::asio::write(caller, boost::asio::buffer(kReadRequest));
   CHECK(ReadToEnd(caller).ends_with(std::string(kBodyBytes, 'x')));
   CHECK(this->drained.get());
 }
 
-// A VM starts, or begins to need a dispatcher, while that one is about to end.
-// It was not there when the others were told, so it takes the other for live
-// and hands it work until the next heartbeat.
-TEST(Leave, ControlLink_OpenedAfterTheOrderToEnd_SaysSo) {
-  this->Ask(*this->dispatcher);
+// Failure: a VM opens its first control link to a dispatcher that is draining.
+// It was not linked when the dispatcher notified its peers, so it considers the
+// dispatcher live and forwards requests to it until the next heartbeat.
+TEST(Leave, ControlLink_OpenedDuringDrain_HelloSaysLeaving) {
+  this->StartRequest(*this->dispatcher);
   this->BeginDrain();
   CHECK(HasClosedCallersPort(*this->dispatcher));
   PlainPeer peer =
@@ -310,33 +316,35 @@
   this->EndDrain();
 }
 
-// The link is being opened as the order comes: the introduction, already sent,
-// says that the VM lives, and the peer is not yet among those that are told.
-TEST(Leave, ControlLink_BeingOpenedAtTheOrderToEnd_IsToldOnceItWorks) {
-  this->Ask(*this->dispatcher);
+// Failure: the drain starts during the handshake of a link. The hello, already
+// sent, says that the VM is live, and the peer is not yet among the linked VMs
+// that are notified.
+TEST(Leave, ControlLink_HandshakeBeforeDrain_HeartbeatSaysLeaving) {
+  this->StartRequest(*this->dispatcher);
   PlainPeer peer =
       this->Link(this->dispatcher->control(), wire::LinkRole::kControl);
   CHECK(peer.Read());
   CHECK_FALSE(peer.mux.peer().leaving);
   this->BeginDrain();
   CHECK(HasClosedCallersPort(*this->dispatcher));
-  CHECK(peer.ReadUntil([&peer] { return peer.left; }));
+  CHECK(peer.ReadUntil([&peer] { return peer.received_leaving; }));
   this->EndDrain();
 }
 
-// A VM that ends has told its peers on each link that it takes no new work.
-// One of them opens another link for its next request: there it was told
-// nothing, and its work keeps the VM up, or is lost with it.
-TEST(Leave, DataLink_OpenedAsItEnds_TakesNoWork) {
-  this->Ask(*this->dispatcher);
+// Failure: a draining VM has sent GoAway on each link, and a peer opens another
+// link for its next request. Without GoAway on that link, its requests keep the
+// VM running or are lost with it.
+TEST(Leave, DataLink_OpenedDuringDrain_TakesNoRequests) {
+  this->StartRequest(*this->dispatcher);
   this->BeginDrain();
   CHECK(HasClosedCallersPort(*this->dispatcher));
   PlainPeer peer = this->Link(this->dispatcher->links(), wire::LinkRole::kData);
   const ShardKey shard = this->dispatcher->FirstShard();
   CHECK(peer.mux.OpenStream(PeerRequest(shard)).has_value());
-  // Turned away before or after it is sent: that is up to the network.
+  // The stream may be refused before or after its Open is sent, depending on
+  // the timing of the network.
   CHECK(peer.ReadUntil([&peer] { return peer.mux.stream_count() == 0; }));
-  CHECK(peer.went_away);
+  CHECK(peer.received_go_away);
   CHECK_EQUAL(0, peer.status);
   this->EndDrain();
 }
--- a/packages/node/test/peer_link_test.cc
+++ b/packages/node/test/peer_link_test.cc
@@ -1,4 +1,4 @@
-// Tests of a link's end, with a peer of which each byte is known.
+// Tests of closing a link, with a peer that the test drives step by step.
 
 #include "peer_link.h"
 
@@ -37,7 +37,7 @@
 namespace {
 
 constexpr size_t kBodyBytes = 200'000;
-// Most of an answer is still in the buffer of the side that sends it.
+// So small that most of an answer stays in the buffer of its sender.
 constexpr int kSmallBuffer = 4096;
 constexpr int kSummaries = 20'000;
 
@@ -48,7 +48,8 @@
   return options;
 }
 
-/// A worker's side of a link, which answers each stream with a long body.
+/// A worker's side of a link, which answers each stream with a body of
+/// kBodyBytes.
 class AnsweringSide {
  public:
   explicit AnsweringSide(Socket socket) {
@@ -80,11 +81,11 @@
 
 TEST_GROUP(PeerLink){};
 
-// A VM that shuts down has one answer still to come on a link. The other side
-// sends the last of it and, as both want to close, closes at once, with bytes
-// of the leaving VM still unread. That resets the connection: what the system
-// has not sent yet is dropped, and the caller gets half an answer.
-TEST(PeerLink, Drain_LastAnswerUnderWay_ArrivesWhole) {
+// Failure: a VM that shuts down still expects one answer on a link. The other
+// side sends the end of the answer and, since both sides have sent GoAway,
+// closes at once, with bytes of the leaving VM still unread. That resets the
+// connection and drops the unsent bytes: the caller gets a truncated answer.
+TEST(PeerLink, Drain_LastAnswerInFlight_ArrivesComplete) {
   IoContext context(1);
   basilsill::Acceptor acceptor(context,
                                {boost::asio::ip::address_v4::loopback(), 0});
@@ -116,6 +117,6 @@
   }
   while (peer.Read()) {
   }
-  CHECK_EQUAL(kBodyBytes, peer.body);
-  CHECK(peer.ended);
+  CHECK_EQUAL(kBodyBytes, peer.body_bytes);
+  CHECK(peer.body_ended);
 }
--- a/packages/node/test/plain_peer.cc
+++ b/packages/node/test/plain_peer.cc
@@ -63,8 +63,8 @@
   return true;
 }
 
-bool PlainPeer::ReadUntil(const std::function<bool()>& holds) {
-  while (!holds()) {
+bool PlainPeer::ReadUntil(const std::function<bool()>& condition) {
+  while (!condition()) {
     this->Flush();
     if (!this->Read()) {
       return false;
@@ -78,14 +78,16 @@
     this->status = std::get<wire::Answer>(event.message).status;
   }
   if (event.kind == wire::LinkEventKind::kData) {
-    this->body += std::get<wire::Data>(event.message).bytes.size();
+    this->body_bytes += std::get<wire::Data>(event.message).bytes.size();
   }
   if (const auto* heartbeat = std::get_if<wire::Heartbeat>(&event.message)) {
-    this->left = this->left || heartbeat->state == VmState::kLeaving;
+    this->received_leaving =
+        this->received_leaving || heartbeat->state == VmState::kLeaving;
   }
-  this->ended = this->ended || event.kind == wire::LinkEventKind::kEnded;
-  this->went_away =
-      this->went_away || event.kind == wire::LinkEventKind::kGoAway;
+  this->body_ended =
+      this->body_ended || event.kind == wire::LinkEventKind::kEnded;
+  this->received_go_away =
+      this->received_go_away || event.kind == wire::LinkEventKind::kGoAway;
 }
 
 wire::Hello PeerHello(wire::LinkRole role, const std::string& vm) {
--- a/packages/node/test/plain_peer.h
+++ b/packages/node/test/plain_peer.h
@@ -8,43 +8,46 @@
 
 #include "basilsill/wire/link_mux.h"
 
-/// The far end of a link, of which a test says each step.
+/// The remote end of a link, which a test drives step by step.
 
 namespace basilsill::test {
 
-/// Speaks the protocol between nodes over a blocking socket.
+/// Runs the protocol between nodes over a blocking socket.
 class PlainPeer {
  public:
-  /// @param hello What the peer says of itself; it opened the connection.
+  /// @param socket Connected to the node.
+  /// @param hello Hello that the peer sends.
   PlainPeer(boost::asio::ip::tcp::socket socket, wire::Hello hello);
 
-  /// Writes all that the mux has to send.
+  /// Writes all pending output of the mux.
   void Flush();
 
-  /// Reads one piece.
+  /// Reads the bytes available, at most 1 KiB, and records the events in them.
   /// @returns false once the link has ended.
   bool Read();
 
-  /// Reads until `holds`.
-  /// @returns false if the link ended before.
-  bool ReadUntil(const std::function<bool()>& holds);
+  /// Writes and reads until `condition` is true.
+  /// @returns false if the link ended first.
+  bool ReadUntil(const std::function<bool()>& condition);
 
   boost::asio::ip::tcp::socket socket;
   wire::LinkMux mux;
-  size_t body = 0;         ///< Octets of bodies that have come as data.
-  unsigned status = 0;     ///< Of the last answer that has begun.
-  bool ended = false;      ///< A body has come to its end.
-  bool went_away = false;  ///< The node takes no new streams here.
-  bool left = false;       ///< A heartbeat said that the node leaves.
+  size_t body_bytes = 0;    ///< Bytes of bodies received in data messages.
+  unsigned status = 0;      ///< Status of the answer that started last.
+  bool body_ended = false;  ///< The end of a body has been received.
+  bool received_go_away =
+      false;  ///< The node takes no new streams on this link.
+  bool received_leaving =
+      false;  ///< A heartbeat has said that the node is leaving.
 
  private:
   void Take(const wire::LinkEvent& event);
 };
 
-/// @returns what a VM says of itself on a link of `role`.
+/// @returns the hello of `vm` on a link of `role`.
 wire::Hello PeerHello(wire::LinkRole role, const std::string& vm);
 
-/// @returns a request as a peer hands it over, for the dispatcher of `shard`.
+/// @returns a request that a peer forwards to the dispatcher of `shard`.
 wire::Open PeerRequest(ShardKey shard);
 
 }  // namespace basilsill::test
--- a/packages/node/test/settings_test.cc
+++ b/packages/node/test/settings_test.cc
@@ -1,5 +1,5 @@
-// Tests of settings. Faulty files are made from the schema itself, so that a
-// new setting is covered as soon as it has a row.
+// Tests of settings. Faulty files are generated from the schema, so a new
+// setting is covered as soon as it has a row.
 
 #include "basilsill/node/settings.h"
 
@@ -46,7 +46,7 @@
   return json::parse(kMinimal, {}, options);
 }
 
-/// @param path `/name` or `/section/name`; the section is made if need be.
+/// @param path `/name` or `/section/name`; a missing section is created.
 void SetAt(json::value& root, std::string_view path, const json::value& value) {
   const size_t last = path.rfind('/');
   json::object* object = &root.get_object();
@@ -160,8 +160,8 @@
       const json::value value = is_real
                                     ? json::value(bound)
                                     : json::value(static_cast<int64_t>(bound));
-      // Bounds of one setting may clash with the default of another; its own
-      // check then names the path with another kind than a wrong type.
+      // The bound of one setting may conflict with the default of another. The
+      // check for that reports the path, but not as a wrong type.
       const auto faults = FaultsOf(TextWith(field.path, value));
       CHECK_TEXT(!Reports(faults, FailureKind::kWrongType, field.path),
                  Describe(faults).c_str());
@@ -240,21 +240,22 @@
   CHECK_EQUAL_TEXT(9U, faults.size(), Describe(faults).c_str());
 }
 
-TEST(Settings, Parse_UnknownKey_NamesTheAllowedOnes) {
+TEST(Settings, Parse_UnknownKey_ListsAllowedKeys) {
   const auto faults = FaultsOf(TextWith("/log/file_name", "x"));
   CHECK_EQUAL(1U, faults.size());
   STRCMP_CONTAINS("one of level, file, events_per_second",
                   faults.front().detail.c_str());
 }
 
-TEST(Settings, Parse_SyntaxFault_TellsLineAndColumn) {
+TEST(Settings, Parse_SyntaxFault_ReportsLineAndColumn) {
   const auto faults = FaultsOf("{\n  \"tenant\": rodopa\n}");
   CHECK(Reports(faults, FailureKind::kSyntax, ""));
   STRCMP_CONTAINS("line 2, column 13", faults.front().detail.c_str());
 }
 
-// Story: an operator raises a limit and nothing changes. The file has the key
-// twice, the JSON parser keeps the later one, and the edit was to the earlier.
+// Failure: an operator raises a limit and nothing changes. The file has the key
+// twice, the JSON parser keeps the second value, and the operator edited the
+// first.
 TEST(Settings, Parse_KeyTwice_IsAFault) {
   const auto faults = FaultsOf(R"({
     "tenant": "rodopa",
@@ -297,7 +298,7 @@
   }
 }
 
-TEST(Settings, Print_AnySettings_ParseBackTheSame) {
+TEST(Settings, Print_AnySettings_ParsesBackEqual) {
   const Settings first =
       ParseSettings(TextWith("/log/file", "/tmp/a \"b\".log")).value();
   const std::string printed = PrintSettings(first);
@@ -309,19 +310,19 @@
   STRCMP_EQUAL(PrintSettings(expected).c_str(), PrintSettings(second).c_str());
 }
 
-TEST(Settings, Print_EachLine_TellsItsSource) {
+TEST(Settings, Print_EachLine_ShowsSource) {
   const std::string printed = PrintSettings(ParseSettings(kMinimal).value());
   STRCMP_CONTAINS("\"tenant\": \"rodopa\",  // file\n", printed.c_str());
   STRCMP_CONTAINS("\"callers\": 8080,  // default\n", printed.c_str());
 }
 
-TEST(Settings, Page_EachField_HasItsRow) {
+TEST(Settings, Documentation_EachField_HasRow) {
   const std::string page = PageText();
   for (const SettingField& field : SettingsSchema()) {
     const std::string row = DocumentationRow(field) + "\n";
     CHECK_TEXT(page.find(row) != std::string::npos, row.c_str());
   }
-  // Rows begin with a path, which no other line does.
+  // Only rows of settings start with a path.
   size_t rows = 0;
   for (size_t at = 0; (at = page.find("\n| `/", at)) != std::string::npos;) {
     ++rows;
--- a/packages/node/test/settings_watch_test.cc
+++ b/packages/node/test/settings_watch_test.cc
@@ -1,4 +1,4 @@
-// Tests of noticing a settings file that changes without a signal.
+// Tests of detecting changes of a settings file without a signal.
 
 #include "settings_watch.h"
 
@@ -29,7 +29,7 @@
     std::ofstream(this->path) << text;
   }
 
-  /// Lets the watch look a few times.
+  /// Lets the watch check the file a few times.
   void Run(SettingsWatch & watch) {
     watch.Start();
     for (int i = 0; i < 3; ++i) {
@@ -44,22 +44,22 @@
   }
 };
 
-TEST(SettingsWatch, File_Unchanged_SaysNothing) {
+TEST(SettingsWatch, File_Unchanged_IsNotReported) {
   SettingsWatch watch = this->Make();
   this->Run(watch);
   CHECK_EQUAL(0, this->changes);
 }
 
-// An operator writes the file and sends no signal. The node would go on with
-// the old settings until somebody remembers to.
-TEST(SettingsWatch, File_Written_SaysSoOnce) {
+// Failure: an operator writes the file and sends no signal. Without the watch,
+// the node keeps the old settings until someone sends one.
+TEST(SettingsWatch, File_Written_IsReportedOnce) {
   SettingsWatch watch = this->Make();
   this->Write("a=1\nb=2");
   this->Run(watch);
   CHECK_EQUAL(1, this->changes);
 }
 
-TEST(SettingsWatch, File_AwayForAMoment_SaysNothingUntilItIsBack) {
+TEST(SettingsWatch, File_BrieflyMissing_IsReportedOnceReplaced) {
   SettingsWatch watch = this->Make();
   std::remove(this->path.c_str());
   this->Run(watch);
