--- a/packages/node/include/basilsill/node/settings.h
+++ b/packages/node/include/basilsill/node/settings.h
@@ -70,7 +70,8 @@
 struct ShutdownSettings {
   /// Delay between failing readiness and closing the callers port.
   std::chrono::milliseconds ready_delay{2000};
-  /// Requests still in flight after this time are aborted.
+  /// Requests still in flight this long after the start of the shutdown are
+  /// aborted.
   std::chrono::milliseconds limit{60000};
 };
 
--- a/packages/node/src/control.cc
+++ b/packages/node/src/control.cc
@@ -354,10 +354,10 @@
 
 // Keeps links with the VMs that work for others: those that dispatch for a
 // shard or are next in line to do so, and those that relay to this data centre
-// what they read from the platform. One more link goes to the next VM in the
-// ring. In a small fleet of VMs of equal size these are nearly all VMs; in a
-// large fleet, small VMs have no links among themselves. A VM without a view
-// also needs two startup peers, which help it to start.
+// what they read from the platform. In a small fleet of VMs of equal size these
+// are nearly all VMs; in a large fleet, small VMs have no such links among
+// themselves. One more link goes to the next VM in the ring. A VM without a
+// view also needs two startup peers, which help it to start.
 //
 // The needs change only with the view and the membership. Collecting them sorts
 // all VMs, so it isn't done on every tick.
--- a/packages/node/test/leave_test.cc
+++ b/packages/node/test/leave_test.cc
@@ -48,7 +48,7 @@
 constexpr std::chrono::milliseconds kSeveralDrainPolls{200};
 // Callers are accepted for this long after the drain has started.
 constexpr std::chrono::milliseconds kReadyDelay{200};
-// Makes a failing test end soon.
+// Shutdown limit, short so that a failing test ends soon.
 constexpr std::chrono::seconds kLimit{5};
 const std::string kReadRequest =
     "GET /levels/7 HTTP/1.1\r\nHost: levels.test\r\n\r\n";
--- a/packages/node/test/plain_peer.h
+++ b/packages/node/test/plain_peer.h
@@ -35,10 +35,8 @@
   size_t body_bytes = 0;    ///< Bytes of bodies received in data messages.
   unsigned status = 0;      ///< Status of the answer that started last.
   bool body_ended = false;  ///< The end of a body has been received.
-  bool received_go_away =
-      false;  ///< The node takes no new streams on this link.
-  bool received_leaving =
-      false;  ///< A heartbeat has said that the node is leaving.
+  bool received_go_away = false;  ///< The node takes no new streams.
+  bool received_leaving = false;  ///< Set by a heartbeat.
 
  private:
   void Take(const wire::LinkEvent& event);
