--- a/packages/wire/include/basilsill/wire/message.h
+++ b/packages/wire/include/basilsill/wire/message.h
@@ -302,8 +302,9 @@
 
 /// The sender declines a StateQuestion.
 struct StateDeclined {
-  /// True if the sender has no records yet and sends them as soon as it has.
-  /// False if it has no capacity left, because it serves other VMs.
+  /// True if the sender has no complete state yet and sends it as soon as it
+  /// has. False if it will not answer: its bandwidth for sending state is used
+  /// up by other VMs, or its records are too old or start too late.
   bool later = false;
 
   friend bool operator==(const StateDeclined&, const StateDeclined&) = default;
