--- a/packages/node/src/admin_routes.cc
+++ b/packages/node/src/admin_routes.cc
@@ -42,21 +42,21 @@
 
 void AddNodeRoutes(AdminRouter& router, AdminSources sources) {
   router.Add({"GET", "/healthz",
-              Immediately([phase = sources.phase](const AdminRequest&) {
+              SynchronousHandler([phase = sources.phase](const AdminRequest&) {
                 return PhaseResponse(phase(), phase() != NodePhase::kDraining);
               })});
   AddReadinessRoute(router, "/readyz", std::move(sources.query_phase));
   router.Add({"GET", "/metrics",
-              Immediately([make = std::move(sources.metrics)](
-                              const AdminRequest&) -> AdminResponse {
+              SynchronousHandler([make = std::move(sources.metrics)](
+                                     const AdminRequest&) -> AdminResponse {
                 return {{kOk, kPrometheusText, {}}, make()};
               })});
   if (!sources.debug_state) {
     return;
   }
   router.Add({"GET", "/debug/state",
-              Immediately([make = std::move(sources.debug_state)](
-                              const AdminRequest&) -> AdminResponse {
+              SynchronousHandler([make = std::move(sources.debug_state)](
+                                     const AdminRequest&) -> AdminResponse {
                 return {{}, make()};
               })});
 }
