--- a/packages/ctl/include/basilsill/ctl/platform_server.h
+++ b/packages/ctl/include/basilsill/ctl/platform_server.h
@@ -7,7 +7,7 @@
 #include "basilsill/base/error.h"
 #include "basilsill/ctl/platform_state.h"
 
-/// The emulated platform over HTTP, in a process of its own or inside a test.
+/// HTTP server of the emulated platform, for `basilsillctl platform` and tests.
 
 namespace boost::asio {
 class io_context;
@@ -15,12 +15,14 @@
 
 namespace basilsill::ctl {
 
-/// Serves on the thread that runs its io_context, and is used on it alone;
-/// stops when destroyed.
+/// Serves the platform's HTTP calls on its io_context. Not thread-safe: every
+/// method must be called on the thread that runs the io_context. The
+/// destructor stops the server.
 class PlatformServer {
  public:
-  /// @param endpoint Port 0 lets the kernel choose.
-  /// @returns kNetwork if it can't be listened on.
+  /// Starts listening.
+  /// @param endpoint With port 0 the kernel chooses the port.
+  /// @returns kNetwork if the endpoint can't be listened on.
   static Result<PlatformServer> Listen(boost::asio::io_context& io,
                                        const Endpoint& endpoint,
                                        const PlatformFaults& faults = {});
@@ -28,26 +30,27 @@
   PlatformServer& operator=(PlatformServer&& other) noexcept;
   ~PlatformServer();
 
-  /// @returns where it listens, the kernel's port included.
+  /// @returns the address and the port that the server listens on.
   Endpoint endpoint() const;
 
-  /// @returns what it holds, for reading.
+  /// @returns the current state, read-only.
   const PlatformState& state() const;
 
-  /// The same as `PUT /faults`.
+  /// Has the effect of `PUT /faults`, with all fields given.
   void SetFaults(const PlatformFaults& faults);
 
-  /// The same as `PUT /vms/{name}`.
+  /// Has the effect of `PUT /vms/{name}`.
   void PutVm(ListedVm vm);
 
-  /// The same as `DELETE /vms/{name}`.
+  /// Has the effect of `DELETE /vms/{name}`.
   void RemoveVm(const std::string& name);
 
-  /// Appends as a call would, without the faults.
+  /// Appends like `POST /log/{stream}`, but injects no faults and counts
+  /// nothing in the stats. The retention applies.
   /// @returns the offset of the first record.
   uint64_t Append(const std::string& stream, std::vector<std::string> bodies);
 
-  /// Stops listening and closes all connections, as a crash would.
+  /// Stops listening and closes all connections without completing answers.
   void Stop();
 
  private:
--- a/packages/ctl/include/basilsill/ctl/platform_state.h
+++ b/packages/ctl/include/basilsill/ctl/platform_state.h
@@ -13,30 +13,31 @@
 #include "basilsill/base/endpoint.h"
 #include "basilsill/base/time.h"
 
-/// What the emulated platform holds, without sockets or clocks: the log, the
-/// VM list and the faults. docs/design/platform-protocol.md is the contract.
+/// State of the emulated platform: the log, the VM list and the injected
+/// faults. It uses no sockets or clocks. docs/design/platform-protocol.md
+/// specifies the protocol.
 
 namespace basilsill::ctl {
 
-/// Faults and limits that are switched at run time.
+/// Injected faults and limits; they can be changed at run time.
 struct PlatformFaults {
   static constexpr size_t kKeepAll = SIZE_MAX;
 
-  bool down = false;      ///< Log calls answer 503.
-  bool vms_down = false;  ///< VM list calls answer 503.
-  /// From an append's effect to its answer.
+  bool down = false;      ///< Log calls are answered with 503.
+  bool vms_down = false;  ///< VM list calls are answered with 503.
+  /// Delay between the time an append takes effect and its answer.
   std::chrono::milliseconds append_delay{0};
-  uint64_t drop_answers = 0;  ///< Next appends that get no answer.
-  /// Age of the VM list that readers see.
+  uint64_t drop_answers = 0;  ///< Number of next appends to leave unanswered.
+  /// Age of the VM list that readers are given.
   std::chrono::milliseconds vm_list_lag{0};
-  size_t retention_records = kKeepAll;  ///< Records kept a stream.
-  uint64_t appends_per_second = 0;      ///< 0 is no limit.
+  size_t retention_records = kKeepAll;  ///< Records kept per stream.
+  uint64_t appends_per_second = 0;      ///< 0: no limit.
 
   friend bool operator==(const PlatformFaults&,
                          const PlatformFaults&) = default;
 };
 
-/// Offsets that a stream holds: [first, end).
+/// Range of offsets that a stream holds: [first, end).
 struct StreamBounds {
   uint64_t first = 0;
   uint64_t end = 0;
@@ -44,13 +45,14 @@
   friend bool operator==(const StreamBounds&, const StreamBounds&) = default;
 };
 
-/// One stream of records, numbered from 0 without gaps.
+/// One stream of records. Offsets start at 0 and have no gaps.
 class LogStream {
  public:
-  /// @returns the offset of the first of `bodies`.
+  /// Appends one record for each of `bodies`.
+  /// @returns the offset of the first of them.
   uint64_t Append(std::vector<std::string> bodies);
 
-  /// Forgets the oldest records above `retention`.
+  /// Removes the oldest records until at most `retention` are left.
   void Trim(size_t retention);
 
   StreamBounds Bounds() const;
@@ -63,6 +65,7 @@
   std::deque<std::string> records;
 };
 
+/// Entry of the VM list.
 struct ListedVm {
   std::string name;
   std::string data_centre;
@@ -72,11 +75,13 @@
   friend bool operator==(const ListedVm&, const ListedVm&) = default;
 };
 
-/// The VM list with as much of its past as a lag can show.
+/// The VM list with its latest versions, so that PlatformFaults::vm_list_lag
+/// can present an earlier one.
 class VmTable {
  public:
   static constexpr size_t kVersionsKept = 1024;
 
+  /// State of the list from `since` to the next version.
   struct Version {
     uint64_t number = 0;
     TimePoint since;
@@ -85,41 +90,46 @@
 
   VmTable();
 
-  /// Adds or replaces a VM.
+  /// Adds or replaces a VM, which makes a new version.
   void Put(ListedVm vm, TimePoint now);
 
+  /// Removes a VM, which makes a new version.
   /// @returns false if there is no such VM.
   bool Remove(const std::string& name, TimePoint now);
 
-  /// @returns the list as it was at `when`, the oldest kept at least.
+  /// @returns the version in effect at `when`, or the oldest one kept if `when`
+  /// is before it.
   const Version& At(TimePoint when) const;
 
-  /// @returns when the version after `number` came to be, if it has.
-  std::optional<TimePoint> ChangeAfter(uint64_t number) const;
+  /// @returns the time of the first version after `number`, or nothing if there
+  /// is none yet.
+  std::optional<TimePoint> TimeOfChangeAfter(uint64_t number) const;
 
  private:
-  void Push(std::map<std::string, ListedVm> vms, TimePoint now);
+  void AddVersion(std::map<std::string, ListedVm> vms, TimePoint now);
 
   std::deque<Version> versions;
 };
 
-/// Token bucket over appends.
-class AppendRate {
+/// Token bucket that limits the rate of append calls.
+class AppendRateLimiter {
  public:
-  /// @returns true if an append at `now` is within `per_second`; 0 is no limit.
+  /// Takes a token if there is one.
+  /// @param per_second Append calls allowed per second; 0: no limit.
+  /// @returns true if an append at `now` is within the limit.
   bool Allow(uint64_t per_second, TimePoint now);
 
  private:
   double tokens = 0;
-  std::optional<TimePoint> filled_at;
+  std::optional<TimePoint> refilled_at;
 };
 
-/// Counts since the start.
+/// Counters since the start of the platform.
 struct PlatformStats {
   uint64_t append_calls = 0;
   uint64_t append_records = 0;
   uint64_t append_bytes = 0;
-  uint64_t append_refusals = 0;  ///< 429 or 503.
+  uint64_t append_refusals = 0;  ///< Answered with 429 or 503.
   uint64_t dropped_answers = 0;
   uint64_t read_calls = 0;
   uint64_t read_records = 0;
@@ -127,33 +137,34 @@
   uint64_t vm_list_calls = 0;
 };
 
-/// All of it. The server translates calls to it.
+/// Complete state of the platform. PlatformServer maps HTTP calls to it.
 struct PlatformState {
   std::map<std::string, LogStream> streams;
   VmTable vms;
   PlatformFaults faults;
-  AppendRate append_rate;
+  AppendRateLimiter append_rate_limiter;
   PlatformStats stats;
 };
 
-/// How an append went.
+/// Result of an append call.
 enum class AppendOutcome : uint8_t {
   kAnswered,
-  kDropped,  ///< Took effect; the connection must close without an answer.
-  kDown,     ///< 503, no effect.
-  kTooFast,  ///< 429, no effect.
+  kDropped,      ///< Took effect; to be closed without an answer.
+  kDown,         ///< 503, no effect.
+  kRateLimited,  ///< 429, no effect.
   kCount
 };
 
-/// Appends `bodies` to `stream` as far as the faults allow.
-/// @param first The offset of the first record, where it took effect.
+/// Appends `bodies` to `stream` and applies the injected faults and limits.
+/// @param first Set to the offset of the first record if the append took
+/// effect.
 AppendOutcome Append(PlatformState& state,
                      const std::string& stream,
                      std::vector<std::string> bodies,
                      TimePoint now,
                      uint64_t& first);
 
-/// Puts `faults` in force, retention included.
+/// Replaces the faults and applies the new retention to all streams.
 void SetFaults(PlatformState& state, const PlatformFaults& faults);
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/platform_command.cc
+++ b/packages/ctl/src/platform_command.cc
@@ -13,10 +13,11 @@
 
 constexpr std::string_view kAbout =
     "Emulated platform: an append-only log and a VM list over HTTP/JSON. "
-    "PUT /faults switches faults, GET /stats counts calls. Prints 'listening "
+    "PUT /faults injects faults, GET /stats returns counters. Prints "
+    "'listening "
     "ADDRESS:PORT' once it is ready and runs until SIGTERM or SIGINT.";
 
-// Appends must be answered in order by the one thread that holds the log.
+// The platform state is not thread-safe, and appends are answered in order.
 constexpr int kThreads = 1;
 
 }  // namespace
@@ -24,14 +25,15 @@
 ExitStatus RunPlatform(const CommandArguments& arguments) {
   TCLAP::CmdLine line(std::string(kAbout), ' ', BASILSILL_VERSION);
   TCLAP::ValueArg<std::string> listen(
-      "", "listen", "Where to listen; port 0 lets the kernel choose.", false,
+      "", "listen",
+      "Endpoint to listen on; with port 0 the kernel chooses the port.", false,
       "127.0.0.1:0", "ADDRESS:PORT", line);
   TCLAP::ValueArg<uint64_t> retention("", "retention",
-                                      "Records kept a stream; 0 keeps all.",
+                                      "Records kept per stream; 0 keeps all.",
                                       false, 0, "RECORDS", line);
-  TCLAP::ValueArg<uint64_t> rate("", "appends-per-second",
-                                 "Append calls allowed; 0 is no limit.", false,
-                                 0, "RATE", line);
+  TCLAP::ValueArg<uint64_t> rate(
+      "", "appends-per-second", "Append calls allowed per second; 0: no limit.",
+      false, 0, "RATE", line);
   if (const auto status = ParseArguments(line, arguments)) {
     return *status;
   }
--- a/packages/ctl/src/platform_command.h
+++ b/packages/ctl/src/platform_command.h
@@ -5,7 +5,8 @@
 
 namespace basilsill::ctl {
 
-/// `basilsillctl platform`: serves the emulated platform until SIGTERM.
+/// `basilsillctl platform`: serves the emulated platform until SIGTERM or
+/// SIGINT.
 ExitStatus RunPlatform(const CommandArguments& arguments);
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/platform_json.cc
+++ b/packages/ctl/src/platform_json.cc
@@ -43,7 +43,8 @@
   return std::string(value->get_string());
 }
 
-/// Reads one field of the faults into its member.
+/// Reads the JSON value of one field into its member of `faults`.
+/// @returns false if the type or the range is wrong.
 using FaultReader = bool (*)(const json::value& value, PlatformFaults& faults);
 
 bool ReadCount(const json::value& value, uint64_t& into) {
@@ -129,8 +130,8 @@
   const size_t count = records->get_array().size();
   if (count == 0 || count > limits::kMaxAppendRecords) {
     return OutOfRange(
-        "/records",
-        "must have 1 to " + std::to_string(limits::kMaxAppendRecords));
+        "/records", "must have 1 to " +
+                        std::to_string(limits::kMaxAppendRecords) + " records");
   }
   std::vector<std::string> bodies;
   size_t bytes = 0;
@@ -142,7 +143,11 @@
     bytes += bodies.back().size();
     if (bodies.back().size() > limits::kMaxLogRecordBytes ||
         bytes > limits::kMaxAppendBytes) {
-      return OutOfRange("/records", "has too many bytes");
+      return OutOfRange(
+          "/records",
+          "must have at most " + std::to_string(limits::kMaxLogRecordBytes) +
+              " bytes in a record and " +
+              std::to_string(limits::kMaxAppendBytes) + " bytes in all");
     }
   }
   return bodies;
@@ -168,7 +173,7 @@
   if (!address || port_value == nullptr || !ReadCount(*port_value, port) ||
       port > std::numeric_limits<uint16_t>::max()) {
     return WrongType("/control",
-                     "{\"address\": IP number, \"port\": 0..65535}");
+                     "{\"address\": IP address, \"port\": 0..65535}");
   }
   const auto state = ReadText(object, "state");
   if (!state || (state.value() != "live" && state.value() != "leaving")) {
@@ -191,10 +196,11 @@
     const std::string path = "/" + std::string(name);
     const FaultField* field = FindFaultField({name.data(), name.size()});
     if (field == nullptr) {
-      return Failure{FailureKind::kUnknownField, path, "no such fault"};
+      return Failure{FailureKind::kUnknownField, path, "is not a known fault"};
     }
     if (!field->read(value, faults)) {
-      return WrongType(path, "a flag or a number in its range");
+      return WrongType(
+          path, "true or false, or a number within the limits of the field");
     }
   }
   return faults;
--- a/packages/ctl/src/platform_json.h
+++ b/packages/ctl/src/platform_json.h
@@ -8,24 +8,30 @@
 #include "basilsill/base/error.h"
 #include "basilsill/ctl/platform_state.h"
 
-/// Bodies of the platform's protocol, as its server reads and writes them.
+/// Request and response bodies of the platform protocol, server side.
 
 namespace basilsill::ctl {
 
-/// Reads `{"records": ["text", ...]}`.
+/// Reads the body of an append, `{"records": ["text", ...]}`.
+/// @returns the record bodies, or kSyntax, kWrongType or kOutOfRange.
 Result<std::vector<std::string>> ParseAppend(std::string_view body);
 
-/// Reads a VM of `PUT /vms/{name}`.
+/// Reads the body of `PUT /vms/{name}`.
+/// @returns kSyntax or kWrongType for an invalid body.
 Result<ListedVm> ParseVm(std::string_view name, std::string_view body);
 
-/// Reads any fields of the faults on top of `current`.
+/// Reads the body of `PUT /faults`. Fields that are not given keep their value
+/// of `current`.
+/// @returns kSyntax, kWrongType or kUnknownField for an invalid body.
 Result<PlatformFaults> ParseFaults(std::string_view body,
                                    const PlatformFaults& current);
 
 std::string WriteAppendAnswer(uint64_t first, uint64_t next);
 std::string WriteBounds(const StreamBounds& bounds);
 
-/// Writes records from `from`, at most `max` and about limits::kMaxReadBytes.
+/// Writes at most `max` records from offset `from` on, and stops after the
+/// record that reaches limits::kMaxReadBytes. Adds to the read counters of
+/// `stats`.
 std::string WriteRecords(const LogStream& stream,
                          uint64_t from,
                          uint64_t max,
--- a/packages/ctl/src/platform_server.cc
+++ b/packages/ctl/src/platform_server.cc
@@ -25,31 +25,32 @@
 constexpr std::string_view kLogPrefix = "/log/";
 constexpr std::string_view kVmPrefix = "/vms/";
 
-/// What sessions share. It outlives the server for as long as one runs.
-struct Core {
-  explicit Core(asio::io_context& io) : executor(io.get_executor()) {}
+/// State that all calls share. Calls in progress hold it alive after the server
+/// is destroyed.
+struct SharedState {
+  explicit SharedState(asio::io_context& io) : executor(io.get_executor()) {}
 
   asio::io_context::executor_type executor;
   PlatformState state;
-  std::set<asio::steady_timer*> waiting;
+  std::set<asio::steady_timer*> long_poll_timers;
   bool stopped = false;
 
-  // Lets every long poll look again.
-  void Wake() {
-    for (asio::steady_timer* timer : this->waiting) {
+  // Makes every long poll check its condition again.
+  void WakeLongPolls() {
+    for (asio::steady_timer* timer : this->long_poll_timers) {
       timer->cancel();
     }
   }
 };
-using CorePtr = std::shared_ptr<Core>;
+using SharedStatePtr = std::shared_ptr<SharedState>;
 
-// Ends at `until` or at the next change, whichever is first.
-asio::awaitable<void> WaitForChange(CorePtr core, TimePoint until) {
-  asio::steady_timer timer(core->executor);
+// Waits for the next change, at most until `until`.
+asio::awaitable<void> WaitForChange(SharedStatePtr shared, TimePoint until) {
+  asio::steady_timer timer(shared->executor);
   timer.expires_at(asio::steady_timer::time_point(until.time_since_epoch()));
-  core->waiting.insert(&timer);
+  shared->long_poll_timers.insert(&timer);
   co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-  core->waiting.erase(&timer);
+  shared->long_poll_timers.erase(&timer);
 }
 
 ServerReply Rejected(unsigned status, const Failure& failure) {
@@ -57,11 +58,12 @@
 }
 
 ServerReply Unavailable() {
-  return Rejected(503, {FailureKind::kPlatformUnavailable, "", "switched off"});
+  return Rejected(503, {FailureKind::kPlatformUnavailable, "",
+                        "unavailable because of an injected fault"});
 }
 
-ServerReply NoSuchCall() {
-  return Rejected(404, {FailureKind::kNotFound, "", "no such call"});
+ServerReply NoSuchEndpoint() {
+  return Rejected(404, {FailureKind::kNotFound, "", "no such endpoint"});
 }
 
 bool IsStreamName(std::string_view name) {
@@ -71,7 +73,9 @@
          name.find_first_not_of(allowed) == std::string_view::npos;
 }
 
-/// Reads a number of the query; `value` keeps its default if there is none.
+/// Reads the number `name` of the query. `value` is unchanged if the query does
+/// not have it.
+/// @returns false if it is not a number.
 bool ReadQuery(const ServerRequest& request,
                std::string_view name,
                uint64_t& value) {
@@ -84,12 +88,12 @@
   return number.has_value();
 }
 
-TimePoint WaitLimit(uint64_t wait_ms) {
+TimePoint WaitDeadline(uint64_t wait_ms) {
   const auto most = static_cast<uint64_t>(limits::kMaxPlatformWait.count());
   return MonotonicClock::now() + milliseconds(std::min(wait_ms, most));
 }
 
-ReplyAwaitable AnswerAppend(CorePtr core,
+ReplyAwaitable AnswerAppend(SharedStatePtr shared,
                             std::string stream,
                             ServerRequest request) {
   auto bodies = ParseAppend(request.body);
@@ -99,18 +103,19 @@
   const uint64_t count = bodies.value().size();
   uint64_t first = 0;
   const AppendOutcome outcome =
-      Append(core->state, stream, std::move(bodies.value()),
+      Append(shared->state, stream, std::move(bodies.value()),
              MonotonicClock::now(), first);
   if (outcome == AppendOutcome::kDown) {
     co_return Unavailable();
   }
-  if (outcome == AppendOutcome::kTooFast) {
-    co_return Rejected(429, {FailureKind::kLimitReached, "", "append rate"});
+  if (outcome == AppendOutcome::kRateLimited) {
+    co_return Rejected(
+        429, {FailureKind::kLimitReached, "", "append rate limit exceeded"});
   }
-  core->Wake();
-  const milliseconds delay = core->state.faults.append_delay;
+  shared->WakeLongPolls();
+  const milliseconds delay = shared->state.faults.append_delay;
   if (delay.count() > 0) {
-    asio::steady_timer timer(core->executor, delay);
+    asio::steady_timer timer(shared->executor, delay);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
   }
   if (outcome == AppendOutcome::kDropped) {
@@ -119,7 +124,7 @@
   co_return ServerReply{200, WriteAppendAnswer(first, first + count), {}};
 }
 
-ReplyAwaitable AnswerRead(CorePtr core,
+ReplyAwaitable AnswerRead(SharedStatePtr shared,
                           std::string stream,
                           ServerRequest request) {
   uint64_t from = 0;
@@ -130,13 +135,13 @@
     co_return Rejected(400, {FailureKind::kOutOfRange, "", "not a number"});
   }
   max = std::clamp<uint64_t>(max, 1, limits::kMaxReadRecords);
-  ++core->state.stats.read_calls;
-  const TimePoint until = WaitLimit(wait_ms);
-  while (!core->stopped) {
-    if (core->state.faults.down) {
+  ++shared->state.stats.read_calls;
+  const TimePoint until = WaitDeadline(wait_ms);
+  while (!shared->stopped) {
+    if (shared->state.faults.down) {
       co_return Unavailable();
     }
-    const LogStream& log = core->state.streams[stream];
+    const LogStream& log = shared->state.streams[stream];
     const StreamBounds bounds = log.Bounds();
     if (from < bounds.first || from > bounds.end) {
       co_return ServerReply{
@@ -144,40 +149,41 @@
     }
     if (from < bounds.end || MonotonicClock::now() >= until) {
       co_return ServerReply{
-          200, WriteRecords(log, from, max, core->state.stats), {}};
+          200, WriteRecords(log, from, max, shared->state.stats), {}};
     }
-    co_await WaitForChange(core, until);
+    co_await WaitForChange(shared, until);
   }
   co_return std::nullopt;
 }
 
-ReplyAwaitable AnswerVmList(CorePtr core, ServerRequest request) {
+ReplyAwaitable AnswerVmList(SharedStatePtr shared, ServerRequest request) {
   uint64_t since = 0;
   uint64_t wait_ms = 0;
   if (!ReadQuery(request, "since", since) ||
       !ReadQuery(request, "wait_ms", wait_ms)) {
     co_return Rejected(400, {FailureKind::kOutOfRange, "", "not a number"});
   }
-  ++core->state.stats.vm_list_calls;
-  const TimePoint until = WaitLimit(wait_ms);
-  while (!core->stopped) {
-    const PlatformFaults& faults = core->state.faults;
+  ++shared->state.stats.vm_list_calls;
+  const TimePoint until = WaitDeadline(wait_ms);
+  while (!shared->stopped) {
+    const PlatformFaults& faults = shared->state.faults;
     if (faults.vms_down) {
       co_return Unavailable();
     }
     const TimePoint now = MonotonicClock::now();
-    const VmTable::Version& seen = core->state.vms.At(now - faults.vm_list_lag);
+    const VmTable::Version& seen =
+        shared->state.vms.At(now - faults.vm_list_lag);
     if (seen.number > since || now >= until) {
       co_return ServerReply{200, WriteVmList(seen), {}};
     }
-    const auto change = core->state.vms.ChangeAfter(seen.number);
+    const auto change = shared->state.vms.TimeOfChangeAfter(seen.number);
     co_await WaitForChange(
-        core, change ? std::min(until, *change + faults.vm_list_lag) : until);
+        shared, change ? std::min(until, *change + faults.vm_list_lag) : until);
   }
   co_return std::nullopt;
 }
 
-ServerReply AnswerVm(Core& core,
+ServerReply AnswerVm(SharedState& shared,
                      const std::string& name,
                      const ServerRequest& request) {
   const TimePoint now = MonotonicClock::now();
@@ -186,82 +192,85 @@
     if (!vm) {
       return Rejected(400, vm.error());
     }
-    core.state.vms.Put(std::move(vm.value()), now);
+    shared.state.vms.Put(std::move(vm.value()), now);
   } else if (request.method != "DELETE") {
-    return NoSuchCall();
-  } else if (!core.state.vms.Remove(name, now)) {
+    return NoSuchEndpoint();
+  } else if (!shared.state.vms.Remove(name, now)) {
     return Rejected(404, {FailureKind::kNotFound, name, "no such VM"});
   }
-  core.Wake();
-  return {200, WriteVmList(core.state.vms.At(now)), {}};
+  shared.WakeLongPolls();
+  return {200, WriteVmList(shared.state.vms.At(now)), {}};
 }
 
-ServerReply AnswerFaults(Core& core, const ServerRequest& request) {
+ServerReply AnswerFaults(SharedState& shared, const ServerRequest& request) {
   if (request.method == "PUT") {
-    const auto faults = ParseFaults(request.body, core.state.faults);
+    const auto faults = ParseFaults(request.body, shared.state.faults);
     if (!faults) {
       return Rejected(400, faults.error());
     }
-    SetFaults(core.state, faults.value());
-    core.Wake();
+    SetFaults(shared.state, faults.value());
+    shared.WakeLongPolls();
   } else if (request.method != "GET") {
-    return NoSuchCall();
+    return NoSuchEndpoint();
   }
-  return {200, WriteFaults(core.state.faults), {}};
+  return {200, WriteFaults(shared.state.faults), {}};
 }
 
-ReplyAwaitable Answer(CorePtr core, ServerRequest request) {
+ReplyAwaitable Answer(SharedStatePtr shared, ServerRequest request) {
   const std::string path = request.path;
   const bool is_get = request.method == "GET";
   if (path.starts_with(kLogPrefix) &&
       IsStreamName(path.substr(kLogPrefix.size()))) {
     std::string stream = path.substr(kLogPrefix.size());
     if (is_get) {
-      return AnswerRead(std::move(core), std::move(stream), std::move(request));
+      return AnswerRead(std::move(shared), std::move(stream),
+                        std::move(request));
     }
     if (request.method == "POST") {
-      return AnswerAppend(std::move(core), std::move(stream),
+      return AnswerAppend(std::move(shared), std::move(stream),
                           std::move(request));
     }
   }
   if (is_get && path == "/vms") {
-    return AnswerVmList(std::move(core), std::move(request));
+    return AnswerVmList(std::move(shared), std::move(request));
   }
-  return [](CorePtr core, ServerRequest request) -> ReplyAwaitable {
+  return [](SharedStatePtr shared, ServerRequest request) -> ReplyAwaitable {
     if (request.path.starts_with(kVmPrefix) &&
         request.path.size() > kVmPrefix.size()) {
-      co_return AnswerVm(*core, request.path.substr(kVmPrefix.size()), request);
+      co_return AnswerVm(*shared, request.path.substr(kVmPrefix.size()),
+                         request);
     }
     if (request.path == "/faults") {
-      co_return AnswerFaults(*core, request);
+      co_return AnswerFaults(*shared, request);
     }
     if (request.path == "/stats" && request.method == "GET") {
-      co_return ServerReply{200, WriteStats(core->state.stats), {}};
+      co_return ServerReply{200, WriteStats(shared->state.stats), {}};
     }
-    co_return NoSuchCall();
-  }(std::move(core), std::move(request));
+    co_return NoSuchEndpoint();
+  }(std::move(shared), std::move(request));
 }
 
 }  // namespace
 
 struct PlatformServer::Service {
-  CorePtr core;
+  SharedStatePtr shared;
   HttpServer server;
 };
 
 Result<PlatformServer> PlatformServer::Listen(asio::io_context& io,
                                               const Endpoint& endpoint,
                                               const PlatformFaults& faults) {
-  auto core = std::make_shared<Core>(io);
-  basilsill::ctl::SetFaults(core->state, faults);
-  auto server = HttpServer::Listen(io, endpoint, [core](ServerRequest request) {
-    return Answer(core, std::move(request));
-  });
+  auto shared = std::make_shared<SharedState>(io);
+  basilsill::ctl::SetFaults(shared->state, faults);
+  auto server =
+      HttpServer::Listen(io, endpoint, [shared](ServerRequest request) {
+        return Answer(shared, std::move(request));
+      });
   if (!server) {
     return server.error();
   }
   return PlatformServer(std::make_unique<Service>(
-      Service{std::move(core), std::move(server.value())}));
+      Service{std::move(shared), std::move(server.value())}));
 }
 
 PlatformServer::PlatformServer(std::unique_ptr<Service> started)
@@ -284,38 +293,38 @@
 }
 
 const PlatformState& PlatformServer::state() const {
-  return this->service->core->state;
+  return this->service->shared->state;
 }
 
 void PlatformServer::SetFaults(const PlatformFaults& faults) {
-  basilsill::ctl::SetFaults(this->service->core->state, faults);
-  this->service->core->Wake();
+  basilsill::ctl::SetFaults(this->service->shared->state, faults);
+  this->service->shared->WakeLongPolls();
 }
 
 void PlatformServer::PutVm(ListedVm vm) {
-  this->service->core->state.vms.Put(std::move(vm), MonotonicClock::now());
-  this->service->core->Wake();
+  this->service->shared->state.vms.Put(std::move(vm), MonotonicClock::now());
+  this->service->shared->WakeLongPolls();
 }
 
 void PlatformServer::RemoveVm(const std::string& name) {
-  this->service->core->state.vms.Remove(name, MonotonicClock::now());
-  this->service->core->Wake();
+  this->service->shared->state.vms.Remove(name, MonotonicClock::now());
+  this->service->shared->WakeLongPolls();
 }
 
 uint64_t PlatformServer::Append(const std::string& stream,
                                 std::vector<std::string> bodies) {
-  PlatformState& state = this->service->core->state;
+  PlatformState& state = this->service->shared->state;
   LogStream& log = state.streams[stream];
   const uint64_t first = log.Append(std::move(bodies));
   log.Trim(state.faults.retention_records);
-  this->service->core->Wake();
+  this->service->shared->WakeLongPolls();
   return first;
 }
 
 void PlatformServer::Stop() {
-  this->service->core->stopped = true;
+  this->service->shared->stopped = true;
   this->service->server.Stop();
-  this->service->core->Wake();
+  this->service->shared->WakeLongPolls();
 }
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/platform_state.cc
+++ b/packages/ctl/src/platform_state.cc
@@ -7,7 +7,8 @@
 namespace basilsill::ctl {
 namespace {
 
-/// An append rate may be exceeded by what it allows in this time.
+/// The capacity of the token bucket is the number of appends that the rate
+/// allows in this time, and at least 1.
 constexpr std::chrono::duration<double> kBurst = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -41,7 +42,7 @@
   auto vms = this->versions.back().vms;
   const std::string name = vm.name;
   vms[name] = std::move(vm);
-  this->Push(std::move(vms), now);
+  this->AddVersion(std::move(vms), now);
 }
 
 bool VmTable::Remove(const std::string& name, TimePoint now) {
@@ -49,7 +50,7 @@
   if (vms.erase(name) == 0) {
     return false;
   }
-  this->Push(std::move(vms), now);
+  this->AddVersion(std::move(vms), now);
   return true;
 }
 
@@ -60,7 +61,7 @@
   return *std::prev(newer);
 }
 
-std::optional<TimePoint> VmTable::ChangeAfter(uint64_t number) const {
+std::optional<TimePoint> VmTable::TimeOfChangeAfter(uint64_t number) const {
   const auto next = std::find_if(
       this->versions.begin(), this->versions.end(),
       [number](const Version& version) { return version.number > number; });
@@ -68,7 +69,7 @@
                                       : std::optional(next->since);
 }
 
-void VmTable::Push(std::map<std::string, ListedVm> vms, TimePoint now) {
+void VmTable::AddVersion(std::map<std::string, ListedVm> vms, TimePoint now) {
   const uint64_t number = this->versions.back().number + 1;
   this->versions.push_back({number, now, std::move(vms)});
   if (this->versions.size() > kVersionsKept) {
@@ -76,20 +77,20 @@
   }
 }
 
-bool AppendRate::Allow(uint64_t per_second, TimePoint now) {
+bool AppendRateLimiter::Allow(uint64_t per_second, TimePoint now) {
   if (per_second == 0) {
-    this->filled_at.reset();
+    this->refilled_at.reset();
     return true;
   }
   const auto rate = static_cast<double>(per_second);
-  const double most = std::max(1.0, rate * kBurst.count());
-  if (!this->filled_at) {
-    this->tokens = most;
+  const double capacity = std::max(1.0, rate * kBurst.count());
+  if (!this->refilled_at) {
+    this->tokens = capacity;
   } else {
-    const std::chrono::duration<double> passed = now - *this->filled_at;
-    this->tokens = std::min(most, this->tokens + passed.count() * rate);
+    const std::chrono::duration<double> passed = now - *this->refilled_at;
+    this->tokens = std::min(capacity, this->tokens + passed.count() * rate);
   }
-  this->filled_at = now;
+  this->refilled_at = now;
   if (this->tokens < 1) {
     return false;
   }
@@ -108,9 +109,9 @@
     ++stats.append_refusals;
     return AppendOutcome::kDown;
   }
-  if (!state.append_rate.Allow(state.faults.appends_per_second, now)) {
+  if (!state.append_rate_limiter.Allow(state.faults.appends_per_second, now)) {
     ++stats.append_refusals;
-    return AppendOutcome::kTooFast;
+    return AppendOutcome::kRateLimited;
   }
   for (const std::string& body : bodies) {
     ++stats.append_records;
--- a/packages/ctl/src/resource_answer.cc
+++ b/packages/ctl/src/resource_answer.cc
@@ -23,7 +23,8 @@
   return value;
 }
 
-/// @returns the member at `path` if it is there and `is` holds for it.
+/// @returns the member at the JSON pointer `path` if it exists and has the type
+/// that `is` tests for, nullptr otherwise.
 const json::value* Find(const json::value& value,
                         const char* path,
                         bool (json::value::*is)() const noexcept) {
@@ -148,8 +149,9 @@
     }
   }
   if (failures.empty()) {
-    failures.push_back({FailureKind::kPlatformRejected, "",
-                        "the node answered " + std::to_string(status)});
+    failures.push_back(
+        {FailureKind::kPlatformRejected, "",
+         "the node answered with HTTP status " + std::to_string(status)});
   }
   return failures;
 }
@@ -160,7 +162,7 @@
   return first && second && first.value() == second.value();
 }
 
-std::optional<std::string_view> ResourceKindNamed(std::string_view text) {
+std::optional<std::string_view> FindResourceKind(std::string_view text) {
   for (const std::string_view kind : kResourceKinds) {
     if (text == kind || text == Singular(kind)) {
       return kind;
--- a/packages/ctl/src/resource_apply.cc
+++ b/packages/ctl/src/resource_apply.cc
@@ -1,4 +1,4 @@
-// `basilsillctl apply`.
+// `basilsillctl apply`, `drain` and `undrain`.
 
 #include <algorithm>
 #include <iostream>
@@ -27,12 +27,13 @@
 
 constexpr std::string_view kDataCentreKind = "data-centres";
 
-/// How often --wait asks whether a change is in force.
-constexpr std::chrono::milliseconds kWaitPeriod{100};
+/// Interval at which --wait polls whether a change is in force.
+constexpr std::chrono::milliseconds kWaitPollInterval{100};
 
-// Writes a spec as nodes write it, defaults included, so that a file that
-// leaves them out is seen to be the same.
-std::string Canonical(const ResourcePath& path, const std::string& spec) {
+// Returns the spec in the form in which nodes write it, with all defaults, so
+// that a file that omits defaults compares equal. An invalid spec is returned
+// unchanged.
+std::string CanonicalSpec(const ResourcePath& path, const std::string& spec) {
   const auto position = std::find(std::begin(kResourceKinds),
                                   std::end(kResourceKinds), path.kind);
   const auto kind = static_cast<ResourceKind>(
@@ -42,25 +43,26 @@
 }
 
 bool IsSame(const DeclaredResource& declared, const ResourceAnswer& current) {
-  return IsSameJson(Canonical(declared.path, declared.spec),
-                    Canonical(declared.path, current.body));
+  return IsSameJson(CanonicalSpec(declared.path, declared.spec),
+                    CanonicalSpec(declared.path, current.body));
 }
 
-/// What `apply` did to one resource.
-struct Applied {
+/// Outcome of `apply` for one resource.
+struct ApplyResult {
   std::string_view action;
   ResourceAnswer resource;
 };
 
-asio::awaitable<ApiResult<Applied>> ApplyOne(ResourceClient& client,
-                                             const DeclaredResource& declared) {
+asio::awaitable<ApiResult<ApplyResult>> ApplyOne(
+    ResourceClient& client,
+    const DeclaredResource& declared) {
   const auto current = co_await client.Get(declared.path);
   if (!current) {
     co_return current.error();
   }
   const auto& known = current.value();
   if (known && IsSame(declared, *known)) {
-    co_return Applied{"unchanged", *known};
+    co_return ApplyResult{"unchanged", *known};
   }
   auto base = declared.version;
   if (!base && known) {
@@ -70,10 +72,10 @@
   if (!put) {
     co_return put.error();
   }
-  co_return Applied{known ? "replaced" : "created", std::move(put.value())};
+  co_return ApplyResult{known ? "replaced" : "created", std::move(put.value())};
 }
 
-void PrintApplied(OutputFormat format, const Applied& applied) {
+void PrintApplied(OutputFormat format, const ApplyResult& applied) {
   const ResourceAnswer& resource = applied.resource;
   if (format == OutputFormat::kJson) {
     std::cout << "{\"action\":\"" << applied.action
@@ -84,12 +86,12 @@
             << " version " << resource.version << '\n';
 }
 
-asio::awaitable<void> Pause(std::chrono::milliseconds time) {
+asio::awaitable<void> Sleep(std::chrono::milliseconds time) {
   asio::steady_timer timer(co_await asio::this_coro::executor, time);
   co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-// Asks until `wanted` or what came after it is in force on every VM.
+// Polls until version `wanted.version` or a later one is in force on every VM.
 StatusAwaitable WaitInForce(ResourceClient& client,
                             const ResourceAnswer& wanted,
                             TimePoint deadline) {
@@ -101,7 +103,7 @@
                 << seen.in_force_on.size() << " VMs, not yet on all\n";
       co_return ExitStatus::kUnavailable;
     }
-    co_await Pause(kWaitPeriod);
+    co_await Sleep(kWaitPollInterval);
     auto current = co_await client.Get(path);
     if (!current) {
       co_return ReportError(current.error());
@@ -140,8 +142,8 @@
   co_return ExitStatus::kOk;
 }
 
-// Makes a data centre be drained, or not.
-ExitStatus RunDrainAs(bool drained,
+// Sets whether a data centre is drained.
+ExitStatus SetDrained(bool drained,
                       const std::string& help,
                       const CommandArguments& arguments) {
   TCLAP::CmdLine line(
@@ -173,26 +175,29 @@
 }  // namespace
 
 ExitStatus RunDrain(const CommandArguments& arguments) {
-  return RunDrainAs(true,
-                    "Keeps new work away from the upstreams of a data centre; "
-                    "what they run goes on.",
+  return SetDrained(true,
+                    "Stops sending new requests to the upstreams of a data "
+                    "centre; running requests continue.",
                     arguments);
 }
 
 ExitStatus RunUndrain(const CommandArguments& arguments) {
-  return RunDrainAs(false, "Takes a drained data centre back.", arguments);
+  return SetDrained(false, "Ends the drain of a data centre.", arguments);
 }
 
 ExitStatus RunApply(const CommandArguments& arguments) {
   TCLAP::CmdLine line(
-      "Makes resources be as a JSON file says (comments allowed): one object "
-      "{\"kind\", \"name\", \"spec\"} or an array of them, in the order given. "
-      "Each is based on its current version, or on the entry's \"version\". "
-      "Ends at the first that is not accepted. Exit status: 0 all accepted, 2 "
+      "Creates or replaces resources from a JSON file (comments allowed): one "
+      "object {\"kind\", \"name\", \"spec\"} or an array of them, applied in "
+      "the "
+      "order given. Each change is based on the current version, or on the "
+      "entry's \"version\". Stops at the first resource that is not accepted. "
+      "Exit status: 0 all accepted, 2 "
       "usage, 3 conflict, 4 rejected, 5 unavailable or unresolved.",
       ' ', BASILSILL_VERSION);
   ResourceOptions options(line);
-  TCLAP::ValueArg<std::string> file("f", "file", "File, - for standard input.",
+  TCLAP::ValueArg<std::string> file("f", "file",
+                                    "File to apply; - for standard input.",
                                     true, "", "FILE", line);
   TCLAP::SwitchArg wait("w", "wait", "Wait until in force on every live VM.",
                         line);
--- a/packages/ctl/src/resource_client.cc
+++ b/packages/ctl/src/resource_client.cc
@@ -11,22 +11,24 @@
 
 namespace asio = boost::asio;
 
-constexpr std::string_view kApi = "/api/v1/";
-/// Words of 32 random bits.
+constexpr std::string_view kApiPrefix = "/api/v1/";
+/// A change id has this many words of 32 random bits.
 constexpr int kChangeIdWords = 4;
 constexpr unsigned kFirstError = 300;
 constexpr unsigned kFirstServerError = 500;
 
 std::string TargetOf(const ResourcePath& path) {
-  return std::string(kApi) + path.kind + "/" + path.name;
+  return std::string(kApiPrefix) + path.kind + "/" + path.name;
 }
 
 std::string EntityTag(uint64_t version) {
   return "\"" + std::to_string(version) + "\"";
 }
 
-// Kinds say more than statuses: 409 is also a resource that is in use.
-ExitStatus ExitOf(unsigned status, const std::vector<Failure>& failures) {
+// A conflict is detected by the failure kind, because HTTP status 409 also
+// means that the resource is in use.
+ExitStatus ExitStatusFor(unsigned status,
+                         const std::vector<Failure>& failures) {
   if (status >= kFirstServerError) {
     return ExitStatus::kUnavailable;
   }
@@ -43,10 +45,11 @@
   return MakeError(
       ExitStatus::kUnavailable,
       {{FailureKind::kUnresolved, cause.path,
-        cause.detail + "; whether the change takes effect is not known"}});
+        cause.detail + "; it is unknown whether the change took effect"}});
 }
 
-// Names one change on all nodes and for ever, however often it is sent.
+// Returns a random id that identifies one change on all nodes and in all
+// retries.
 std::string NewChangeId() {
   std::random_device random;
   std::ostringstream id;
@@ -74,8 +77,8 @@
 }
 
 template <typename T>
-ApiResult<T> Read(const ApiResult<HttpAnswer>& answer,
-                  Result<T> (*parse)(std::string_view)) {
+ApiResult<T> ParseAnswer(const ApiResult<HttpAnswer>& answer,
+                         Result<T> (*parse)(std::string_view)) {
   if (!answer) {
     return answer.error();
   }
@@ -95,18 +98,21 @@
       nodes(std::move(endpoints)),
       timeout(call_timeout) {}
 
-// Asks each node once. A change carries its id, so that the next node takes it
-// for the same one. Once a node may have taken a change, no later failure to
-// reach another makes it certain that it had no effect.
-asio::awaitable<ApiResult<HttpAnswer>> ResourceClient::CallRound(
+// Sends the call to each node once, until one answers with a status below 500.
+// The change id makes it safe to send a change to the next node. Once a node
+// may have accepted the change, the result is unresolved even if the other
+// nodes can't be reached.
+asio::awaitable<ApiResult<HttpAnswer>> ResourceClient::CallEachNode(
     const HttpCall& call) {
-  ApiError last = MakeError(
-      ExitStatus::kUsage, {{FailureKind::kMissingField, "--node", "no node"}});
-  bool is_open = false;
+  ApiError last =
+      MakeError(ExitStatus::kUsage,
+                {{FailureKind::kMissingField, "--node", "is required"}});
+  bool may_have_applied = false;
   for (const Endpoint& node : this->nodes) {
     const HttpResult result = co_await this->http.Call(node, call);
     if (!result) {
-      is_open = is_open || (result.error().sent && !call.repeatable);
+      may_have_applied =
+          may_have_applied || (result.error().sent && !call.repeatable);
       last = MakeError(ExitStatus::kUnavailable, {result.error()});
       continue;
     }
@@ -115,14 +121,14 @@
       co_return answer;
     }
     auto failures = ParseFailures(answer.status, answer.body);
-    const ExitStatus exit = ExitOf(answer.status, failures);
+    const ExitStatus exit = ExitStatusFor(answer.status, failures);
     last = MakeError(exit, std::move(failures));
     if (answer.status < kFirstServerError) {
       co_return last;
     }
-    is_open = is_open || IsUnresolved(last.failures);
+    may_have_applied = may_have_applied || IsUnresolved(last.failures);
   }
-  if (is_open) {
+  if (may_have_applied) {
     co_return Unresolved(last);
   }
   co_return last;
@@ -130,10 +136,10 @@
 
 asio::awaitable<ApiResult<HttpAnswer>> ResourceClient::Call(HttpCall call) {
   call.timeout = this->timeout;
-  auto result = co_await this->CallRound(call);
+  auto result = co_await this->CallEachNode(call);
   if (!result && result.error().kind == FailureKind::kUnresolved) {
-    // The first node may be back, or know by now.
-    result = co_await this->CallRound(call);
+    // A node that failed may be available again, or may now know the outcome.
+    result = co_await this->CallEachNode(call);
     if (!result && result.error().exit == ExitStatus::kUnavailable) {
       co_return Unresolved(result.error());
     }
@@ -149,7 +155,7 @@
   if (!answer && answer.error().kind == FailureKind::kNotFound) {
     co_return std::optional<ResourceAnswer>();
   }
-  auto read = Read(answer, &ParseResource);
+  auto read = ParseAnswer(answer, &ParseResource);
   if (!read) {
     co_return read.error();
   }
@@ -159,8 +165,9 @@
 asio::awaitable<ApiResult<ResourceList>> ResourceClient::List(
     std::string kind) {
   HttpCall call;
-  call.target = std::string(kApi) + kind;
-  co_return Read(co_await this->Call(std::move(call)), &ParseResourceList);
+  call.target = std::string(kApiPrefix) + kind;
+  co_return ParseAnswer(co_await this->Call(std::move(call)),
+                        &ParseResourceList);
 }
 
 asio::awaitable<ApiResult<ResourceAnswer>> ResourceClient::Put(
@@ -172,7 +179,7 @@
   call.headers.push_back(base ? HttpHeader{"If-Match", EntityTag(*base)}
                               : HttpHeader{"If-None-Match", "*"});
   call.body = std::move(spec);
-  co_return Read(co_await this->Call(std::move(call)), &ParseResource);
+  co_return ParseAnswer(co_await this->Call(std::move(call)), &ParseResource);
 }
 
 asio::awaitable<ApiResult<ExitStatus>> ResourceClient::Delete(ResourcePath path,
@@ -188,7 +195,7 @@
 
 asio::awaitable<ApiResult<std::string>> ResourceClient::Status() {
   HttpCall call;
-  call.target = std::string(kApi) + "status";
+  call.target = std::string(kApiPrefix) + "status";
   const auto answer = co_await this->Call(std::move(call));
   if (!answer) {
     co_return answer.error();
--- a/packages/ctl/src/resource_commands.cc
+++ b/packages/ctl/src/resource_commands.cc
@@ -83,10 +83,10 @@
       "no such resource, 5 unavailable.",
       ' ', BASILSILL_VERSION);
   ResourceOptions options(line);
-  TCLAP::UnlabeledValueArg<std::string> kind("kind", "Kind.", true, "", "KIND",
-                                             line);
-  TCLAP::UnlabeledValueArg<std::string> name("name", "Name.", true, "", "NAME",
-                                             line);
+  TCLAP::UnlabeledValueArg<std::string> kind("kind", "Resource kind.", true, "",
+                                             "KIND", line);
+  TCLAP::UnlabeledValueArg<std::string> name("name", "Resource name.", true, "",
+                                             "NAME", line);
   if (const auto status = options.Parse(line, arguments)) {
     return *status;
   }
@@ -101,12 +101,12 @@
 
 ExitStatus RunList(const CommandArguments& arguments) {
   TCLAP::CmdLine line(
-      "Shows the resources of a kind, or of all. Exit status: "
+      "Shows the resources of one kind or of all kinds. Exit status: "
       "0 shown, 2 usage, 5 unavailable.",
       ' ', BASILSILL_VERSION);
   ResourceOptions options(line);
-  TCLAP::UnlabeledValueArg<std::string> kind("kind", "Kind, or 'all'.", true,
-                                             "", "KIND", line);
+  TCLAP::UnlabeledValueArg<std::string> kind("kind", "Resource kind, or 'all'.",
+                                             true, "", "KIND", line);
   if (const auto status = options.Parse(line, arguments)) {
     return *status;
   }
@@ -131,12 +131,13 @@
       ' ', BASILSILL_VERSION);
   ResourceOptions options(line);
   TCLAP::ValueArg<uint64_t> version(
-      "", "if-version", "Version it must have; the current one without it.",
-      false, 0, "VERSION", line);
-  TCLAP::UnlabeledValueArg<std::string> kind("kind", "Kind.", true, "", "KIND",
-                                             line);
-  TCLAP::UnlabeledValueArg<std::string> name("name", "Name.", true, "", "NAME",
-                                             line);
+      "", "if-version",
+      "Version that the resource must have (default: the current one).", false,
+      0, "VERSION", line);
+  TCLAP::UnlabeledValueArg<std::string> kind("kind", "Resource kind.", true, "",
+                                             "KIND", line);
+  TCLAP::UnlabeledValueArg<std::string> name("name", "Resource name.", true, "",
+                                             "NAME", line);
   if (const auto status = options.Parse(line, arguments)) {
     return *status;
   }
@@ -153,7 +154,7 @@
 
 ExitStatus RunStatus(const CommandArguments& arguments) {
   TCLAP::CmdLine line(
-      "Shows what a node knows of the installation. Exit "
+      "Shows the status of the installation, as one node reports it. Exit "
       "status: 0 shown, 2 usage, 5 unavailable.",
       ' ', BASILSILL_VERSION);
   ResourceOptions options(line);
--- a/packages/ctl/src/resource_commands.h
+++ b/packages/ctl/src/resource_commands.h
@@ -3,11 +3,11 @@
 
 #include "command.h"
 
-/// Subcommands over the nodes' resource API.
+/// Subcommands that call the resource API of nodes.
 
 namespace basilsill::ctl {
 
-/// `apply -f FILE`: makes resources be as a file says.
+/// `apply -f FILE`: creates or replaces resources from a file.
 ExitStatus RunApply(const CommandArguments& arguments);
 /// `get KIND NAME`: shows one resource.
 ExitStatus RunGet(const CommandArguments& arguments);
@@ -15,13 +15,13 @@
 ExitStatus RunList(const CommandArguments& arguments);
 /// `delete KIND NAME`: deletes one resource.
 ExitStatus RunDelete(const CommandArguments& arguments);
-/// `drain DATA-CENTRE`: keeps new work away from it.
+/// `drain DATA-CENTRE`: stops sending new requests to its upstreams.
 ExitStatus RunDrain(const CommandArguments& arguments);
-/// `undrain DATA-CENTRE`: takes it back.
+/// `undrain DATA-CENTRE`: ends the drain.
 ExitStatus RunUndrain(const CommandArguments& arguments);
-/// `status`: shows what a node knows of the installation.
+/// `status`: shows the status of the installation, as one node reports it.
 ExitStatus RunStatus(const CommandArguments& arguments);
-/// `watch`: follows changes from an offset on.
+/// `watch`: prints changes of resources from an offset on.
 ExitStatus RunWatch(const CommandArguments& arguments);
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/resource_file.cc
+++ b/packages/ctl/src/resource_file.cc
@@ -19,7 +19,7 @@
 constexpr std::array<std::string_view, 4> kFields = {"kind", "name", "spec",
                                                      "version"};
 
-/// Reads one entry and adds what is wrong with it to `faults`.
+/// Reads one entry of the file and appends its errors to `faults`.
 class EntryReader {
  public:
   EntryReader(const json::object& from,
@@ -41,7 +41,7 @@
   const json::value* Find(const char* field) {
     const json::value* value = this->object.if_contains(field);
     if (value == nullptr) {
-      this->Reject(FailureKind::kMissingField, field, "must be there");
+      this->Reject(FailureKind::kMissingField, field, "is required");
     }
     return value;
   }
@@ -60,12 +60,12 @@
 
   std::string ReadKind() {
     const std::string text = this->ReadText("kind");
-    const auto kind = ResourceKindNamed(text);
+    const auto kind = FindResourceKind(text);
     if (!text.empty() && !kind) {
       this->Reject(FailureKind::kOutOfRange, "kind",
                    "'" + text +
                        "' is not one of team, service, upstream-set, "
-                       "rule, limits");
+                       "rule, limits, data-centre");
     }
     return std::string(kind.value_or(""));
   }
@@ -75,7 +75,7 @@
     if (!name.empty() && !IsResourceName(name)) {
       this->Reject(FailureKind::kOutOfRange, "name",
                    "'" + name +
-                       "' is not lower-case letters, digits and "
+                       "' must have only lower-case letters, digits and "
                        "inner hyphens");
     }
     return name;
@@ -90,7 +90,7 @@
     const auto version = value->to_number<uint64_t>(error);
     if (error) {
       this->Reject(FailureKind::kWrongType, "version",
-                   "must be a whole number from 0");
+                   "must be an integer of at least 0");
     }
     return version;
   }
--- a/packages/ctl/src/resource_file.h
+++ b/packages/ctl/src/resource_file.h
@@ -10,25 +10,26 @@
 #include "basilsill/base/error.h"
 #include "resource_client.h"
 
-/// Files of `basilsillctl apply`: one resource or an array of them, JSON with
-/// comments.
+/// Parser for files of `basilsillctl apply`: JSON with comments and trailing
+/// commas that has one resource or an array of them.
 
 namespace basilsill::ctl {
 
-/// One resource that shall be as `spec` says.
+/// Desired state of one resource.
 struct DeclaredResource {
   ResourcePath path;
-  std::string spec;  ///< JSON, with the name that the API wants in it.
-  /// Version that the file was written against; absent: the current one.
+  std::string spec;  ///< JSON, with the field `name` that the API requires.
+  /// Version that the change is based on; absent: the current one.
   std::optional<uint64_t> version;
 };
 
 /// Reads `{"kind", "name", "spec"}` with an optional `version`, or an array.
-/// @returns the resources in the order of the file, or all faults at once.
+/// @returns the resources in the order of the file, or all errors of the file.
 CheckedResult<std::vector<DeclaredResource>> ParseResourceFile(
     std::string_view text);
 
-/// Reads the file `path`, `-` for standard input.
+/// Reads and parses the file `path`; `-` is standard input.
+/// @returns the errors of ParseResourceFile, or kUnreadable.
 CheckedResult<std::vector<DeclaredResource>> ReadResourceFile(
     const std::string& path);
 
--- a/packages/ctl/src/resource_options.cc
+++ b/packages/ctl/src/resource_options.cc
@@ -39,7 +39,7 @@
              line),
       seconds("",
               "timeout",
-              "Seconds for each call and for --wait.",
+              "Time limit of each call and of --wait, in seconds.",
               false,
               kDefaultSeconds,
               "SECONDS",
@@ -79,9 +79,9 @@
 }
 
 std::optional<std::string> CheckKind(const std::string& text) {
-  const auto kind = ResourceKindNamed(text);
+  const auto kind = FindResourceKind(text);
   if (!kind) {
-    std::cerr << "no kind '" << text << "'; there are";
+    std::cerr << "unknown kind '" << text << "'; must be one of";
     for (const std::string_view known : kResourceKinds) {
       std::cerr << ' ' << known;
     }
@@ -99,8 +99,8 @@
   }
   if (!IsResourceName(name)) {
     std::cerr << "'" << name
-              << "' can't name a resource: lower-case letters, digits and "
-                 "inner hyphens, at most "
+              << "' is not a resource name: must have only lower-case letters, "
+                 "digits and inner hyphens, expected length at most "
               << limits::kMaxNameLength << '\n';
     return std::nullopt;
   }
--- a/packages/ctl/src/resource_options.h
+++ b/packages/ctl/src/resource_options.h
@@ -17,17 +17,18 @@
 class io_context;
 }
 
-/// Arguments that all resource commands share.
+/// Command-line arguments that all resource commands share.
 
 namespace basilsill::ctl {
 
-/// Adds the shared arguments to a command line and reads them after the parse.
+/// Adds the shared arguments to a command line and gives access to their values
+/// after Parse().
 class ResourceOptions {
  public:
   explicit ResourceOptions(TCLAP::CmdLine& line);
 
-  /// Parses `arguments` and the shared ones.
-  /// @returns the status to exit with at once, or nothing.
+  /// Parses `arguments` and checks the shared ones.
+  /// @returns the status to exit with at once, or nothing to continue.
   std::optional<ExitStatus> Parse(TCLAP::CmdLine& line,
                                   const CommandArguments& arguments);
 
@@ -35,7 +36,7 @@
   OutputFormat format() const;
   std::chrono::milliseconds timeout() const;
 
-  /// @returns a client of the nodes given, on `io`.
+  /// @returns a client of the nodes given with --node, which runs on `io`.
   ResourceClient MakeClient(boost::asio::io_context& io) const;
 
  private:
@@ -46,10 +47,12 @@
   std::vector<Endpoint> endpoints;
 };
 
-/// @returns the kind called `text`, or nothing after telling the user.
+/// @returns the kind with the name `text`. If there is none, prints an error
+/// and returns nothing.
 std::optional<std::string> CheckKind(const std::string& text);
 
-/// @returns a path that is safe in a target, or nothing after telling the user.
+/// @returns a path whose parts are safe in a request target. If the kind or the
+/// name is invalid, prints an error and returns nothing.
 std::optional<ResourcePath> CheckPath(const std::string& kind,
                                       const std::string& name);
 
--- a/packages/ctl/src/resource_print.cc
+++ b/packages/ctl/src/resource_print.cc
@@ -20,7 +20,7 @@
 
 void Indent(const json::value& value, size_t depth, std::string& out);
 
-// Writes `entries` one a line between `open` and `close`.
+// Writes one entry per line between `open` and `close`.
 template <typename Entries, typename WriteEntry>
 void IndentEntries(const Entries& entries,
                    char open,
@@ -66,7 +66,8 @@
                      [](const json::value& row) { return row.is_object(); });
 }
 
-// Columns are the fields of the first row; what others lack is "-".
+// The columns are the fields of the first entry; a field that another entry
+// lacks is printed as "-".
 void PrintTable(std::ostream& out, const json::array& entries) {
   std::vector<std::vector<std::string>> rows(1);
   for (const auto& field : entries.front().get_object()) {
--- a/packages/ctl/src/resource_print.h
+++ b/packages/ctl/src/resource_print.h
@@ -9,43 +9,49 @@
 #include "resource_answer.h"
 #include "resource_client.h"
 
-/// What the resource commands print.
+/// Output of the resource commands.
 
 namespace basilsill::ctl {
 
 enum class OutputFormat : uint8_t {
-  kTable,  ///< For people.
-  kJson,   ///< One JSON text a line.
+  kTable,  ///< Human-readable.
+  kJson,   ///< One JSON text per line.
   kCount
 };
 
-/// Prints rows in columns; the first row is the heading.
+/// Prints rows with aligned columns; a heading is the first row.
 void PrintColumns(std::ostream& out,
                   const std::vector<std::vector<std::string>>& rows);
 
+/// Prints one line for each resource.
 void PrintResources(std::ostream& out,
                     OutputFormat format,
                     const std::vector<ResourceAnswer>& resources);
 
-/// Prints one resource with its body.
+/// Prints one resource with its status and spec.
 void PrintResource(std::ostream& out,
                    OutputFormat format,
                    const ResourceAnswer& resource);
 
-/// Prints any JSON: an object's fields by line, arrays of objects as tables.
+/// Prints a JSON text. In the table format an object has one field per line,
+/// and arrays of objects are tables.
 void PrintDocument(std::ostream& out,
                    OutputFormat format,
                    std::string_view document);
 
-/// @returns `document` with line breaks and indents.
+/// @returns `document` with line breaks and indentation; unchanged if it is not
+/// valid JSON.
 std::string IndentJson(std::string_view document);
 
-/// Prints what stands against a call to standard error.
+/// Prints the failures of a call to standard error.
 /// @returns the status to exit with.
 ExitStatus ReportError(const ApiError& error);
+
+/// Prints to standard error that a resource does not exist.
+/// @returns the status to exit with.
 ExitStatus ReportMissing(const ResourcePath& path);
 
-/// Prints failures by line, for people.
+/// Prints one line for each failure.
 void PrintFailures(std::ostream& out, const std::vector<Failure>& failures);
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/resource_stream.cc
+++ b/packages/ctl/src/resource_stream.cc
@@ -22,45 +22,46 @@
 constexpr auto kNoThrow = asio::as_tuple(asio::use_awaitable);
 constexpr unsigned kOk = 200;
 
-/// Cuts what arrives into lines.
+/// Splits received bytes into lines and passes them to the handler.
 class LineSplitter {
  public:
   explicit LineSplitter(LineHandler handle) : handler(std::move(handle)) {}
 
-  /// @returns false once the handler has stopped.
+  /// @returns false if the handler returned false.
   bool Add(std::string_view bytes) {
-    this->rest += bytes;
+    this->pending += bytes;
     size_t begin = 0;
-    for (size_t end = this->rest.find('\n'); end != std::string::npos;
-         end = this->rest.find('\n', begin)) {
-      const std::string_view whole = this->rest;
+    for (size_t end = this->pending.find('\n'); end != std::string::npos;
+         end = this->pending.find('\n', begin)) {
+      const std::string_view whole = this->pending;
       if (!this->handler(whole.substr(begin, end - begin))) {
         return false;
       }
       begin = end + 1;
     }
-    this->rest.erase(0, begin);
+    this->pending.erase(0, begin);
     return true;
   }
 
-  size_t pending_bytes() const { return this->rest.size(); }
+  size_t pending_bytes() const { return this->pending.size(); }
 
  private:
   LineHandler handler;
-  std::string rest;
+  std::string pending;
 };
 
-StreamEnd Broken(const Endpoint& endpoint, beast::error_code error) {
-  StreamEnd end;
+StreamResult ConnectionFailure(const Endpoint& endpoint,
+                               beast::error_code error) {
+  StreamResult end;
   end.failure =
       Failure{FailureKind::kNetwork, ToString(endpoint), error.message()};
   return end;
 }
 
-// Sends the request on a connection of its own.
-asio::awaitable<beast::error_code> Ask(beast::tcp_stream& stream,
-                                       const Endpoint& endpoint,
-                                       const std::string& target) {
+// Connects and sends the request.
+asio::awaitable<beast::error_code> SendRequest(beast::tcp_stream& stream,
+                                               const Endpoint& endpoint,
+                                               const std::string& target) {
   beast::error_code error;
   const auto address = asio::ip::make_address(endpoint.address, error);
   if (error) {
@@ -81,19 +82,20 @@
 
 }  // namespace
 
-asio::awaitable<StreamEnd> StreamLines(Endpoint endpoint,
-                                       std::string target,
-                                       LineHandler handle) {
+asio::awaitable<StreamResult> StreamLines(Endpoint endpoint,
+                                          std::string target,
+                                          LineHandler handle) {
   beast::tcp_stream stream(co_await asio::this_coro::executor);
-  const beast::error_code ask_error = co_await Ask(stream, endpoint, target);
-  if (ask_error) {
-    co_return Broken(endpoint, ask_error);
+  const beast::error_code request_error =
+      co_await SendRequest(stream, endpoint, target);
+  if (request_error) {
+    co_return ConnectionFailure(endpoint, request_error);
   }
   beast::flat_buffer buffer;
   http::response_parser<http::buffer_body> parser;
   parser.body_limit(boost::none);
   std::array<char, limits::kBodyChunkBytes> chunk{};
-  StreamEnd end;
+  StreamResult end;
   LineSplitter lines(std::move(handle));
   do {
     stream.expires_after(limits::kMaxPlatformWait);
@@ -102,7 +104,7 @@
     auto [error, received] =
         co_await http::async_read_some(stream, buffer, parser, kNoThrow);
     if (error && error != http::error::need_buffer) {
-      co_return Broken(endpoint, error);
+      co_return ConnectionFailure(endpoint, error);
     }
     if (!parser.is_header_done()) {
       continue;
@@ -112,13 +114,15 @@
     if (parser.get().result_int() != kOk) {
       end.refusal.body += bytes;
     } else if (!lines.Add(bytes)) {
-      end.is_stopped = true;
+      end.stopped_by_handler = true;
       co_return end;
     }
     if (lines.pending_bytes() + end.refusal.body.size() >
         limits::kMaxPlatformAnswerBytes) {
-      end.failure = Failure{FailureKind::kOversizedFrame, ToString(endpoint),
-                            "a line or answer is too long"};
+      end.failure = Failure{
+          FailureKind::kOversizedFrame, ToString(endpoint),
+          "a line or error body is longer than " +
+              std::to_string(limits::kMaxPlatformAnswerBytes) + " bytes"};
       co_return end;
     }
   } while (!parser.is_done());
--- a/packages/ctl/src/resource_stream.h
+++ b/packages/ctl/src/resource_stream.h
@@ -11,25 +11,25 @@
 #include "basilsill/base/endpoint.h"
 #include "basilsill/platform/http_message.h"
 
-/// Answers that are read line by line while they are made.
+/// Reader for streamed HTTP answers, line by line.
 
 namespace basilsill::ctl {
 
-/// Takes one line, without its end. @returns false to stop reading.
+/// Called with each line, without its line end. @returns false to stop reading.
 using LineHandler = std::function<bool(std::string_view line)>;
 
 /// How a stream ended.
-struct StreamEnd {
-  bool is_stopped = false;         ///< The handler stopped it.
-  HttpAnswer refusal;              ///< An answer above 299, with its body.
-  std::optional<Failure> failure;  ///< kNetwork, kOversizedFrame.
+struct StreamResult {
+  bool stopped_by_handler = false;  ///< The handler returned false.
+  HttpAnswer refusal;               ///< An answer with a status other than 200.
+  std::optional<Failure> failure;   ///< kNetwork, kOversizedFrame.
 };
 
-/// Gets `target` and gives each line of a 200 answer to `handle`. Silence for
-/// limits::kMaxPlatformWait counts as a broken connection.
-boost::asio::awaitable<StreamEnd> StreamLines(Endpoint endpoint,
-                                              std::string target,
-                                              LineHandler handle);
+/// Sends a GET request for `target` and calls `handle` with each line of a 200
+/// answer. No data for limits::kMaxPlatformWait is a kNetwork failure.
+boost::asio::awaitable<StreamResult> StreamLines(Endpoint endpoint,
+                                                 std::string target,
+                                                 LineHandler handle);
 
 }  // namespace basilsill::ctl
 
--- a/packages/ctl/src/resource_watch.cc
+++ b/packages/ctl/src/resource_watch.cc
@@ -28,11 +28,11 @@
 constexpr unsigned kUnavailable = 503;
 constexpr std::string_view kIdle = "idle";
 
-/// Where a watch stands.
+/// Progress of a watch.
 struct WatchState {
-  uint64_t next = 0;
-  std::optional<uint64_t> lines_left;
-  std::optional<Failure> fault;  ///< A line that can't be read.
+  uint64_t next = 0;                   ///< Offset at which to continue.
+  std::optional<uint64_t> lines_left;  ///< Absent: no limit.
+  std::optional<Failure> fault;        ///< Set if a line is malformed.
 };
 
 std::string FieldText(const json::object& line, const char* field) {
@@ -58,16 +58,18 @@
             << FieldText(resource, "version") << std::endl;
 }
 
-// Takes one line. Returns false if the watch shall not read on.
-bool TakeLine(std::string_view text, OutputFormat format, WatchState& watch) {
+// Handles one line. Returns false if the watch ends, after the last line wanted
+// or at a malformed one.
+bool HandleLine(std::string_view text, OutputFormat format, WatchState& watch) {
   boost::system::error_code error;
   const json::value value = json::parse({text.data(), text.size()}, error);
   const json::object* line = value.if_object();
   const json::value* next =
       line == nullptr ? nullptr : line->if_contains("next");
   if (error || next == nullptr || !next->is_number()) {
-    watch.fault = Failure{FailureKind::kSyntax, "",
-                          "a line is no object with a number in 'next'"};
+    watch.fault =
+        Failure{FailureKind::kSyntax, "",
+                "each line must be an object with a number in 'next'"};
     return false;
   }
   watch.next = next->to_number<uint64_t>(error);
@@ -81,20 +83,21 @@
   return --*watch.lines_left > 0;
 }
 
-asio::awaitable<void> RestUntil(TimePoint when) {
+asio::awaitable<void> SleepUntil(TimePoint when) {
   asio::steady_timer timer(co_await asio::this_coro::executor);
   timer.expires_at(asio::steady_timer::time_point(when.time_since_epoch()));
   co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-// Finds how a stream's end concludes the watch; nothing: go on elsewhere.
-std::optional<ExitStatus> Conclude(const StreamEnd& end,
-                                   const WatchState& watch) {
+// Returns the exit status if the watch ends with this stream, or nothing if it
+// continues on another node.
+std::optional<ExitStatus> ExitStatusAfter(const StreamResult& end,
+                                          const WatchState& watch) {
   if (watch.fault) {
     std::cerr << ToString(*watch.fault) << '\n';
     return ExitStatus::kFailed;
   }
-  if (end.is_stopped) {
+  if (end.stopped_by_handler) {
     return ExitStatus::kOk;
   }
   if (end.refusal.status != 0 && end.refusal.status != kUnavailable) {
@@ -105,38 +108,40 @@
   return std::nullopt;
 }
 
-// Follows the stream on whichever node answers, until `watch` has its lines or
-// no node has answered for `patience`.
+// Reads the stream from any node that answers, until all lines asked for were
+// printed or no line has arrived for `idle_timeout`.
 asio::awaitable<ExitStatus> Follow(EndpointSet nodes,
                                    WatchState watch,
                                    OutputFormat format,
-                                   std::chrono::milliseconds patience) {
+                                   std::chrono::milliseconds idle_timeout) {
   TimePoint last_line = MonotonicClock::now();
   const std::vector<bool> none_tried(nodes.size(), false);
   LineHandler handle = [&](std::string_view text) {
     last_line = MonotonicClock::now();
-    return TakeLine(text, format, watch);
+    return HandleLine(text, format, watch);
   };
-  while (MonotonicClock::now() - last_line < patience) {
-    co_await RestUntil(nodes.NextAvailableAt(MonotonicClock::now()));
+  while (MonotonicClock::now() - last_line < idle_timeout) {
+    co_await SleepUntil(nodes.NextAvailableAt(MonotonicClock::now()));
     const auto position = nodes.Choose(MonotonicClock::now(), none_tried);
     if (!position) {
       continue;
     }
-    const StreamEnd end = co_await StreamLines(
+    const StreamResult end = co_await StreamLines(
         nodes.At(*position), "/api/v1/watch?from=" + std::to_string(watch.next),
         handle);
-    if (const auto status = Conclude(end, watch)) {
+    if (const auto status = ExitStatusAfter(end, watch)) {
       co_return *status;
     }
     nodes.ReportFailure(*position, MonotonicClock::now());
-    std::cerr << "stream ended, going on from " << watch.next << '\n';
+    std::cerr << "stream ended, resuming from offset " << watch.next << '\n';
   }
-  std::cerr << "no node answers\n";
+  std::cerr << "no line received from any node within " << idle_timeout.count()
+            << " ms\n";
   co_return ExitStatus::kUnavailable;
 }
 
-// Without an offset the watch begins at what is now in force.
+// Without an offset the watch starts after the newest change that the node that
+// answers has in force.
 asio::awaitable<ExitStatus> Watch(ResourceClient& client,
                                   EndpointSet nodes,
                                   std::optional<uint64_t> from,
@@ -159,17 +164,18 @@
 
 ExitStatus RunWatch(const CommandArguments& arguments) {
   TCLAP::CmdLine line(
-      "Follows changes of resources, one a line, across nodes that come and "
-      "go. The first column tells where to go on with --from. Exit status: 0 "
+      "Prints changes of resources, one per line, and fails over between "
+      "nodes. "
+      "The first column is the offset to resume at with --from. Exit status: 0 "
       "all lines asked for were shown, 2 usage, 4 rejected, 5 no node "
       "answered for the timeout.",
       ' ', BASILSILL_VERSION);
   ResourceOptions options(line);
-  TCLAP::ValueArg<uint64_t> from("", "from",
-                                 "Offset to begin at; now without it.", false,
-                                 0, "OFFSET", line);
+  TCLAP::ValueArg<uint64_t> from(
+      "", "from", "Offset to start at (default: the current one).", false, 0,
+      "OFFSET", line);
   TCLAP::ValueArg<uint64_t> count("", "count",
-                                  "End after so many lines; 0 never ends.",
+                                  "Number of lines to print; 0: no limit.",
                                   false, 0, "LINES", line);
   if (const auto status = options.Parse(line, arguments)) {
     return *status;
--- a/packages/ctl/src/upstream_body.cc
+++ b/packages/ctl/src/upstream_body.cc
@@ -13,7 +13,8 @@
 constexpr size_t kCheckBytes = 4096;
 constexpr std::string_view kHexDigits = "0123456789abcdef";
 
-// The finalizer of SplitMix64: neighbouring positions give unrelated words.
+// The finalizer of SplitMix64, which gives uncorrelated words for adjacent
+// positions.
 uint64_t PatternWord(uint64_t seed, uint64_t index) {
   uint64_t word = seed + (index + 1) * 0x9e3779b97f4a7c15U;
   word = (word ^ (word >> 30U)) * 0xbf58476d1ce4e5b9U;
@@ -21,8 +22,9 @@
   return word ^ (word >> 31U);
 }
 
-// Copies what fits of a word, from its byte `skip` on.
-// @returns how many bytes were copied.
+// Copies the bytes of `word` from byte `skip` on, as far as they fit into
+// `out`.
+// @returns the number of bytes copied.
 size_t CopyWord(uint64_t word, size_t skip, std::span<char> out) {
   std::array<char, kWordBytes> bytes{};
   std::memcpy(bytes.data(), &word, kWordBytes);
--- a/packages/ctl/src/upstream_command.cc
+++ b/packages/ctl/src/upstream_command.cc
@@ -36,7 +36,8 @@
   return boost::outcome_v2::success();
 }
 
-// Reads the flags that were given into `behaviour`; prints every fault.
+// Reads the flags that were given into `behaviour`. Prints every error and
+// returns false if there is one.
 bool ReadFields(const std::vector<std::unique_ptr<FieldArgument>>& arguments,
                 UpstreamBehaviour& behaviour) {
   bool good = true;
@@ -55,7 +56,8 @@
 }
 
 ExitStatus Serve(const UpstreamOptions& options) {
-  // Before the first line is printed: whoever reads it may send a signal.
+  // The handlers are installed before the first line is printed, because its
+  // reader may send a signal at once.
   boost::asio::io_context io;
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   signals.async_wait([](const auto&, int) {});
@@ -80,16 +82,21 @@
 ExitStatus RunUpstream(const CommandArguments& arguments) {
   UpstreamOptions options;
   TCLAP::CmdLine line("Emulated upstream instances.", ' ', BASILSILL_VERSION);
-  TCLAP::ValueArg<std::string> listen(
-      "", "listen", "Endpoint of the first instance; port 0: any.", false,
-      "127.0.0.1:0", "ADDRESS:PORT", line);
-  TCLAP::ValueArg<size_t> count("", "count", "Instances in this process.",
-                                false, options.count, "N", line);
-  TCLAP::ValueArg<size_t> threads("", "threads", "Threads they share.", false,
-                                  options.threads, "N", line);
-  TCLAP::ValueArg<std::string> name("", "name", "Name, or prefix of names.",
-                                    false, options.name, "NAME", line);
-  TCLAP::ValueArg<uint64_t> seed("", "seed", "Of the service times.", false,
+  TCLAP::ValueArg<std::string> listen("", "listen",
+                                      "Endpoint of the first instance; with "
+                                      "port 0 the kernel chooses the ports.",
+                                      false, "127.0.0.1:0", "ADDRESS:PORT",
+                                      line);
+  TCLAP::ValueArg<size_t> count("", "count", "Number of instances.", false,
+                                options.count, "N", line);
+  TCLAP::ValueArg<size_t> threads("", "threads",
+                                  "Number of threads that the instances share.",
+                                  false, options.threads, "N", line);
+  TCLAP::ValueArg<std::string> name(
+      "", "name", "Name of the instance, or name prefix of several.", false,
+      options.name, "NAME", line);
+  TCLAP::ValueArg<uint64_t> seed("", "seed",
+                                 "Random seed of the service times.", false,
                                  options.seed, "S", line);
   std::vector<std::unique_ptr<FieldArgument>> fields;
   for (const UpstreamField& field : AllUpstreamFields()) {
--- a/packages/ctl/src/upstream_command.h
+++ b/packages/ctl/src/upstream_command.h
@@ -5,7 +5,7 @@
 
 namespace basilsill::ctl {
 
-/// `basilsillctl upstream`: serves emulated instances until SIGTERM.
+/// `basilsillctl upstream`: serves emulated instances until SIGTERM or SIGINT.
 ExitStatus RunUpstream(const CommandArguments& arguments);
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/upstream_instance.cc
+++ b/packages/ctl/src/upstream_instance.cc
@@ -42,8 +42,8 @@
       instance_name(std::move(name)),
       acceptor(io_context),
       restart_timer(io_context),
-      machine(behaviour, seed, MonotonicClock::now()),
-      owners(kMaxUpstreamWorks, nullptr) {}
+      state_machine(behaviour, seed, MonotonicClock::now()),
+      owners(kMaxUpstreamJobs, nullptr) {}
 
 Result<void> UpstreamInstance::Listen() {
   error_code error;
@@ -86,8 +86,9 @@
 }
 
 void UpstreamInstance::Admit(tcp::socket socket) {
-  UpstreamCounts& counts = this->machine.mutable_counts();
-  if (this->sessions.size() >= this->machine.behaviour().max_connections) {
+  UpstreamCounts& counts = this->state_machine.mutable_counts();
+  if (this->sessions.size() >=
+      this->state_machine.behaviour().max_connections) {
     ++counts.connections_refused;
     return;
   }
@@ -112,8 +113,8 @@
 }
 
 void UpstreamInstance::CloseAll() {
-  // Close() of a session never runs its coroutine at once, so that the set
-  // does not change under this loop.
+  // Close() never resumes the coroutine of the session synchronously, so the
+  // set does not change during this loop.
   for (UpstreamSession* session : this->sessions) {
     session->Close();
   }
@@ -122,7 +123,7 @@
 void UpstreamInstance::Crash(Duration down_time) {
   error_code ignored;
   this->acceptor.close(ignored);
-  this->machine.Crash();
+  this->state_machine.Crash();
   this->CloseAll();
   this->ScheduleRestart(down_time);
   this->NotifyWaiters();
@@ -135,9 +136,9 @@
         if (error) {
           return;
         }
-        self->machine.Restart(MonotonicClock::now());
+        self->state_machine.Restart(MonotonicClock::now());
         if (self->Listen().has_error()) {
-          // Another process took the port meanwhile: stay away for longer.
+          // Another process may have taken the port: retry later.
           self->ScheduleRestart(std::max(delay, kListenRetryDelay));
           return;
         }
@@ -146,61 +147,61 @@
 }
 
 void UpstreamInstance::Change(const UpstreamBehaviour& behaviour) {
-  this->machine.Change(MonotonicClock::now(), behaviour);
+  this->state_machine.Change(MonotonicClock::now(), behaviour);
   this->PerformSteps();
 }
 
 void UpstreamInstance::AddWaiter(
-    std::function<bool(const UpstreamCounts&)> reached) {
-  this->waiters.push_back(std::move(reached));
+    std::function<bool(const UpstreamCounts&)> condition) {
+  this->waiters.push_back(std::move(condition));
   this->NotifyWaiters();
 }
 
-UpstreamWorkHandle UpstreamInstance::Submit(UpstreamSession& session,
-                                            UpstreamWork work) {
-  const UpstreamWorkHandle handle =
-      this->machine.Arrive(MonotonicClock::now(), std::move(work));
+UpstreamJobHandle UpstreamInstance::Submit(UpstreamSession& session,
+                                           UpstreamJob job) {
+  const UpstreamJobHandle handle =
+      this->state_machine.Arrive(MonotonicClock::now(), std::move(job));
   this->owners[handle.index] = &session;
   this->PerformSteps();
   return handle;
 }
 
-void UpstreamInstance::Finish(UpstreamWorkHandle work) {
-  this->machine.Finish(MonotonicClock::now(), work);
+void UpstreamInstance::Finish(UpstreamJobHandle job) {
+  this->state_machine.Finish(MonotonicClock::now(), job);
   this->PerformSteps();
 }
 
-void UpstreamInstance::Cancel(UpstreamWorkHandle work) {
-  this->machine.Cancel(MonotonicClock::now(), work);
+void UpstreamInstance::Cancel(UpstreamJobHandle job) {
+  this->state_machine.Cancel(MonotonicClock::now(), job);
   this->PerformSteps();
 }
 
-void UpstreamInstance::Forget(UpstreamSession& session) {
+void UpstreamInstance::RemoveSession(UpstreamSession& session) {
   this->sessions.erase(&session);
 }
 
-void UpstreamInstance::MayCorrupt(std::string& body) {
-  const size_t every = this->machine.behaviour().corrupt_every;
-  ++this->bodies;
-  if (every > 0 && this->bodies % every == 0 && !body.empty()) {
+void UpstreamInstance::MaybeCorrupt(std::string& body) {
+  const size_t every = this->state_machine.behaviour().corrupt_every;
+  ++this->buffered_bodies;
+  if (every > 0 && this->buffered_bodies % every == 0 && !body.empty()) {
     body[body.size() / 2] = static_cast<char>(~body[body.size() / 2]);
   }
 }
 
 void UpstreamInstance::PerformSteps() {
-  for (const UpstreamStep& step : this->machine.TakeSteps()) {
+  for (const UpstreamStep& step : this->state_machine.TakeSteps()) {
     if (step.kind == UpstreamStepKind::kCrash) {
-      this->Crash(this->machine.behaviour().down_time);
+      this->Crash(this->state_machine.behaviour().down_time);
       return;
     }
-    this->owners[step.work.index]->Resume(step);
+    this->owners[step.job.index]->Resume(step);
   }
   this->NotifyWaiters();
 }
 
 void UpstreamInstance::NotifyWaiters() {
-  std::erase_if(this->waiters, [this](const auto& reached) {
-    return reached(this->machine.counts());
+  std::erase_if(this->waiters, [this](const auto& condition) {
+    return condition(this->state_machine.counts());
   });
 }
 
--- a/packages/ctl/src/upstream_json.cc
+++ b/packages/ctl/src/upstream_json.cc
@@ -31,8 +31,8 @@
     kDistributionNames = {"fixed", "exponential", "lognormal"};
 
 constexpr std::array kFields = {
-    UpstreamField{"slots", "requests run at once", &Behaviour::slots, 1,
-                  kMaxSlots},
+    UpstreamField{"slots", "requests that run concurrently", &Behaviour::slots,
+                  1, kMaxSlots},
     UpstreamField{"service_ms", "mean service time", &Behaviour::service_mean,
                   0, kMaxMilliseconds},
     UpstreamField{"service_dist", "fixed, exponential or lognormal",
@@ -41,38 +41,43 @@
                   &Behaviour::service_sigma, 0, kMaxSigma},
     UpstreamField{"answer_bytes", "size of an answer's body",
                   &Behaviour::answer_bytes, 0, kMaxAnswerBytes},
-    UpstreamField{"queue_limit", "requests queued beyond the slots",
-                  &Behaviour::queue_limit, 0, kMaxUpstreamWorks},
+    UpstreamField{"queue_limit", "largest number of queued requests",
+                  &Behaviour::queue_limit, 0, kMaxUpstreamJobs},
     UpstreamField{"shed", "shed every request", &Behaviour::shed},
-    UpstreamField{"draining", "say so in answers, then refuse",
+    UpstreamField{"draining",
+                  "announce draining in answers; refuse after the grace period",
                   &Behaviour::draining},
-    UpstreamField{"drain_grace_ms", "works so long while it drains",
+    UpstreamField{"drain_grace_ms",
+                  "time during which a draining instance still serves",
                   &Behaviour::drain_grace, 0, kMaxMilliseconds},
     UpstreamField{"straggle_factor", "multiplies service times",
                   &Behaviour::straggle_factor, 0, kMaxFactor},
-    UpstreamField{"cold_ms", "a start is cold so long", &Behaviour::cold_time,
-                  0, kMaxMilliseconds},
+    UpstreamField{"cold_ms", "duration of the cold phase after a start",
+                  &Behaviour::cold_time, 0, kMaxMilliseconds},
     UpstreamField{"cold_factor", "multiplies service times while cold",
                   &Behaviour::cold_factor, 0, kMaxFactor},
-    UpstreamField{"rate_limit", "requests a second it says it takes; -1: none",
+    UpstreamField{"rate_limit", "advertised requests per second; -1: none",
                   &Behaviour::rate_limit, -1, kMaxFactor},
-    UpstreamField{"report_lag_ms", "age of the load report",
+    UpstreamField{"report_lag_ms", "age of the reported load",
                   &Behaviour::report_lag, 0, kMaxMilliseconds},
-    UpstreamField{"report_factor", "multiplies the load report",
+    UpstreamField{"report_factor", "multiplies the reported load",
                   &Behaviour::report_factor, 0, kMaxFactor},
-    UpstreamField{"corrupt_every", "every so many-th body is wrong; 0: none",
+    UpstreamField{"corrupt_every",
+                  "corrupts every Nth body that is not streamed; 0: none",
                   &Behaviour::corrupt_every, 0, kMaxAnswerBytes},
-    UpstreamField{"cut_after", "closes after so many bytes of a long body",
+    UpstreamField{"cut_after",
+                  "closes after this many bytes of a streamed body; 0: never",
                   &Behaviour::cut_after, 0, kMaxCutBytes},
-    UpstreamField{"accept_ms", "cost of a new connection",
+    UpstreamField{"accept_ms", "delay of a new connection",
                   &Behaviour::accept_delay, 0, kMaxMilliseconds},
-    UpstreamField{"max_connections", "connections held at once",
+    UpstreamField{"max_connections", "largest number of open connections",
                   &Behaviour::max_connections, 1, kMaxConnections},
-    UpstreamField{"down_ms", "away so long after a crash",
+    UpstreamField{"down_ms", "time from a crash to the restart",
                   &Behaviour::down_time, 0, kMaxMilliseconds},
 };
 
-// Sets one member of a behaviour from a JSON value; picked by member type.
+// Visitor that sets one member of a behaviour from a JSON value, by the type of
+// the member.
 struct MemberSetter {
   const UpstreamField& field;
   const json::value& value;
@@ -108,7 +113,7 @@
     const auto number = this->value.to_number<double>();
     if (!(number >= this->field.smallest && number <= this->field.largest)) {
       return Failure{FailureKind::kOutOfRange, std::string(this->field.name),
-                     "allowed are " + std::to_string(this->field.smallest) +
+                     "must be from " + std::to_string(this->field.smallest) +
                          " to " + std::to_string(this->field.largest)};
     }
     if constexpr (std::is_same_v<Number, Duration>) {
@@ -121,9 +126,8 @@
   }
 
   Failure WrongType(const std::string& allowed) const {
-    return {
-        FailureKind::kWrongType, std::string(this->field.name),
-        "found " + json::serialize(this->value) + ", allowed is " + allowed};
+    return {FailureKind::kWrongType, std::string(this->field.name),
+            "must be " + allowed + ", found " + json::serialize(this->value)};
   }
 };
 
@@ -190,7 +194,7 @@
   const json::value value = json::parse(json::string_view(text), error);
   if (error || !value.is_object()) {
     return std::vector<Failure>{
-        {FailureKind::kSyntax, "", "the body is not a JSON object"}};
+        {FailureKind::kSyntax, "", "the body must be a JSON object"}};
   }
   UpstreamChange change{base, std::nullopt};
   std::vector<Failure> failures;
--- a/packages/ctl/src/upstream_json.h
+++ b/packages/ctl/src/upstream_json.h
@@ -11,12 +11,12 @@
 #include "basilsill/ctl/upstream.h"
 #include "upstream_state.h"
 
-/// JSON of the control interface of an emulated instance. One table of fields
-/// serves both the control interface and the command line.
+/// JSON of the control interface of an emulated instance. The control interface
+/// and the command line use the same table of fields.
 
 namespace basilsill::ctl {
 
-/// One field of UpstreamBehaviour as operators name it.
+/// External name and limits of one field of UpstreamBehaviour.
 struct UpstreamField {
   using Member = std::variant<bool UpstreamBehaviour::*,
                               unsigned UpstreamBehaviour::*,
@@ -24,33 +24,35 @@
                               double UpstreamBehaviour::*,
                               Duration UpstreamBehaviour::*,
                               ServiceDistribution UpstreamBehaviour::*>;
-  std::string_view name;  ///< Times are in milliseconds and end in `_ms`.
+  std::string_view name;  ///< Durations are in milliseconds and end in `_ms`.
   std::string_view help;
   Member member;
   double smallest = 0;
   double largest = 0;
 };
 
-/// @returns every field, in the order that help shows them.
+/// @returns all fields, in the order of the help text.
 std::span<const UpstreamField> AllUpstreamFields();
 
-/// Sets one field from its JSON text; a bare word stands for a string.
-/// @returns kSyntax, kWrongType or kOutOfRange with the field's name as path.
+/// Sets one field from its JSON text. A text that is not valid JSON is taken as
+/// a string.
+/// @returns kWrongType or kOutOfRange with the field's name as path.
 Result<void> SetUpstreamField(const UpstreamField& field,
                               std::string_view text,
                               UpstreamBehaviour& behaviour);
 
-/// What one `PUT /_control/state` asks for.
+/// Content of one `PUT /_control/state`.
 struct UpstreamChange {
   UpstreamBehaviour behaviour;
-  /// Crash after the answer, and stay away so long.
+  /// If set, the instance crashes after the answer and restarts after this
+  /// time.
   std::optional<Duration> crash;
 };
 
-/// Reads the body of `PUT /_control/state`: an object with some of the fields,
+/// Reads the body of `PUT /_control/state`: an object with any of the fields
 /// and `crash_ms`.
-/// @param base Fields that the body doesn't name keep this value.
-/// @returns every fault of the body at once.
+/// @param base Provides the values of the fields that the body does not have.
+/// @returns the change, or all errors of the body.
 CheckedResult<UpstreamChange> ParseUpstreamChange(
     std::string_view text,
     const UpstreamBehaviour& base);
@@ -66,7 +68,7 @@
                      const UpstreamLoad& load,
                      unsigned slots);
 
-/// @returns the JSON list of `failures`, for an answer.
+/// @returns the body of an error answer, `{"failures": [...]}`.
 std::string FailuresJson(std::span<const Failure> failures);
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/upstream_request.cc
+++ b/packages/ctl/src/upstream_request.cc
@@ -26,20 +26,20 @@
   return {text.data(), text.size()};
 }
 
-UpstreamRequest FromHead(const Parser::value_type& head) {
-  const auto field = [&head](std::string_view name) {
-    return std::string_view(head[ToBeast(name)]);
+UpstreamRequest FromHeader(const Parser::value_type& header) {
+  const auto field = [&header](std::string_view name) {
+    return std::string_view(header[ToBeast(name)]);
   };
   UpstreamRequest request;
-  request.method = head.method();
-  request.target = std::string_view(head.target());
+  request.method = header.method();
+  request.target = std::string_view(header.target());
   request.tag = field(kTagHeader);
-  request.keep_alive = head.keep_alive();
-  request.work.idempotency_key = field(kKeyHeader);
-  request.work.crash = field(kEmulateHeader) == kEmulateCrash;
+  request.keep_alive = header.keep_alive();
+  request.job.idempotency_key = field(kKeyHeader);
+  request.job.crash = field(kEmulateHeader) == kEmulateCrash;
   if (const auto deadline = ParseNumber<uint64_t>(field(kDeadlineHeader))) {
     const uint64_t limit = limits::kMaxDeadline.count();
-    request.work.deadline =
+    request.job.deadline =
         MonotonicClock::now() +
         std::chrono::milliseconds(std::min(*deadline, limit));
   }
@@ -47,19 +47,20 @@
 }
 
 asio::awaitable<bool> SendContinue(tcp::socket& socket) {
-  http::response<http::empty_body> go_on(http::status::continue_, 11);
-  auto [error, size] = co_await http::async_write(socket, go_on, kAwaitTuple);
+  http::response<http::empty_body> interim(http::status::continue_, 11);
+  auto [error, size] = co_await http::async_write(socket, interim, kAwaitTuple);
   co_return !error;
 }
 
-// Reads the rest of the body; false if it breaks off.
+// Reads the body. Returns false if the connection fails before its end.
 asio::awaitable<bool> ReadBody(tcp::socket& socket,
                                boost::beast::flat_buffer& buffer,
                                std::vector<char>& chunk,
                                Parser& parser,
                                UpstreamRequest& request) {
   chunk.resize(limits::kBodyChunkBytes);
-  // Beast reads what the buffer has room for: without this, 1.5 KB at a time.
+  // Beast reads at most the free capacity of the buffer, which would be 1.5 KB
+  // per read without this.
   buffer.reserve(limits::kBodyChunkBytes);
   BodyDigest digest;
   while (!parser.is_done()) {
@@ -104,13 +105,13 @@
   if (error) {
     co_return std::nullopt;
   }
-  UpstreamRequest request = FromHead(parser.get());
+  UpstreamRequest request = FromHeader(parser.get());
   if (parser.is_done()) {
     co_return request;
   }
   const std::string_view expect = parser.get()[http::field::expect];
-  // Awaits stand in statements of their own: gcc 12 miscompiles an await
-  // within a short-circuit expression.
+  // Each co_await is a statement of its own, because gcc 12 miscompiles a
+  // co_await within a short-circuit expression.
   if (expect == "100-continue") {
     const bool sent = co_await SendContinue(socket);
     if (!sent) {
--- a/packages/ctl/src/upstream_request.h
+++ b/packages/ctl/src/upstream_request.h
@@ -14,8 +14,8 @@
 
 #include "upstream_state.h"
 
-/// Requests as an emulated instance reads them, and the header names that it
-/// shares with the load generator.
+/// Reader for requests to an emulated instance, and the header names and paths
+/// that it shares with the load generator.
 
 namespace basilsill::ctl {
 
@@ -38,28 +38,30 @@
 inline constexpr std::string_view kStatsPath = "/_control/stats";
 inline constexpr std::string_view kStatePath = "/_control/state";
 
-/// Largest body that `/echo` gives back.
+/// Largest body that `/echo` returns.
 inline constexpr size_t kMaxEchoBytes = size_t{16} * 1024 * 1024;
 
-/// One request, read whole. Of its body only the digest is kept, unless it is
-/// to be given back.
+/// One complete request. Only the digest of its body is kept, unless
+/// KeepsBody() is true.
 struct UpstreamRequest {
   boost::beast::http::verb method = boost::beast::http::verb::unknown;
   std::string target;
   std::string tag;
   bool keep_alive = false;
-  UpstreamWork work;
-  std::string body;  ///< Of `/echo` and of control calls.
+  UpstreamJob job;
+  std::string body;  ///< Only of `/echo` and `/_control/state`.
   uint64_t body_size = 0;
   std::string body_digest;  ///< Empty if there was no body.
 
+  /// @returns the target without its query.
   std::string_view path() const;
   bool KeepsBody() const;
 };
 
-/// Reads the next request of a connection; a body is read in pieces.
-/// @param chunk Memory for the pieces; grows once, for the first body.
-/// @returns nothing when the connection ended or sent what is no request.
+/// Reads the next request of a connection.
+/// @param chunk Buffer through which a body is read; it is allocated at the
+/// first body.
+/// @returns nothing if the connection closed or the request is malformed.
 boost::asio::awaitable<std::optional<UpstreamRequest>> ReadRequest(
     boost::asio::ip::tcp::socket& socket,
     boost::beast::flat_buffer& buffer,
--- a/packages/ctl/src/upstream_session.cc
+++ b/packages/ctl/src/upstream_session.cc
@@ -26,10 +26,10 @@
 constexpr auto kAwaitTuple = asio::as_tuple(asio::use_awaitable);
 
 constexpr unsigned kHttp11 = 11;
-/// Answers above this are streamed from a bounded buffer.
-constexpr size_t kMaxWholeAnswerBytes = size_t{64} * 1024;
-/// Pattern bytes digested before other connections get their turn.
-constexpr size_t kDigestTurnBytes = size_t{1024} * 1024;
+/// Larger answers are streamed from a bounded buffer.
+constexpr size_t kMaxBufferedAnswerBytes = size_t{64} * 1024;
+/// Number of pattern bytes to digest before yielding to other connections.
+constexpr size_t kDigestBytesPerYield = size_t{1024} * 1024;
 constexpr std::string_view kReasonHeader = "X-Emulated-Reason";
 
 constexpr unsigned kOk = 200;
@@ -42,7 +42,7 @@
   return {text.data(), text.size()};
 }
 
-std::string_view RefusalText(UpstreamStepKind kind) {
+std::string_view RefusalReason(UpstreamStepKind kind) {
   switch (kind) {
     case UpstreamStepKind::kRefuseShed:
       return "shed";
@@ -53,12 +53,12 @@
   }
 }
 
-// Headers that every answer carries.
+// Sets the version and the headers that every answer has.
 template <typename Body>
-void SetHead(http::response<Body>& answer,
-             const UpstreamInstance& instance,
-             const UpstreamRequest& request,
-             const std::string& digest) {
+void SetCommonHeaders(http::response<Body>& answer,
+                      const UpstreamInstance& instance,
+                      const UpstreamRequest& request,
+                      const std::string& digest) {
   answer.version(kHttp11);
   answer.keep_alive(request.keep_alive);
   answer.set(ToBeast(kUpstreamHeader), instance.name());
@@ -80,28 +80,29 @@
   }
 }
 
-// The digest of a long pattern, computed in turns with other connections.
+// Returns the digest of a long pattern. Yields to other connections meanwhile.
 asio::awaitable<std::string> DigestPattern(uint64_t seed,
                                            uint64_t size,
                                            std::span<char> memory) {
   BodyDigest digest;
-  uint64_t turn_end = kDigestTurnBytes;
+  uint64_t next_yield = kDigestBytesPerYield;
   for (uint64_t offset = 0; offset < size;) {
     const auto piece =
         memory.first(std::min<uint64_t>(memory.size(), size - offset));
     FillPattern(seed, offset, piece);
     digest.Add(piece);
     offset += piece.size();
-    if (offset >= turn_end) {
-      turn_end += kDigestTurnBytes;
+    if (offset >= next_yield) {
+      next_yield += kDigestBytesPerYield;
       co_await asio::post(asio::use_awaitable);
     }
   }
   co_return digest.Text();
 }
 
-// Writes the body of `answer` in pieces that all use the same memory; breaks
-// off when `cut_after` bytes are sent, if that is not 0.
+// Writes `answer` with the pattern as its body, in pieces through `memory`. If
+// `cut_after` is not 0, stops and returns false after the piece that reaches
+// it.
 asio::awaitable<bool> WritePattern(tcp::socket& socket,
                                    http::response<http::buffer_body>& answer,
                                    uint64_t seed,
@@ -133,23 +134,23 @@
                                  tcp::socket connection)
     : instance(std::move(owner)),
       socket(std::move(connection)),
-      wake(this->socket.get_executor()) {
+      wake_timer(this->socket.get_executor()) {
   error_code ignored;
   this->socket.non_blocking(true, ignored);
 }
 
 UpstreamSession::~UpstreamSession() {
-  this->instance->Forget(*this);
+  this->instance->RemoveSession(*this);
 }
 
 asio::awaitable<void> UpstreamSession::Run() {
   const Duration delay = this->instance->state().behaviour().accept_delay;
   if (delay > Duration::zero()) {
-    this->wake.expires_after(delay);
-    co_await this->wake.async_wait(kAwaitTuple);
+    this->wake_timer.expires_after(delay);
+    co_await this->wake_timer.async_wait(kAwaitTuple);
   }
   bool open = true;
-  while (open && this->phase != Phase::kGone) {
+  while (open && this->phase != Phase::kClosed) {
     const auto request =
         co_await ReadRequest(this->socket, this->buffer, this->chunk);
     if (!request) {
@@ -165,14 +166,14 @@
   this->step = decision;
   this->phase = decision.kind == UpstreamStepKind::kRun ? Phase::kRunning
                                                         : Phase::kRefused;
-  this->wake.cancel();
+  this->wake_timer.cancel();
 }
 
 void UpstreamSession::Close() {
   error_code ignored;
-  this->phase = Phase::kGone;
+  this->phase = Phase::kClosed;
   this->socket.close(ignored);
-  this->wake.cancel();
+  this->wake_timer.cancel();
 }
 
 asio::awaitable<bool> UpstreamSession::Serve(const UpstreamRequest& request) {
@@ -180,7 +181,7 @@
   if (path == kLoadPath || path.starts_with("/_control/")) {
     co_return co_await this->ServeControl(request);
   }
-  co_return co_await this->ServeWork(request);
+  co_return co_await this->ServeJob(request);
 }
 
 asio::awaitable<bool> UpstreamSession::ServeControl(
@@ -217,10 +218,10 @@
   co_return open;
 }
 
-asio::awaitable<bool> UpstreamSession::ServeWork(
+asio::awaitable<bool> UpstreamSession::ServeJob(
     const UpstreamRequest& request) {
-  const Phase outcome = co_await this->RunWork(request.work);
-  if (outcome == Phase::kGone) {
+  const Phase outcome = co_await this->RunJob(request.job);
+  if (outcome == Phase::kClosed) {
     co_return false;
   }
   if (outcome == Phase::kRefused) {
@@ -247,7 +248,7 @@
 asio::awaitable<bool> UpstreamSession::AnswerRefusal(
     const UpstreamRequest& request) {
   return this->AnswerText(request, kUnavailable, "",
-                          RefusalText(this->step.kind));
+                          RefusalReason(this->step.kind));
 }
 
 asio::awaitable<bool> UpstreamSession::AnswerText(
@@ -257,7 +258,7 @@
     std::string_view reason) {
   http::response<http::string_body> answer;
   answer.result(status);
-  SetHead(answer, *this->instance, request, DigestText(body));
+  SetCommonHeaders(answer, *this->instance, request, DigestText(body));
   if (!reason.empty()) {
     answer.set(ToBeast(kRefusedHeader), "1");
     answer.set(ToBeast(kReasonHeader), ToBeast(reason));
@@ -266,7 +267,7 @@
   }
   answer.content_length(body.size());
   if (request.method != http::verb::head) {
-    this->instance->MayCorrupt(body);
+    this->instance->MaybeCorrupt(body);
     answer.body() = std::move(body);
   }
   auto [error, size] =
@@ -277,7 +278,7 @@
 asio::awaitable<bool> UpstreamSession::AnswerPattern(
     const UpstreamRequest& request,
     uint64_t size) {
-  if (size > kMaxWholeAnswerBytes) {
+  if (size > kMaxBufferedAnswerBytes) {
     return this->StreamPattern(request, size);
   }
   return this->AnswerText(request, kOk,
@@ -291,7 +292,7 @@
   this->chunk.resize(limits::kBodyChunkBytes);
   const std::string digest = co_await DigestPattern(seed, size, this->chunk);
   http::response<http::buffer_body> answer;
-  SetHead(answer, *this->instance, request, digest);
+  SetCommonHeaders(answer, *this->instance, request, digest);
   answer.content_length(size);
   answer.body().more = true;
   if (request.method == http::verb::head) {
@@ -305,44 +306,44 @@
                                   this->chunk);
 }
 
-asio::awaitable<UpstreamSession::Phase> UpstreamSession::RunWork(
-    UpstreamWork work) {
+asio::awaitable<UpstreamSession::Phase> UpstreamSession::RunJob(
+    UpstreamJob job) {
   this->phase = Phase::kQueued;
-  const UpstreamWorkHandle handle =
-      this->instance->Submit(*this, std::move(work));
+  const UpstreamJobHandle handle =
+      this->instance->Submit(*this, std::move(job));
   while (this->phase == Phase::kQueued || this->phase == Phase::kRunning) {
     const bool running = this->phase == Phase::kRunning;
     if (running && MonotonicClock::now() >= this->step.finish) {
       break;
     }
     this->WatchForClose();
-    this->wake.expires_at(asio::steady_timer::time_point(
+    this->wake_timer.expires_at(asio::steady_timer::time_point(
         running ? this->step.finish.time_since_epoch() : Duration::max()));
-    co_await this->wake.async_wait(kAwaitTuple);
+    co_await this->wake_timer.async_wait(kAwaitTuple);
   }
   const Phase outcome = this->phase;
   if (outcome == Phase::kRunning) {
     this->instance->Finish(handle);
-  } else if (outcome == Phase::kGone) {
+  } else if (outcome == Phase::kClosed) {
     this->instance->Cancel(handle);
   }
   co_return outcome;
 }
 
 void UpstreamSession::WatchForClose() {
-  if (this->watching) {
+  if (this->watching_for_close) {
     return;
   }
-  this->watching = true;
+  this->watching_for_close = true;
   this->socket.async_wait(
       tcp::socket::wait_read,
       [self = this->shared_from_this()](error_code) { self->OnReadable(); });
 }
 
-// A caller that goes away shows as a readable socket without bytes. Bytes are
-// a pipelined request, which Run() reads later.
+// If the caller closed the connection, the socket is readable but has no bytes.
+// Bytes are a pipelined request, which Run() reads later.
 void UpstreamSession::OnReadable() {
-  this->watching = false;
+  this->watching_for_close = false;
   if (this->phase != Phase::kQueued && this->phase != Phase::kRunning) {
     return;
   }
@@ -351,8 +352,8 @@
   this->socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek,
                        error);
   if (error && error != asio::error::would_block) {
-    this->phase = Phase::kGone;
-    this->wake.cancel();
+    this->phase = Phase::kClosed;
+    this->wake_timer.cancel();
   }
 }
 
--- a/packages/ctl/src/upstream_session.h
+++ b/packages/ctl/src/upstream_session.h
@@ -13,12 +13,13 @@
 
 #include "upstream_instance.h"
 
-/// One connection of an emulated instance.
+/// Sessions of an emulated instance.
 
 namespace basilsill::ctl {
 
 struct UpstreamRequest;
 
+/// One connection of an emulated instance. It serves one request at a time.
 class UpstreamSession : public std::enable_shared_from_this<UpstreamSession> {
  public:
   UpstreamSession(std::shared_ptr<UpstreamInstance> instance,
@@ -27,13 +28,13 @@
   UpstreamSession(const UpstreamSession&) = delete;
   UpstreamSession& operator=(const UpstreamSession&) = delete;
 
-  /// Serves requests until the connection ends.
+  /// Serves requests until the connection closes.
   boost::asio::awaitable<void> Run();
 
-  /// The state machine decided about the request that waits here.
+  /// Applies a decision of the state machine about the current request.
   void Resume(const UpstreamStep& decision);
 
-  /// Closes at once, in the middle of whatever it does.
+  /// Closes the connection at once, also while a request is in progress.
   void Close();
 
  private:
@@ -42,14 +43,15 @@
     kQueued,
     kRunning,
     kRefused,
-    kGone,  ///< The connection or the instance is gone.
+    kClosed,  ///< The caller or the instance closed the connection.
     kCount
   };
 
-  // Each answers one request; false ends the connection.
+  // Each of these answers one request and returns false if the connection must
+  // be closed.
   boost::asio::awaitable<bool> Serve(const UpstreamRequest& request);
   boost::asio::awaitable<bool> ServeControl(const UpstreamRequest& request);
-  boost::asio::awaitable<bool> ServeWork(const UpstreamRequest& request);
+  boost::asio::awaitable<bool> ServeJob(const UpstreamRequest& request);
   boost::asio::awaitable<bool> AnswerRefusal(const UpstreamRequest& request);
   boost::asio::awaitable<bool> AnswerPattern(const UpstreamRequest& request,
                                              uint64_t size);
@@ -60,19 +62,21 @@
   boost::asio::awaitable<bool> StreamPattern(const UpstreamRequest& request,
                                              uint64_t size);
 
-  /// Waits until the request has run, or will not.
-  boost::asio::awaitable<Phase> RunWork(UpstreamWork work);
+  /// Submits a job and waits until it has run, was refused, or the connection
+  /// closed.
+  boost::asio::awaitable<Phase> RunJob(UpstreamJob job);
+  /// Starts to wait for input, to detect that the caller closes the connection.
   void WatchForClose();
   void OnReadable();
 
   std::shared_ptr<UpstreamInstance> instance;
   boost::asio::ip::tcp::socket socket;
-  boost::asio::steady_timer wake;
+  boost::asio::steady_timer wake_timer;
   boost::beast::flat_buffer buffer;
-  std::vector<char> chunk;  ///< Allocated for bodies that are streamed.
+  std::vector<char> chunk;  ///< Allocated at the first streamed body.
   Phase phase = Phase::kIdle;
-  UpstreamStep step;  ///< The last decision about the request here.
-  bool watching = false;
+  UpstreamStep step;  ///< The last decision about the current request.
+  bool watching_for_close = false;
 };
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/upstream_set.cc
+++ b/packages/ctl/src/upstream_set.cc
@@ -1,5 +1,5 @@
-// EmulatedUpstreams: instances spread over threads, each thread with its own
-// io_context. Calls from outside are run on the instance's thread.
+// EmulatedUpstreams distributes its instances over threads, each with its own
+// io_context, and runs public calls on the thread of the instance.
 
 #include <future>
 #include <thread>
@@ -37,15 +37,17 @@
   boost::system::error_code error;
   const auto address = asio::ip::make_address(options.address, error);
   if (error || !address.is_loopback()) {
-    return OutOfRange("listen", "found " + options.address +
-                                    ", allowed is a loopback IP number");
+    return OutOfRange(
+        "listen", "must be a loopback IP address, found " + options.address);
   }
   if (options.count == 0 || options.count > limits::kMaxUpstreams ||
       options.port + options.count - 1 > UINT16_MAX) {
-    return OutOfRange("count", "no ports for so many instances");
+    return OutOfRange("count", "must be 1 to " +
+                                   std::to_string(limits::kMaxUpstreams) +
+                                   ", and the last port at most 65535");
   }
   if (options.threads == 0 || options.threads > kMaxThreads) {
-    return OutOfRange("threads", "allowed are 1 to 64");
+    return OutOfRange("threads", "must be 1 to " + std::to_string(kMaxThreads));
   }
   return address;
 }
@@ -67,7 +69,7 @@
     return this->threads[index % this->threads.size()]->io;
   }
 
-  // Runs `call` on the thread of an instance and waits for its result.
+  // Runs `call` on the thread of instance `index` and waits for its result.
   template <typename Call>
   auto RunOn(size_t index, Call call) {
     std::packaged_task<decltype(call())()> task(std::move(call));
@@ -148,14 +150,14 @@
 
 bool EmulatedUpstreams::WaitFor(
     size_t index,
-    const std::function<bool(const UpstreamCounts&)>& reached,
+    const std::function<bool(const UpstreamCounts&)>& condition,
     std::chrono::milliseconds limit) {
   auto promise = std::make_shared<std::promise<void>>();
   auto future = promise->get_future();
   UpstreamInstance& instance = *this->impl->instances.at(index);
-  this->impl->RunOn(index, [&instance, &reached, promise] {
-    instance.AddWaiter([reached, promise](const UpstreamCounts& counts) {
-      const bool done = reached(counts);
+  this->impl->RunOn(index, [&instance, &condition, promise] {
+    instance.AddWaiter([condition, promise](const UpstreamCounts& counts) {
+      const bool done = condition(counts);
       if (done) {
         promise->set_value();
       }
--- a/packages/ctl/src/upstream_state.cc
+++ b/packages/ctl/src/upstream_state.cc
@@ -12,7 +12,7 @@
 
 constexpr size_t kMaxKeys = size_t{1} << 20U;
 constexpr size_t kMaxLoadSamples = 16384;
-/// Load samples closer than this are merged.
+/// Load samples that are closer together than this are merged.
 constexpr Duration kLoadSampleGap = std::chrono::milliseconds(1);
 
 }  // namespace
@@ -26,14 +26,14 @@
   }
 }
 
-UpstreamWorkHandle UpstreamState::Arrive(TimePoint now, UpstreamWork work) {
+UpstreamJobHandle UpstreamState::Arrive(TimePoint now, UpstreamJob job) {
   ++this->totals.arrivals;
   if (this->current.draining) {
     ++this->totals.arrivals_while_draining;
     this->totals.last_arrival_after_drain = now - this->draining_since;
   }
-  const UpstreamWorkHandle handle =
-      this->works.Create({std::move(work), Phase::kQueued});
+  const UpstreamJobHandle handle =
+      this->jobs.Create({std::move(job), Phase::kQueued});
   if (this->HasDrained(now)) {
     this->Refuse(handle, UpstreamStepKind::kRefuseDraining);
   } else if (this->MustShed()) {
@@ -49,8 +49,8 @@
   return handle;
 }
 
-void UpstreamState::Finish(TimePoint now, UpstreamWorkHandle handle) {
-  if (!this->works.Destroy(handle)) {
+void UpstreamState::Finish(TimePoint now, UpstreamJobHandle handle) {
+  if (!this->jobs.Destroy(handle)) {
     return;
   }
   --this->totals.running;
@@ -59,8 +59,8 @@
   this->RecordLoad(now);
 }
 
-void UpstreamState::Cancel(TimePoint now, UpstreamWorkHandle handle) {
-  const Entry* entry = this->works.Find(handle);
+void UpstreamState::Cancel(TimePoint now, UpstreamJobHandle handle) {
+  const Entry* entry = this->jobs.Find(handle);
   if (entry == nullptr) {
     return;
   }
@@ -71,7 +71,7 @@
     --this->totals.queued;
     ++this->totals.cancelled_queued;
   }
-  this->works.Destroy(handle);
+  this->jobs.Destroy(handle);
   this->StartQueued(now);
   this->RecordLoad(now);
 }
@@ -79,9 +79,8 @@
 void UpstreamState::Crash() {
   ++this->totals.crashes;
   this->totals.lost_in_crash += this->totals.running + this->totals.queued;
-  this->works.ForEach([this](UpstreamWorkHandle handle, Entry&) {
-    this->works.Destroy(handle);
-  });
+  this->jobs.ForEach(
+      [this](UpstreamJobHandle handle, Entry&) { this->jobs.Destroy(handle); });
   this->totals.running = 0;
   this->totals.queued = 0;
   this->queue.clear();
@@ -125,14 +124,14 @@
 
 void UpstreamState::StartQueued(TimePoint now) {
   while (!this->queue.empty() && this->totals.running < this->current.slots) {
-    const UpstreamWorkHandle handle = this->queue.front();
+    const UpstreamJobHandle handle = this->queue.front();
     this->queue.pop_front();
-    Entry* entry = this->works.Find(handle);
+    Entry* entry = this->jobs.Find(handle);
     if (entry == nullptr) {
       continue;
     }
     --this->totals.queued;
-    if (entry->work.deadline <= now) {
+    if (entry->job.deadline <= now) {
       this->Refuse(handle, UpstreamStepKind::kSkipExpired);
     } else {
       this->Start(now, handle, *entry);
@@ -141,13 +140,13 @@
 }
 
 void UpstreamState::Start(TimePoint now,
-                          UpstreamWorkHandle handle,
+                          UpstreamJobHandle handle,
                           Entry& entry) {
   entry.phase = Phase::kRunning;
   ++this->totals.running;
   ++this->totals.started;
-  this->CountExecution(entry.work.idempotency_key);
-  if (entry.work.crash) {
+  this->CountExecution(entry.job.idempotency_key);
+  if (entry.job.crash) {
     this->steps.push_back({UpstreamStepKind::kCrash, handle, kNever});
     return;
   }
@@ -155,7 +154,7 @@
       {UpstreamStepKind::kRun, handle, now + this->DrawServiceTime(now)});
 }
 
-void UpstreamState::Refuse(UpstreamWorkHandle handle, UpstreamStepKind kind) {
+void UpstreamState::Refuse(UpstreamJobHandle handle, UpstreamStepKind kind) {
   switch (kind) {
     case UpstreamStepKind::kRefuseShed:
       ++this->totals.shed;
@@ -167,7 +166,7 @@
       ++this->totals.expired;
       break;
   }
-  this->works.Destroy(handle);
+  this->jobs.Destroy(handle);
   this->steps.push_back({kind, handle, kNever});
 }
 
@@ -179,8 +178,9 @@
 bool UpstreamState::MustShed() const {
   const bool slot_free = this->totals.running < this->current.slots;
   const bool full = this->totals.queued >= this->current.queue_limit;
-  // The last place of the table is kept free, so that Create never fails.
-  const bool table_full = this->works.size() >= this->works.capacity();
+  // The job that takes the last entry of the table is shed, so that Create()
+  // never fails.
+  const bool table_full = this->jobs.size() >= this->jobs.capacity();
   return this->current.shed || (full && !slot_free) || table_full;
 }
 
@@ -191,7 +191,7 @@
     time *= boost::random::exponential_distribution<double>(1.0)(this->random);
   }
   if (this->current.service_distribution == ServiceDistribution::kLognormal) {
-    // Shifted by half the variance, so that the mean stays what was asked.
+    // Shifted by half the variance, so that the mean is `service_mean`.
     const double sigma = this->current.service_sigma;
     boost::random::normal_distribution<double> logarithm(-sigma * sigma / 2,
                                                          sigma);
@@ -226,7 +226,8 @@
     return;
   }
   this->history.push_back({now, load});
-  // One sample older than the lag stays: it is what the report shows.
+  // The newest sample that is at least as old as the lag is kept, because it is
+  // the one that is reported.
   const TimePoint oldest_shown = now - this->current.report_lag;
   while (this->history.size() > 1 && this->history[1].time <= oldest_shown) {
     this->history.pop_front();
--- a/packages/ctl/src/upstream_state.h
+++ b/packages/ctl/src/upstream_state.h
@@ -12,84 +12,88 @@
 #include "basilsill/base/time.h"
 #include "basilsill/ctl/upstream.h"
 
-/// The emulated instance as a pure state machine: time points go in, steps
-/// come out. It owns no socket, timer or clock.
+/// State machine of an emulated instance. Each input has a time point, and the
+/// output is a list of steps. It has no sockets, timers or clock.
 
 namespace basilsill::ctl {
 
-struct UpstreamWorkTag {};
-using UpstreamWorkHandle = Handle<UpstreamWorkTag>;
+struct UpstreamJobTag {};
+using UpstreamJobHandle = Handle<UpstreamJobTag>;
 
-/// One request as the instance sees it.
-struct UpstreamWork {
+/// What the state machine knows of one request.
+struct UpstreamJob {
   std::string idempotency_key;
   TimePoint deadline = kNever;
-  bool crash = false;  ///< The instance dies when it starts this.
+  bool crash = false;  ///< The instance crashes when it starts this job.
 };
 
-/// What the shell shall do with a work.
+/// What the caller of the state machine must do with a job.
 enum class UpstreamStepKind : uint8_t {
-  kRun,             ///< It has a slot until `finish`.
-  kRefuseShed,      ///< Did not run: too much is queued.
-  kRefuseDraining,  ///< Did not run: the instance has drained.
-  kSkipExpired,     ///< Did not run: its deadline passed.
-  kCrash,           ///< It killed the instance; call Crash().
+  kRun,             ///< Has a slot; call Finish() at `finish`.
+  kRefuseShed,      ///< Not run: shed by choice or lack of space.
+  kRefuseDraining,  ///< Not run: the drain grace period is over.
+  kSkipExpired,     ///< Not run: its deadline passed.
+  kCrash,           ///< Crashes the instance; call Crash().
   kCount
 };
 
+/// One output of the state machine.
 struct UpstreamStep {
   UpstreamStepKind kind = UpstreamStepKind::kCount;
-  UpstreamWorkHandle work;
+  UpstreamJobHandle job;
   TimePoint finish = kNever;  ///< For kRun.
 };
 
-/// What the load report shows; it may be old or wrong on purpose.
+/// Reported load, which may be stale or wrong by injected faults.
 struct UpstreamLoad {
   uint32_t running = 0;
   uint32_t queued = 0;
 };
 
-/// Slots, queue, faults and counts of one instance.
+/// Slots, queue, injected faults and counters of one instance.
 class UpstreamState {
  public:
-  /// @param seed Of the service times.
+  /// @param seed Random seed of the service times.
   UpstreamState(const UpstreamBehaviour& behaviour,
                 uint64_t seed,
                 TimePoint now);
 
-  /// A request arrived. Steps follow, for this work or none yet.
-  UpstreamWorkHandle Arrive(TimePoint now, UpstreamWork work);
+  /// Handles the arrival of a request. Adds a step for it unless it is queued.
+  UpstreamJobHandle Arrive(TimePoint now, UpstreamJob job);
 
-  /// The service time of a running work is over; its slot is free.
-  void Finish(TimePoint now, UpstreamWorkHandle handle);
+  /// Ends a running job after its service time and frees its slot. An unknown
+  /// handle is ignored.
+  void Finish(TimePoint now, UpstreamJobHandle handle);
 
-  /// The caller of a work went away; a queued or running work ends here.
-  void Cancel(TimePoint now, UpstreamWorkHandle handle);
+  /// Ends a queued or running job whose caller closed the connection. An
+  /// unknown handle is ignored.
+  void Cancel(TimePoint now, UpstreamJobHandle handle);
 
-  /// The process died: everything that was here is lost.
+  /// Emulates a process crash: drops all jobs and pending steps.
   void Crash();
 
-  /// The process is back after a crash, and cold.
+  /// Emulates the start of the process after a crash, with a cold phase.
   void Restart(TimePoint now);
 
-  /// Replaces the behaviour; a raised slot count starts queued work.
+  /// Replaces the behaviour. A larger slot count starts queued jobs.
   void Change(TimePoint now, const UpstreamBehaviour& behaviour);
 
   /// @returns the steps since the last call, in order.
   std::vector<UpstreamStep> TakeSteps();
 
-  /// @returns the load report, with the lag and the lie of the behaviour.
+  /// @returns the load to report, after the behaviour's `report_lag` and
+  /// `report_factor`.
   UpstreamLoad ReportLoad(TimePoint now);
 
   const UpstreamBehaviour& behaviour() const { return this->current; }
   const UpstreamCounts& counts() const { return this->totals; }
-  /// For what only the shell sees: connections.
+  /// For the connection counters, which UpstreamInstance updates.
   UpstreamCounts& mutable_counts() { return this->totals; }
 
  private:
   enum class Phase : uint8_t { kQueued, kRunning, kCount };
   struct Entry {
-    UpstreamWork work;
+    UpstreamJob job;
     Phase phase = Phase::kQueued;
   };
   struct LoadSample {
@@ -98,8 +102,8 @@
   };
 
   void StartQueued(TimePoint now);
-  void Start(TimePoint now, UpstreamWorkHandle handle, Entry& entry);
-  void Refuse(UpstreamWorkHandle handle, UpstreamStepKind kind);
+  void Start(TimePoint now, UpstreamJobHandle handle, Entry& entry);
+  void Refuse(UpstreamJobHandle handle, UpstreamStepKind kind);
   bool HasDrained(TimePoint now) const;
   bool MustShed() const;
   Duration DrawServiceTime(TimePoint now);
@@ -108,9 +112,9 @@
 
   UpstreamBehaviour current;
   UpstreamCounts totals;
-  HandleTable<Entry, UpstreamWorkTag> works{kMaxUpstreamWorks};
-  /// In order of arrival; may hold handles of works that were cancelled.
-  std::deque<UpstreamWorkHandle> queue;
+  HandleTable<Entry, UpstreamJobTag> jobs{kMaxUpstreamJobs};
+  /// In order of arrival; may have handles of cancelled jobs.
+  std::deque<UpstreamJobHandle> queue;
   std::vector<UpstreamStep> steps;
   std::deque<LoadSample> history;
   pcg64 random;
--- a/packages/ctl/test/platform_server_test.cc
+++ b/packages/ctl/test/platform_server_test.cc
@@ -1,4 +1,4 @@
-// The calls of the emulated platform that no client of a node makes.
+// Tests calls of the emulated platform that the client library does not make.
 
 #include "basilsill/ctl/platform_server.h"
 
@@ -62,7 +62,7 @@
   }
 };
 
-TEST(PlatformServer, BadCall_Any_RefusedWithoutEffect) {
+TEST(PlatformServer, BadCall_Any_RejectedWithoutEffect) {
   for (const BadCall& bad : kBadCalls) {
     const HttpAnswer answer = Call(bad.method, bad.target, bad.body);
     UNSIGNED_LONGS_EQUAL_TEXT(bad.status, answer.status, bad.target);
@@ -73,7 +73,7 @@
   CHECK_EQUAL(0U, platform.state().stats.append_records);
 }
 
-TEST(PlatformServer, Append_AboveLimits_RefusedWithoutEffect) {
+TEST(PlatformServer, Append_AboveLimits_RejectedWithoutEffect) {
   const auto records = [](size_t count, size_t bytes) {
     const std::string record = "\"" + std::string(bytes, 'x') + "\"";
     std::string text;
@@ -90,7 +90,7 @@
   CHECK_EQUAL(0U, platform.state().stats.append_records);
 }
 
-TEST(PlatformServer, PutFaults_SomeFields_OthersStay) {
+TEST(PlatformServer, PutFaults_SomeFields_OthersUnchanged) {
   Call(HttpMethod::kPut, "/faults", R"({"append_delay_ms":7,"down":true})");
   Call(HttpMethod::kPut, "/faults", R"({"retention_records":3})");
   const PlatformFaults& faults = platform.state().faults;
@@ -103,7 +103,7 @@
         R"("appends_per_second":0})");
 }
 
-TEST(PlatformServer, PutAndDeleteVm_ListFollows) {
+TEST(PlatformServer, VmList_AfterPutAndDelete_IsUpdated) {
   const char* body =
       R"({"data_centre":"lyulin","control":{"address":"127.0.0.1","port":9},)"
       R"("state":"leaving"})";
@@ -115,7 +115,7 @@
   CHECK(Call(HttpMethod::kGet, "/vms", "").body == R"({"version":2,"vms":[]})");
 }
 
-TEST(PlatformServer, Stats_AfterCalls_CountThem) {
+TEST(PlatformServer, Stats_AfterCalls_IncludeThem) {
   Call(HttpMethod::kPost, "/log/s", R"({"records":["ab","c"]})");
   Call(HttpMethod::kGet, "/log/s?from=1", "");
   CHECK(Call(HttpMethod::kGet, "/stats", "").body ==
--- a/packages/ctl/test/platform_state_test.cc
+++ b/packages/ctl/test/platform_state_test.cc
@@ -1,4 +1,4 @@
-// The emulated platform's state in virtual time.
+// Tests the state of the emulated platform in virtual time.
 
 #include "basilsill/ctl/platform_state.h"
 
@@ -36,7 +36,7 @@
   CHECK_EQUAL(0U, first);
 }
 
-TEST(PlatformState, Append_AboveRetention_OldestForgotten) {
+TEST(PlatformState, Append_AboveRetention_OldestRemoved) {
   PlatformFaults faults;
   faults.retention_records = 2;
   SetFaults(state, faults);
@@ -76,24 +76,24 @@
     allowed += AppendOne("x") == AppendOutcome::kAnswered ? 1 : 0;
     now += milliseconds(1);
   }
-  // One second of rate and the burst it may begin with.
+  // 100 appends in one second, plus the initial burst.
   CHECK(allowed >= 100);
   CHECK(allowed <= 111);
   CHECK_EQUAL(static_cast<uint64_t>(allowed), Bounds().end);
 }
 
-TEST(PlatformState, VmTable_LagPast_ShowsListAsItWas) {
+TEST(PlatformState, VmTable_PastTime_ReturnsVersionOfThatTime) {
   List("one");
   now += milliseconds(100);
   List("two");
   CHECK_EQUAL(2U, state.vms.At(now).vms.size());
   CHECK_EQUAL(1U, state.vms.At(now - milliseconds(1)).vms.size());
   CHECK_EQUAL(0U, state.vms.At(now - milliseconds(101)).vms.size());
-  CHECK(state.vms.ChangeAfter(1) == now);
-  CHECK_FALSE(state.vms.ChangeAfter(2).has_value());
+  CHECK(state.vms.TimeOfChangeAfter(1) == now);
+  CHECK_FALSE(state.vms.TimeOfChangeAfter(2).has_value());
 }
 
-TEST(PlatformState, VmTable_RemoveUnknown_VersionStays) {
+TEST(PlatformState, VmTable_RemoveUnknown_VersionUnchanged) {
   List("one");
   CHECK_FALSE(state.vms.Remove("two", now));
   CHECK_EQUAL(1U, state.vms.At(now).number);
@@ -101,7 +101,7 @@
   CHECK_EQUAL(2U, state.vms.At(now).number);
 }
 
-TEST(PlatformState, VmTable_ManyVersions_OldOnesForgotten) {
+TEST(PlatformState, VmTable_ManyVersions_OldestRemoved) {
   const TimePoint start = now;
   for (size_t i = 0; i < 2 * VmTable::kVersionsKept; ++i) {
     now += milliseconds(1);
--- a/packages/ctl/test/resource_commands_test.cc
+++ b/packages/ctl/test/resource_commands_test.cc
@@ -1,4 +1,4 @@
-// The resource commands, from their command line to their exit status.
+// Tests the resource commands from the command line to the exit status.
 
 #include "resource_commands.h"
 
@@ -24,7 +24,7 @@
     R"({"failures":[{"kind":"unresolved","path":"","detail":""}]})",
     {}};
 
-/// Sends a stream's output into a string for as long as it lives.
+/// Redirects a stream into a string during its lifetime.
 class Capture {
  public:
   explicit Capture(std::ostream& from)
@@ -68,31 +68,31 @@
     return status;
   }
 
-  bool Printed(const std::string& text) const {
+  bool OutputContains(const std::string& text) const {
     return out.text().find(text) != std::string::npos;
   }
-  bool Complained(const std::string& text) const {
+  bool ErrorsContain(const std::string& text) const {
     return err.text().find(text) != std::string::npos;
   }
 };
 
-TEST(ResourceCommands, Apply_NewThenSameThenOther_CreatesLeavesReplaces) {
+TEST(ResourceCommands, Apply_NewThenSameThenChanged_CreatesSkipsReplaces) {
   CHECK(Apply(kTeam) == ExitStatus::kOk);
-  CHECK(Printed("created teams/payments version 17"));
+  CHECK(OutputContains("created teams/payments version 17"));
   CHECK(Apply(kTeam) == ExitStatus::kOk);
-  CHECK(Printed("unchanged teams/payments version 17"));
+  CHECK(OutputContains("unchanged teams/payments version 17"));
   CHECK(Apply(R"({"kind":"teams","name":"payments","spec":{}})") ==
         ExitStatus::kOk);
-  CHECK(Printed("replaced teams/payments version 18"));
+  CHECK(OutputContains("replaced teams/payments version 18"));
 }
 
 TEST(ResourceCommands, Apply_DefaultsWrittenOut_Unchanged) {
   Apply(R"({"kind":"team","name":"a","spec":{}})");
   Apply(R"({"kind":"team","name":"a","spec":{"limits":{"weight":1}}})");
-  CHECK(Printed("unchanged teams/a"));
+  CHECK(OutputContains("unchanged teams/a"));
 }
 
-TEST(ResourceCommands, Apply_Array_AllInOrder) {
+TEST(ResourceCommands, Apply_Array_AppliedInOrder) {
   CHECK(Apply(R"([{"kind":"team","name":"a","spec":{}},
                   {"kind":"service","name":"b","spec":{"team":"a"}}])") ==
         ExitStatus::kOk);
@@ -101,13 +101,14 @@
   CHECK(calls.at(3) == "PUT /api/v1/services/b");
 }
 
-// Story: two operators edit the same file. The second one's file names the
-// version it was written against; it must not overwrite the first one's change.
+// Failure: two operators change the same resource, and the second overwrites
+// the change of the first. The file of the second has the version that it is
+// based on, so the change must be rejected as a conflict.
 TEST(ResourceCommands, Apply_BasedOnOldVersion_Conflict) {
   Apply(kTeam);
   CHECK(Apply(R"({"kind":"team","name":"payments","version":16,
                   "spec":{}})") == ExitStatus::kConflict);
-  CHECK(Complained("conflict"));
+  CHECK(ErrorsContain("conflict"));
 }
 
 TEST(ResourceCommands, Apply_FirstRejected_RestNotSent) {
@@ -119,52 +120,54 @@
   CHECK(Apply(R"([{"kind":"team","name":"a","spec":{}},
                   {"kind":"team","name":"b","spec":{}}])") ==
         ExitStatus::kRejected);
-  CHECK(Complained("out-of-range at /a: x"));
-  CHECK(Complained("dangling-reference at /b: y"));
-  CHECK(Complained("after 0 of 2"));
+  CHECK(ErrorsContain("out-of-range at /a: x"));
+  CHECK(ErrorsContain("dangling-reference at /b: y"));
+  CHECK(ErrorsContain("after 0 of 2"));
   CHECK_EQUAL(1U, node.Calls().size());
 }
 
-TEST(ResourceCommands, Apply_FaultyFile_AllFaultsAndNoCall) {
+TEST(ResourceCommands, Apply_InvalidFile_AllErrorsReportedWithoutCall) {
   CHECK(Apply(R"([{"kind":"teem","name":"A","spec":7,"x":1}, 3])") ==
         ExitStatus::kUsage);
-  CHECK(Complained("out-of-range at /0/kind"));
-  CHECK(Complained("out-of-range at /0/name"));
-  CHECK(Complained("wrong-type at /0/spec"));
-  CHECK(Complained("unknown-field at /0/x"));
-  CHECK(Complained("wrong-type at /1"));
+  CHECK(ErrorsContain("out-of-range at /0/kind"));
+  CHECK(ErrorsContain("out-of-range at /0/name"));
+  CHECK(ErrorsContain("wrong-type at /0/spec"));
+  CHECK(ErrorsContain("unknown-field at /0/x"));
+  CHECK(ErrorsContain("wrong-type at /1"));
   CHECK(node.Calls().empty());
 }
 
-// Story: the node has the change accepted, and the connection breaks before
-// the answer. The tool sends the same change again, which is the same one to
-// the node, and the operator is told what became of it.
-TEST(ResourceCommands, Apply_AnswerLost_SameChangeSentAgain) {
+// Failure: the node accepts a change, and the connection breaks before the
+// answer, so that the operator does not learn the outcome. The command must
+// retry with the same change id and report the outcome.
+TEST(ResourceCommands, Apply_AnswerLost_SameChangeRetried) {
   node.LoseNextAnswer(std::nullopt);
   CHECK(Apply(kTeam) == ExitStatus::kOk);
-  CHECK(Printed("created teams/payments version 17"));
+  CHECK(OutputContains("created teams/payments version 17"));
   CHECK_EQUAL(3U, node.Calls().size());
 }
 
-// Story: the node's append to the log got no answer, and it can't tell yet.
-// Asked again, it can.
-TEST(ResourceCommands, Delete_NodeSaysUnresolved_SameChangeSentAgain) {
+// Failure: the node gets no answer to its append to the log and reports the
+// change as unresolved, although it knows the outcome soon after. The command
+// must retry the same change.
+TEST(ResourceCommands, Delete_UnresolvedAnswer_SameChangeRetried) {
   Apply(kTeam);
   node.LoseNextAnswer(kUnresolvedReply);
   CHECK(Run(RunDelete, {"team", "payments"}) == ExitStatus::kOk);
 }
 
-// Story: the first node takes a change and dies, and no other can be reached.
-// That the second refused the connection must not be told as "no effect".
-TEST(ResourceCommands, Delete_UnresolvedThenNobodyAnswers_Unresolved) {
+// Failure: the first node may have accepted a change, and the second refuses
+// the connection. The command must report the change as unresolved, not as
+// without effect.
+TEST(ResourceCommands, Delete_UnresolvedThenNoNodeReachable_Unresolved) {
   node.RefuseAll(kUnresolvedReply);
   nodes.emplace_back("127.0.0.1:1");
   CHECK(Run(RunDelete, {"team", "payments", "--if-version=17"}) ==
         ExitStatus::kUnavailable);
-  CHECK(Complained("unresolved"));
+  CHECK(ErrorsContain("unresolved"));
 }
 
-TEST(ResourceCommands, Apply_FirstNodeUnavailable_SecondTakesIt) {
+TEST(ResourceCommands, Apply_FirstNodeUnavailable_SecondAccepts) {
   FakeNode second;
   node.RefuseAll({503,
                   R"({"failures":[{"kind":"platform-unavailable",
@@ -178,23 +181,25 @@
 TEST(ResourceCommands, Apply_Wait_EndsOnceInForce) {
   node.SetReadsUntilInForce(3);
   CHECK(Apply(kTeam, {"--wait"}) == ExitStatus::kOk);
-  // One read to see whether it is there, three until it is in force.
+  // One GET for the current version, one PUT, and three GETs until it is in
+  // force.
   CHECK_EQUAL(5U, node.Calls().size());
 }
 
-TEST(ResourceCommands, Apply_WaitTooLong_Unavailable) {
+TEST(ResourceCommands, Apply_WaitTimeout_Unavailable) {
   node.SetReadsUntilInForce(1000000);
   CHECK(Apply(kTeam, {"--wait", "--timeout=1"}) == ExitStatus::kUnavailable);
-  CHECK(Complained("not yet on all"));
+  CHECK(ErrorsContain("not yet on all"));
 }
 
 TEST(ResourceCommands, Get_TableAndJson_ShowResource) {
   Apply(kTeam);
   CHECK(Run(RunGet, {"team", "payments"}) == ExitStatus::kOk);
-  CHECK(Printed("in force on:  lyulin-1"));
-  CHECK(Printed("    \"weight\": 4"));
+  CHECK(OutputContains("in force on:  lyulin-1"));
+  CHECK(OutputContains("    \"weight\": 4"));
   CHECK(Run(RunGet, {"team", "payments", "-o", "json"}) == ExitStatus::kOk);
-  CHECK(Printed(R"({"kind":"teams","name":"payments","version":17,"body")"));
+  CHECK(OutputContains(
+      R"({"kind":"teams","name":"payments","version":17,"body")"));
 }
 
 TEST(ResourceCommands, Delete_ResourceInUse_Rejected) {
@@ -205,24 +210,24 @@
                   {}});
   CHECK(Run(RunDelete, {"team", "payments", "--if-version=17"}) ==
         ExitStatus::kRejected);
-  CHECK(Complained("in-use: service 'bank' needs it"));
+  CHECK(ErrorsContain("in-use: service 'bank' needs it"));
 }
 
-TEST(ResourceCommands, Drain_ThenUndrain_ReplacesTheDataCentre) {
+TEST(ResourceCommands, Drain_ThenUndrain_ReplacesDataCentre) {
   CHECK(Run(RunDrain, {"lyulin"}) == ExitStatus::kOk);
-  CHECK(Printed("created data-centres/lyulin"));
+  CHECK(OutputContains("created data-centres/lyulin"));
   CHECK(Run(RunDrain, {"lyulin"}) == ExitStatus::kOk);
-  CHECK(Printed("unchanged data-centres/lyulin"));
+  CHECK(OutputContains("unchanged data-centres/lyulin"));
   CHECK(Run(RunUndrain, {"lyulin"}) == ExitStatus::kOk);
-  CHECK(Printed("replaced data-centres/lyulin"));
+  CHECK(OutputContains("replaced data-centres/lyulin"));
 }
 
 TEST(ResourceCommands, Get_Missing_Rejected) {
   CHECK(Run(RunGet, {"team", "nobody"}) == ExitStatus::kRejected);
-  CHECK(Complained("not-found at teams/nobody"));
+  CHECK(ErrorsContain("not-found at teams/nobody"));
 }
 
-TEST(ResourceCommands, Get_AnswerBreaksContract_Failed) {
+TEST(ResourceCommands, Get_MalformedAnswer_Failed) {
   Apply(kTeam);
   node.RefuseAll({204, "", {}});
   CHECK(Run(RunGet, {"team", "payments"}) == ExitStatus::kFailed);
@@ -232,12 +237,13 @@
   Apply(R"([{"kind":"team","name":"a","spec":{}},
             {"kind":"service","name":"bank","spec":{"team":"a"}}])");
   CHECK(Run(RunList, {"all"}) == ExitStatus::kOk);
-  CHECK(Printed("KIND      NAME  VERSION  IN FORCE  ON VMS  ACCEPTED AT\n"));
-  CHECK(Printed("teams     a     17       yes       1"));
-  CHECK(Printed("services  bank  18       yes       1"));
+  CHECK(OutputContains(
+      "KIND      NAME  VERSION  IN FORCE  ON VMS  ACCEPTED AT\n"));
+  CHECK(OutputContains("teams     a     17       yes       1"));
+  CHECK(OutputContains("services  bank  18       yes       1"));
 }
 
-TEST(ResourceCommands, Delete_Existing_Gone) {
+TEST(ResourceCommands, Delete_Existing_Removed) {
   Apply(kTeam);
   CHECK(Run(RunDelete, {"team", "payments"}) == ExitStatus::kOk);
   CHECK(Run(RunGet, {"team", "payments"}) == ExitStatus::kRejected);
@@ -245,8 +251,8 @@
 
 TEST(ResourceCommands, Status_Table_ShowsFieldsAndTables) {
   CHECK(Run(RunStatus, {}) == ExitStatus::kOk);
-  CHECK(Printed("log.offset: 20"));
-  CHECK(Printed("bozhurishte-2  leaving"));
+  CHECK(OutputContains("log.offset: 20"));
+  CHECK(OutputContains("bozhurishte-2  leaving"));
 }
 
 TEST(ResourceCommands, AnyCommand_NoNodeAnswers_Unavailable) {
@@ -265,9 +271,9 @@
   CHECK(Run(RunStatus, {}) == ExitStatus::kUsage);
 }
 
-// Story: the node that serves a watch goes away after two changes. The watch
-// goes on where it was, on whichever node answers.
-TEST(ResourceCommands, Watch_StreamBreaks_GoesOnFromNext) {
+// Failure: the stream of a watch ends after two changes, and the watch stops,
+// skips changes or repeats them. It must resume at the next offset.
+TEST(ResourceCommands, Watch_StreamEnds_ResumesFromNext) {
   node.SetWatchLines(
       R"({"event":"put","next":18,"resource":{"kind":"teams","name":"a",)"
       R"("version":17}})"
@@ -279,14 +285,14 @@
   CHECK(Run(RunWatch, {"--count=3", "--from=17"}) == ExitStatus::kOk);
   CHECK(node.Calls().at(0) == "GET /api/v1/watch?from=17");
   CHECK(node.Calls().at(1) == "GET /api/v1/watch?from=19");
-  CHECK(Printed("18  put  teams/a  version 17\n19  delete  teams/a"));
+  CHECK(OutputContains("18  put  teams/a  version 17\n19  delete  teams/a"));
 }
 
-TEST(ResourceCommands, Watch_NoOffset_BeginsNow) {
+TEST(ResourceCommands, Watch_NoOffset_StartsAtCurrentOffset) {
   node.SetWatchLines("{\"event\":\"restart\",\"next\":40}\n");
   CHECK(Run(RunWatch, {"--count=1", "-o", "json"}) == ExitStatus::kOk);
   CHECK(node.Calls().at(1) == "GET /api/v1/watch?from=17");
-  CHECK(Printed(R"({"event":"restart","next":40})"));
+  CHECK(OutputContains(R"({"event":"restart","next":40})"));
 }
 
 TEST(ResourceCommands, Watch_MalformedLine_Failed) {
--- a/packages/ctl/test/upstream_body_test.cc
+++ b/packages/ctl/test/upstream_body_test.cc
@@ -1,4 +1,4 @@
-// Bodies that both ends compute, and the JSON of the control interface.
+// Tests the body patterns and the JSON of the control interface.
 
 #include "upstream_body.h"
 
@@ -21,7 +21,7 @@
   std::string whole = MakePattern(this->seed, 1003);
 };
 
-TEST(UpstreamBody, FillPattern_InOddPieces_EqualsTheWhole) {
+TEST(UpstreamBody, FillPattern_InPieces_EqualsWholePattern) {
   std::string pieces(this->whole.size(), '\0');
   size_t offset = 0;
   for (size_t size = 1; offset < pieces.size(); size += 6) {
@@ -40,19 +40,19 @@
   CHECK_EQUAL(1003, check.size());
 }
 
-TEST(UpstreamBody, PatternCheck_PieceLeftOut_IsNoticed) {
+TEST(UpstreamBody, PatternCheck_PieceMissing_DoesNotMatch) {
   PatternCheck check(this->seed);
   check.Add(std::span(this->whole).first(16));
   CHECK_FALSE(check.Add(std::span(this->whole).subspan(24)));
   CHECK_FALSE(check.matches());
 }
 
-TEST(UpstreamBody, PatternCheck_AnswerOfAnotherTag_IsNoticed) {
+TEST(UpstreamBody, PatternCheck_PatternOfAnotherTag_DoesNotMatch) {
   PatternCheck check(PatternSeed("other"));
   CHECK_FALSE(check.Add(this->whole));
 }
 
-TEST(UpstreamBody, BodyDigest_InPieces_EqualsDigestOfTheWhole) {
+TEST(UpstreamBody, BodyDigest_InPieces_EqualsDigestOfWholeBody) {
   BodyDigest digest;
   digest.Add(std::span(this->whole).first(500));
   digest.Add(std::span(this->whole).subspan(500));
@@ -65,7 +65,7 @@
   UpstreamBehaviour behaviour;
 };
 
-TEST(UpstreamJson, ParseChange_SomeFields_KeepsTheOthers) {
+TEST(UpstreamJson, ParseChange_SomeFields_KeepsOthers) {
   this->behaviour.slots = 9;
   const auto change = basilsill::ctl::ParseUpstreamChange(
       R"({"draining": true, "service_ms": 1.5, "crash_ms": 20})",
@@ -78,7 +78,7 @@
   CHECK(change.value().crash == std::chrono::milliseconds(20));
 }
 
-TEST(UpstreamJson, ParseChange_SeveralFaults_ReportsAll) {
+TEST(UpstreamJson, ParseChange_SeveralFaults_ReportsAllErrors) {
   const auto change = basilsill::ctl::ParseUpstreamChange(
       R"({"slots": 0, "shed": 1, "service_dist": "gamma", "nix": 1})",
       this->behaviour);
--- a/packages/ctl/test/upstream_state_test.cc
+++ b/packages/ctl/test/upstream_state_test.cc
@@ -1,4 +1,4 @@
-// The emulated instance in virtual time.
+// Tests the state machine of the emulated instance in virtual time.
 
 #include "upstream_state.h"
 
@@ -10,16 +10,16 @@
 using basilsill::TimePoint;
 using basilsill::ctl::ServiceDistribution;
 using basilsill::ctl::UpstreamBehaviour;
+using basilsill::ctl::UpstreamJobHandle;
 using basilsill::ctl::UpstreamLoad;
 using basilsill::ctl::UpstreamState;
 using basilsill::ctl::UpstreamStep;
 using basilsill::ctl::UpstreamStepKind;
-using basilsill::ctl::UpstreamWorkHandle;
 using std::chrono::milliseconds;
 
 namespace {
 
-constexpr int kDraws = 20000;
+constexpr int kSamples = 20000;
 
 }  // namespace
 
@@ -31,8 +31,8 @@
     return UpstreamState(this->behaviour, 7, this->now);
   }
 
-  // The only step that came out, which has to be of `kind`.
-  UpstreamStep TakeOne(UpstreamState & state, UpstreamStepKind kind) {
+  // Returns the only pending step, which must be of `kind`.
+  UpstreamStep TakeOnlyStep(UpstreamState & state, UpstreamStepKind kind) {
     const auto steps = state.TakeSteps();
     CHECK_EQUAL(1, steps.size());
     CHECK(kind == steps.at(0).kind);
@@ -48,18 +48,18 @@
   const auto fourth = state.Arrive(this->now, {});
   const auto steps = state.TakeSteps();
   CHECK_EQUAL(2, steps.size());
-  CHECK(steps[0].work == first);
+  CHECK(steps[0].job == first);
   CHECK(steps[0].finish == this->now + milliseconds(5));
 
   this->now += milliseconds(5);
   state.Finish(this->now, first);
-  CHECK(this->TakeOne(state, UpstreamStepKind::kRun).work == third);
+  CHECK(this->TakeOnlyStep(state, UpstreamStepKind::kRun).job == third);
   state.Finish(this->now, third);
-  CHECK(this->TakeOne(state, UpstreamStepKind::kRun).work == fourth);
+  CHECK(this->TakeOnlyStep(state, UpstreamStepKind::kRun).job == fourth);
   CHECK_EQUAL(2, state.counts().peak_queued);
 }
 
-TEST(UpstreamState, Cancel_QueuedAndRunning_FreesTheSlot) {
+TEST(UpstreamState, Cancel_QueuedAndRunning_FreesSlot) {
   this->behaviour.slots = 1;
   UpstreamState state = this->Make();
   const auto running = state.Arrive(this->now, {});
@@ -70,7 +70,7 @@
   state.Cancel(this->now, queued);
   CHECK(state.TakeSteps().empty());
   state.Cancel(this->now, running);
-  CHECK(this->TakeOne(state, UpstreamStepKind::kRun).work == last);
+  CHECK(this->TakeOnlyStep(state, UpstreamStepKind::kRun).job == last);
   state.Cancel(this->now, running);
   CHECK_EQUAL(1, state.counts().cancelled_queued);
   CHECK_EQUAL(1, state.counts().cancelled_running);
@@ -86,7 +86,7 @@
 
   this->now += milliseconds(5);
   state.Finish(this->now, running);
-  this->TakeOne(state, UpstreamStepKind::kSkipExpired);
+  this->TakeOnlyStep(state, UpstreamStepKind::kSkipExpired);
   CHECK_EQUAL(1, state.counts().expired);
   CHECK(state.counts().executions.empty());
 }
@@ -99,53 +99,54 @@
   state.Arrive(this->now, {});
   state.TakeSteps();
   state.Arrive(this->now, {});
-  this->TakeOne(state, UpstreamStepKind::kRefuseShed);
+  this->TakeOnlyStep(state, UpstreamStepKind::kRefuseShed);
   CHECK_EQUAL(1, state.counts().shed);
   CHECK_EQUAL(2, state.counts().running + state.counts().queued);
 }
 
-TEST(UpstreamState, Draining_AfterItsGrace_Refuses) {
+TEST(UpstreamState, Draining_AfterGracePeriod_Refuses) {
   this->behaviour.drain_grace = milliseconds(100);
   UpstreamState state = this->Make();
   this->behaviour.draining = true;
   state.Change(this->now, this->behaviour);
   state.Arrive(this->now + milliseconds(99), {});
-  this->TakeOne(state, UpstreamStepKind::kRun);
+  this->TakeOnlyStep(state, UpstreamStepKind::kRun);
   state.Arrive(this->now + milliseconds(100), {});
-  this->TakeOne(state, UpstreamStepKind::kRefuseDraining);
+  this->TakeOnlyStep(state, UpstreamStepKind::kRefuseDraining);
   CHECK_EQUAL(2, state.counts().arrivals_while_draining);
   CHECK(state.counts().last_arrival_after_drain == milliseconds(100));
 }
 
-TEST(UpstreamState, Crash_MarkedRequest_LosesAllAndStartsCold) {
-  // A request kills the instance that runs it. Its neighbour in the other slot
-  // is lost with it; the instance comes back slow, with its counts intact.
+TEST(UpstreamState, Crash_MarkedRequest_DropsJobsAndStartsCold) {
+  // A request crashes the instance that runs it. The request in the other slot
+  // is lost, too. The instance restarts with a cold phase and keeps its
+  // counters.
   this->behaviour.cold_time = milliseconds(50);
   UpstreamState state = this->Make();
   const auto neighbour =
       state.Arrive(this->now, {"a", basilsill::kNever, false});
   state.TakeSteps();
-  state.Arrive(this->now, {"poison", basilsill::kNever, true});
-  this->TakeOne(state, UpstreamStepKind::kCrash);
+  state.Arrive(this->now, {"crash", basilsill::kNever, true});
+  this->TakeOnlyStep(state, UpstreamStepKind::kCrash);
   state.Crash();
   state.Finish(this->now, neighbour);
   CHECK_EQUAL(0, state.counts().finished);
   CHECK_EQUAL(2, state.counts().lost_in_crash);
-  CHECK_EQUAL(1, state.counts().executions.at("poison"));
+  CHECK_EQUAL(1, state.counts().executions.at("crash"));
 
   this->now += milliseconds(1000);
   state.Restart(this->now);
   state.Arrive(this->now, {});
-  const auto cold = this->TakeOne(state, UpstreamStepKind::kRun);
+  const auto cold = this->TakeOnlyStep(state, UpstreamStepKind::kRun);
   CHECK(cold.finish - this->now == milliseconds(20));
-  state.Finish(this->now, cold.work);
+  state.Finish(this->now, cold.job);
   this->now += milliseconds(50);
   state.Arrive(this->now, {});
-  const auto warm = this->TakeOne(state, UpstreamStepKind::kRun);
+  const auto warm = this->TakeOnlyStep(state, UpstreamStepKind::kRun);
   CHECK(warm.finish - this->now == milliseconds(5));
 }
 
-TEST(UpstreamState, ReportLoad_Lagging_ShowsThePast) {
+TEST(UpstreamState, ReportLoad_WithLag_ReturnsPastLoad) {
   this->behaviour.report_lag = milliseconds(100);
   UpstreamState state = this->Make();
   state.Arrive(this->now, {});
@@ -158,7 +159,7 @@
   CHECK_EQUAL(0, load.queued);
 }
 
-TEST(UpstreamState, ReportLoad_Lying_ShowsAnotherNumber) {
+TEST(UpstreamState, ReportLoad_FactorZero_ReturnsNoLoad) {
   this->behaviour.report_factor = 0;
   UpstreamState state = this->Make();
   state.Arrive(this->now, {});
@@ -174,14 +175,14 @@
     this->behaviour.straggle_factor = 2;
     UpstreamState state = this->Make();
     double sum = 0;
-    for (int i = 0; i < kDraws; ++i) {
-      const auto work = state.Arrive(this->now, {});
-      const auto step = this->TakeOne(state, UpstreamStepKind::kRun);
+    for (int i = 0; i < kSamples; ++i) {
+      const auto job = state.Arrive(this->now, {});
+      const auto step = this->TakeOnlyStep(state, UpstreamStepKind::kRun);
       sum += std::chrono::duration<double, std::milli>(step.finish - this->now)
                  .count();
-      state.Finish(this->now, work);
+      state.Finish(this->now, job);
     }
-    DOUBLES_EQUAL(10.0, sum / kDraws, 0.5);
+    DOUBLES_EQUAL(10.0, sum / kSamples, 0.5);
   }
 }
 
