--- a/packages/ctl/include/basilsill/ctl/platform_state.h
+++ b/packages/ctl/include/basilsill/ctl/platform_state.h
@@ -27,7 +27,7 @@
   bool vms_down = false;  ///< VM list calls are answered with 503.
   /// Delay between the time an append takes effect and its answer.
   std::chrono::milliseconds append_delay{0};
-  uint64_t drop_answers = 0;  ///< Number of next appends to leave unanswered.
+  uint64_t drop_answers = 0;  ///< Number of upcoming appends without answer.
   /// Age of the VM list that readers are given.
   std::chrono::milliseconds vm_list_lag{0};
   size_t retention_records = kKeepAll;  ///< Records kept per stream.
@@ -149,7 +149,8 @@
 /// Result of an append call.
 enum class AppendOutcome : uint8_t {
   kAnswered,
-  kDropped,      ///< Took effect; to be closed without an answer.
+  /// Took effect; the connection must close without an answer.
+  kDropped,
   kDown,         ///< 503, no effect.
   kRateLimited,  ///< 429, no effect.
   kCount
--- a/packages/ctl/include/basilsill/ctl/upstream.h
+++ b/packages/ctl/include/basilsill/ctl/upstream.h
@@ -35,8 +35,8 @@
   unsigned slots = 2;
   Duration service_mean = std::chrono::milliseconds(5);
   ServiceDistribution service_distribution = ServiceDistribution::kFixed;
-  double service_sigma =
-      1.0;  ///< Standard deviation of the logarithm; kLognormal only.
+  /// Standard deviation of the logarithm; kLognormal only.
+  double service_sigma = 1.0;
   size_t answer_bytes = 1024;
 
   size_t queue_limit = 256;  ///< Requests beyond it are shed.
--- a/packages/ctl/src/platform_command.cc
+++ b/packages/ctl/src/platform_command.cc
@@ -14,8 +14,8 @@
 constexpr std::string_view kAbout =
     "Emulated platform: an append-only log and a VM list over HTTP/JSON. "
     "PUT /faults injects faults, GET /stats returns counters. Prints "
-    "'listening "
-    "ADDRESS:PORT' once it is ready and runs until SIGTERM or SIGINT.";
+    "'listening ADDRESS:PORT' once it is ready and runs until SIGTERM or "
+    "SIGINT.";
 
 // The platform state is not thread-safe, and appends are answered in order.
 constexpr int kThreads = 1;
--- a/packages/ctl/src/platform_json.cc
+++ b/packages/ctl/src/platform_json.cc
@@ -129,9 +129,9 @@
   }
   const size_t count = records->get_array().size();
   if (count == 0 || count > limits::kMaxAppendRecords) {
-    return OutOfRange(
-        "/records", "must have 1 to " +
-                        std::to_string(limits::kMaxAppendRecords) + " records");
+    return OutOfRange("/records",
+                      "expected number of records is 1 to " +
+                          std::to_string(limits::kMaxAppendRecords));
   }
   std::vector<std::string> bodies;
   size_t bytes = 0;
@@ -143,11 +143,8 @@
     bytes += bodies.back().size();
     if (bodies.back().size() > limits::kMaxLogRecordBytes ||
         bytes > limits::kMaxAppendBytes) {
-      return OutOfRange(
-          "/records",
-          "must have at most " + std::to_string(limits::kMaxLogRecordBytes) +
-              " bytes in a record and " +
-              std::to_string(limits::kMaxAppendBytes) + " bytes in all");
+      return OutOfRange("/records",
+                        "exceeds the byte limit of a record or of an append");
     }
   }
   return bodies;
--- a/packages/ctl/src/resource_apply.cc
+++ b/packages/ctl/src/resource_apply.cc
@@ -189,11 +189,10 @@
   TCLAP::CmdLine line(
       "Creates or replaces resources from a JSON file (comments allowed): one "
       "object {\"kind\", \"name\", \"spec\"} or an array of them, applied in "
-      "the "
-      "order given. Each change is based on the current version, or on the "
+      "the order given. Each change is based on the current version, or on the "
       "entry's \"version\". Stops at the first resource that is not accepted. "
-      "Exit status: 0 all accepted, 2 "
-      "usage, 3 conflict, 4 rejected, 5 unavailable or unresolved.",
+      "Exit status: 0 all accepted, 2 usage, 3 conflict, 4 rejected, 5 "
+      "unavailable or unresolved.",
       ' ', BASILSILL_VERSION);
   ResourceOptions options(line);
   TCLAP::ValueArg<std::string> file("f", "file",
--- a/packages/ctl/src/resource_stream.cc
+++ b/packages/ctl/src/resource_stream.cc
@@ -119,10 +119,8 @@
     }
     if (lines.pending_bytes() + end.refusal.body.size() >
         limits::kMaxPlatformAnswerBytes) {
-      end.failure = Failure{
-          FailureKind::kOversizedFrame, ToString(endpoint),
-          "a line or error body is longer than " +
-              std::to_string(limits::kMaxPlatformAnswerBytes) + " bytes"};
+      end.failure = Failure{FailureKind::kOversizedFrame, ToString(endpoint),
+                            "a line or an error body exceeds the size limit"};
       co_return end;
     }
   } while (!parser.is_done());
--- a/packages/ctl/src/resource_watch.cc
+++ b/packages/ctl/src/resource_watch.cc
@@ -135,8 +135,7 @@
     nodes.ReportFailure(*position, MonotonicClock::now());
     std::cerr << "stream ended, resuming from offset " << watch.next << '\n';
   }
-  std::cerr << "no line received from any node within " << idle_timeout.count()
-            << " ms\n";
+  std::cerr << "no node answered within the timeout\n";
   co_return ExitStatus::kUnavailable;
 }
 
@@ -165,9 +164,9 @@
 ExitStatus RunWatch(const CommandArguments& arguments) {
   TCLAP::CmdLine line(
       "Prints changes of resources, one per line, and fails over between "
-      "nodes. "
-      "The first column is the offset to resume at with --from. Exit status: 0 "
-      "all lines asked for were shown, 2 usage, 4 rejected, 5 no node "
+      "nodes. The first column is the offset to resume at with --from. Exit "
+      "status: 0 all lines asked for were shown, 2 usage, 4 rejected, 5 no "
+      "node "
       "answered for the timeout.",
       ' ', BASILSILL_VERSION);
   ResourceOptions options(line);
--- a/packages/ctl/src/upstream_json.cc
+++ b/packages/ctl/src/upstream_json.cc
@@ -127,7 +127,7 @@
 
   Failure WrongType(const std::string& allowed) const {
     return {FailureKind::kWrongType, std::string(this->field.name),
-            "must be " + allowed + ", found " + json::serialize(this->value)};
+            "found " + json::serialize(this->value) + ", must be " + allowed};
   }
 };
 
--- a/packages/ctl/src/upstream_set.cc
+++ b/packages/ctl/src/upstream_set.cc
@@ -37,17 +37,17 @@
   boost::system::error_code error;
   const auto address = asio::ip::make_address(options.address, error);
   if (error || !address.is_loopback()) {
-    return OutOfRange(
-        "listen", "must be a loopback IP address, found " + options.address);
+    return OutOfRange("listen", "found " + options.address +
+                                    ", must be a loopback IP address");
   }
   if (options.count == 0 || options.count > limits::kMaxUpstreams ||
       options.port + options.count - 1 > UINT16_MAX) {
-    return OutOfRange("count", "must be 1 to " +
-                                   std::to_string(limits::kMaxUpstreams) +
-                                   ", and the last port at most 65535");
+    return OutOfRange("count",
+                      "must be at least 1, within the limit of upstreams, and "
+                      "use no port above 65535");
   }
   if (options.threads == 0 || options.threads > kMaxThreads) {
-    return OutOfRange("threads", "must be 1 to " + std::to_string(kMaxThreads));
+    return OutOfRange("threads", "must be 1 to 64");
   }
   return address;
 }
--- a/packages/ctl/src/upstream_state.h
+++ b/packages/ctl/src/upstream_state.h
@@ -12,8 +12,8 @@
 #include "basilsill/base/time.h"
 #include "basilsill/ctl/upstream.h"
 
-/// State machine of an emulated instance. Each input has a time point, and the
-/// output is a list of steps. It has no sockets, timers or clock.
+/// State machine of an emulated instance. Callers pass the current time, and
+/// the output is a list of steps. It has no sockets, timers or clock.
 
 namespace basilsill::ctl {
 
