--- a/packages/ctl/src/resource_watch.cc
+++ b/packages/ctl/src/resource_watch.cc
@@ -166,8 +166,7 @@
       "Prints changes of resources, one per line, and fails over between "
       "nodes. The first column is the offset to resume at with --from. Exit "
       "status: 0 all lines asked for were shown, 2 usage, 4 rejected, 5 no "
-      "node "
-      "answered for the timeout.",
+      "node answered for the timeout.",
       ' ', BASILSILL_VERSION);
   ResourceOptions options(line);
   TCLAP::ValueArg<uint64_t> from(
--- a/packages/ctl/test/upstream_body_test.cc
+++ b/packages/ctl/test/upstream_body_test.cc
@@ -21,7 +21,7 @@
   std::string whole = MakePattern(this->seed, 1003);
 };
 
-TEST(UpstreamBody, FillPattern_InPieces_EqualsWholePattern) {
+TEST(UpstreamBody, FillPattern_InUnalignedPieces_EqualsWholePattern) {
   std::string pieces(this->whole.size(), '\0');
   size_t offset = 0;
   for (size_t size = 1; offset < pieces.size(); size += 6) {
--- a/packages/ctl/test/upstream_state_test.cc
+++ b/packages/ctl/test/upstream_state_test.cc
@@ -126,13 +126,13 @@
   const auto neighbour =
       state.Arrive(this->now, {"a", basilsill::kNever, false});
   state.TakeSteps();
-  state.Arrive(this->now, {"crash", basilsill::kNever, true});
+  state.Arrive(this->now, {"poison", basilsill::kNever, true});
   this->TakeOnlyStep(state, UpstreamStepKind::kCrash);
   state.Crash();
   state.Finish(this->now, neighbour);
   CHECK_EQUAL(0, state.counts().finished);
   CHECK_EQUAL(2, state.counts().lost_in_crash);
-  CHECK_EQUAL(1, state.counts().executions.at("crash"));
+  CHECK_EQUAL(1, state.counts().executions.at("poison"));
 
   this->now += milliseconds(1000);
   state.Restart(this->now);
