--- a/packages/ctl/include/basilsill/ctl/http_server.h
+++ b/packages/ctl/include/basilsill/ctl/http_server.h
@@ -14,7 +14,7 @@
 #include "basilsill/base/error.h"
 #include "basilsill/platform/http_message.h"
 
-/// A small HTTP/1.1 server for stand-ins and tests. Never for callers.
+/// A small HTTP/1.1 server for emulators and tests. Not for production traffic.
 
 namespace boost::asio {
 class io_context;
@@ -22,11 +22,11 @@
 
 namespace basilsill::ctl {
 
-/// One request with its whole body.
+/// One request with its complete body.
 struct ServerRequest {
   std::string method;
-  std::string path;   ///< Target up to the question mark.
-  std::string query;  ///< Target after it.
+  std::string path;   ///< Part of the target before the question mark.
+  std::string query;  ///< Part after it; empty if there is none.
   std::vector<HttpHeader> headers;
   std::string body;
 };
@@ -37,16 +37,16 @@
   std::vector<HttpHeader> headers;
 };
 
-/// Answers a request; nothing closes the connection without an answer.
+/// Handles a request. std::nullopt closes the connection without a response.
 using ServerHandler =
     std::function<boost::asio::awaitable<std::optional<ServerReply>>(
         ServerRequest)>;
 
-/// Serves on the thread that runs its io_context; stops when destroyed.
+/// Serves on the thread that runs its io_context; the destructor stops it.
 class HttpServer {
  public:
-  /// @param endpoint Port 0 lets the kernel choose.
-  /// @returns kNetwork if it can't be listened on.
+  /// @param endpoint Port 0 lets the kernel choose a free port.
+  /// @returns kNetwork if the server can't listen on `endpoint`.
   static Result<HttpServer> Listen(boost::asio::io_context& io,
                                    const Endpoint& endpoint,
                                    ServerHandler handler);
@@ -54,7 +54,7 @@
   HttpServer& operator=(HttpServer&& other) noexcept;
   ~HttpServer();
 
-  /// @returns where it listens, the kernel's port included.
+  /// @returns the local endpoint, with the port that the kernel chose.
   Endpoint endpoint() const;
 
   /// Stops listening and closes all connections.
@@ -63,16 +63,17 @@
  private:
   struct State;
 
-  explicit HttpServer(std::shared_ptr<State> started);
+  explicit HttpServer(std::shared_ptr<State> listening_state);
 
   std::shared_ptr<State> state;
 };
 
-/// @returns the value of `name` in a query, empty if it is not there. Nothing
-/// is decoded: the protocols here use plain characters.
+/// @returns the value of `name` in a query, or an empty string if it is absent.
+/// Percent-encoding is not decoded: the protocols here only use characters that
+/// need no encoding.
 std::string_view QueryValue(std::string_view query, std::string_view name);
 
-/// @returns the value of a header, empty if it is not there.
+/// @returns the value of a header, or an empty string if it is absent.
 std::string_view HeaderValue(const ServerRequest& request,
                              std::string_view name);
 
--- a/packages/ctl/include/basilsill/ctl/load.h
+++ b/packages/ctl/include/basilsill/ctl/load.h
@@ -15,27 +15,27 @@
 #include "basilsill/ctl/load_histogram.h"
 
 /// Load generator: sends requests on a schedule that does not wait for
-/// answers, checks every answer whole, and reports latency from the time at
-/// which each request was meant to start. Sends to loopback only.
+/// responses, checks every response completely, and measures latency from the
+/// scheduled start of each request. Sends to loopback addresses only.
 
 namespace basilsill::ctl {
 
-/// What became of one attempt, or of a request after all its attempts.
+/// Result of one attempt, or of a request after all its attempts.
 enum class LoadVerdict : uint8_t {
-  kRight,    ///< The whole answer to this very request.
-  kRefused,  ///< A refusal that says its reason and promise.
-  // No whole answer, visibly.
+  kRight,    ///< The complete response to this request.
+  kRefused,  ///< An error response with a reason and a promise.
+  // No complete response; the caller can see this.
   kConnectFailed,
-  kClosed,     ///< The connection ended before any byte of an answer.
-  kCutShort,   ///< It ended in the middle of an answer.
-  kMalformed,  ///< What came is no HTTP answer.
+  kClosed,     ///< Connection closed before any byte of a response.
+  kCutShort,   ///< Connection closed in the middle of a response.
+  kMalformed,  ///< The received bytes are no HTTP response.
   kTimedOut,
-  // An answer that looks whole and is wrong.
-  kWrongTag,     ///< It answers another request.
-  kWrongDigest,  ///< Its body is not the one that was sent.
-  kWrongBody,    ///< Its body is not the one of this request.
-  kWrongUpload,  ///< The upstream got another body than was sent.
-  kUnexplained,  ///< An error status without reason and promise.
+  // A response that looks complete and is wrong.
+  kWrongTag,     ///< The response belongs to another request.
+  kWrongDigest,  ///< The body differs from the one the upstream sent.
+  kWrongBody,    ///< The body belongs to another request.
+  kWrongUpload,  ///< The upstream received another body than was sent.
+  kUnexplained,  ///< An error status that lacks a reason or promise.
   kCount
 };
 
@@ -50,7 +50,7 @@
 std::string_view NameOf(LoadVerdict verdict);
 LoadVerdictClass ClassOf(LoadVerdict verdict);
 
-/// A count for each verdict.
+/// Counts by verdict.
 using LoadVerdictCounts =
     std::array<uint64_t, static_cast<size_t>(LoadVerdict::kCount)>;
 
@@ -67,7 +67,7 @@
   std::string value;
 };
 
-/// One kind of request in the mix; it has a row of its own in the report.
+/// One kind of request in the mix; the report has a row for each kind.
 struct LoadKind {
   std::string name = "all";
   unsigned weight = 1;
@@ -76,44 +76,46 @@
   std::string path = "/";
   std::vector<LoadHeader> headers;
   size_t body_bytes = 0;
-  bool once = false;   ///< Must not repeat: carries an Idempotency-Key.
-  bool crash = false;  ///< Kills each emulated upstream that runs it.
+  bool once = false;   ///< Must not run twice: carries an Idempotency-Key.
+  bool crash = false;  ///< Crashes each emulated upstream that runs it.
 };
 
-/// How requests go: through the system, or straight to the upstreams.
+/// The path of requests: through the load balancer, or directly to the
+/// upstreams.
 enum class LoadSide : uint8_t { kThrough, kDirect, kCount };
 
 struct LoadOptions {
-  std::vector<LoadEndpoint> targets;  ///< Nodes.
-  std::vector<LoadEndpoint> direct;   ///< Upstreams, to compare with.
+  std::vector<LoadEndpoint> targets;  ///< Nodes of the load balancer.
+  std::vector<LoadEndpoint> direct;   ///< Upstreams, for comparison.
   std::vector<LoadKind> mix = {LoadKind{}};
-  double rate = 100;  ///< Requests a second on each side.
+  double rate = 100;  ///< Requests per second on each side.
   std::chrono::milliseconds duration = std::chrono::seconds(5);
-  /// Latencies of requests that start earlier than this are not counted.
+  /// Latencies of requests that start within this time are not counted.
   std::chrono::milliseconds warmup{};
-  uint64_t requests = 0;    ///< Stops after so many a side; 0: no such bound.
+  uint64_t requests = 0;    ///< Limit for each side; 0: no limit.
   size_t connections = 16;  ///< On each side.
   size_t threads = 1;
   uint64_t seed = 1;
-  /// Sent with each request; answers after it count as late.
+  /// Sent with each request; later responses count as late.
   std::optional<std::chrono::milliseconds> deadline;
-  /// The caller gives up so long after the start.
+  /// A request fails with kTimedOut this long after its scheduled start.
   std::chrono::milliseconds timeout = std::chrono::seconds(10);
   unsigned resends = 0;
-  /// Each connection sends its next request as soon as it has its answer.
+  /// Each connection sends its next request as soon as it has a response.
   bool closed_loop = false;
-  bool spin = false;  ///< Polls without sleeping: exact timing for a core.
+  bool spin = false;  ///< Busy-polls: exact timing at the cost of a core.
   size_t idle_connections = 0;
-  /// Processes whose CPU time and memory are measured.
+  /// IDs of processes whose CPU time and memory are measured.
   std::vector<int> processes;
-  /// Emulated upstreams to ask, at the end, what ran how often.
+  /// Emulated upstreams that are queried for their execution counts after the
+  /// run.
   std::vector<LoadEndpoint> executions_at;
 };
 
 /// One kind of request on one side.
 struct LoadKindReport {
   std::string name;
-  LoadHistogram right;    ///< Latency of right answers.
+  LoadHistogram right;    ///< Latency of right responses.
   LoadHistogram refused;  ///< Latency of refusals.
   LoadVerdictCounts verdicts{};
 };
@@ -122,45 +124,46 @@
   LoadSide side = LoadSide::kThrough;
   std::vector<LoadKindReport> kinds;
   LoadVerdictCounts attempts{};
-  std::map<unsigned, uint64_t> statuses;     ///< Of attempts.
-  std::map<std::string, uint64_t> refusals;  ///< Attempts by reason.
+  std::map<unsigned, uint64_t> statuses;     ///< Attempts by HTTP status.
+  std::map<std::string, uint64_t> refusals;  ///< Refused attempts by reason.
   uint64_t resends = 0;
-  uint64_t late = 0;  ///< Right answers after the deadline.
-  uint64_t bytes = 0;
+  uint64_t late = 0;   ///< Right responses after the deadline.
+  uint64_t bytes = 0;  ///< Of response bodies.
 
   void Merge(const LoadSideReport& other);
-  /// @returns all kinds in one.
+  /// @returns the sum over all kinds.
   LoadKindReport Total() const;
 };
 
-/// What a measured process used from start to end.
+/// Resources that a measured process used during the run.
 struct LoadProcessReport {
   int pid = 0;
   Duration cpu{};
   int64_t memory_at_start = 0;  ///< Resident bytes.
   int64_t memory_at_end = 0;
-  int64_t memory_peak = 0;  ///< Highest sample in between.
+  int64_t memory_peak = 0;  ///< Highest sample during the run.
 };
 
 struct LoadIdleReport {
   size_t opened = 0;
   size_t failed = 0;
-  size_t lost = 0;  ///< Closed by the peer while they were held.
+  size_t lost = 0;  ///< Closed by the peer during the run.
 };
 
-/// What ran how often, for requests that must not repeat.
+/// Execution counts of requests that must not run twice.
 struct LoadExecutionReport {
-  uint64_t keys = 0;  ///< Requests sent with a key.
+  uint64_t keys = 0;  ///< Requests with an idempotency key.
   uint64_t ran_once = 0;
-  uint64_t ran_twice = 0;          ///< Ran twice or more: never allowed.
-  uint64_t not_run_but_ran = 0;    ///< Promised not run, and ran.
-  uint64_t right_but_not_run = 0;  ///< A right answer, and nothing ran.
-  uint64_t unreachable = 0;        ///< Upstreams that could not be asked.
+  uint64_t ran_twice = 0;          ///< Ran twice or more: always a fault.
+  uint64_t not_run_but_ran = 0;    ///< Promised as not run, but ran.
+  uint64_t right_but_not_run = 0;  ///< Answered right, but never ran.
+  uint64_t unreachable = 0;        ///< Upstreams that returned no counts.
 };
 
 struct LoadReport {
   std::vector<LoadSideReport> sides;
-  /// How late the generator itself started requests; part of all latencies.
+  /// Delay between the scheduled and the actual start of requests; included in
+  /// all latencies.
   LoadHistogram start_lag;
   Duration elapsed{};
   std::vector<LoadProcessReport> processes;
@@ -168,7 +171,7 @@
   std::optional<LoadExecutionReport> executions;
 };
 
-/// Runs the load to its end; blocks.
+/// Runs the load and returns when it has ended.
 /// @returns kOutOfRange for options outside of their range, kUnreadable if a
 /// process to measure does not exist.
 Result<LoadReport> RunLoad(const LoadOptions& options);
--- a/packages/ctl/include/basilsill/ctl/load_histogram.h
+++ b/packages/ctl/include/basilsill/ctl/load_histogram.h
@@ -9,30 +9,31 @@
 
 /// Latency histogram of the load generator.
 ///
-/// A fixed log-linear table: each power of two of nanoseconds is cut into 128
-/// equal buckets, so that any quantile is within 1/128 of the true value, from
-/// 1 ns to over an hour, whatever the shape of the tail. Boost.Accumulators,
-/// which the nodes use, estimates: its P-square and tail quantiles drift on
-/// bimodal latencies and can't be merged from several threads. A load report
-/// compares p99.9 of two runs, so that its error has to be bounded.
+/// A fixed log-linear table: each power of two of nanoseconds is divided into
+/// 128 equal buckets. Any quantile from 1 ns to over an hour is therefore
+/// within 1/128 of the true value, whatever the distribution. Load reports
+/// compare the p99.9 of two runs, which needs such an error bound. The
+/// P-square and tail quantiles of Boost.Accumulators, which the nodes use, are
+/// estimates: they drift on bimodal latencies and can't be merged from several
+/// threads.
 
 namespace basilsill::ctl {
 
 class LoadHistogram {
  public:
-  /// Counts one latency; a negative one counts as zero.
+  /// Adds one latency; a negative one counts as zero.
   void Add(Duration latency);
 
-  /// Adds all that `other` counted.
+  /// Adds all values of `other`.
   void Merge(const LoadHistogram& other);
 
   uint64_t count() const { return this->total; }
   Duration max() const { return this->largest; }
   Duration mean() const;
 
-  /// @param fraction From 0 to 1; 0.99 asks for the 99th percentile.
+  /// @param fraction From 0 to 1; 0.99 is the 99th percentile.
   /// @returns the latency that this fraction of the values does not exceed,
-  /// rounded up to its bucket's end; zero if nothing was counted.
+  /// rounded up to the end of its bucket; zero if there are no values.
   Duration Quantile(double fraction) const;
 
  private:
--- a/packages/ctl/src/api_key_command.cc
+++ b/packages/ctl/src/api_key_command.cc
@@ -29,8 +29,8 @@
   std::string key;
   std::getline(input, key);
   if (!IsApiKey(key)) {
-    std::cerr << "standard input: no API key: visible ASCII characters, at "
-                 "most "
+    std::cerr << "standard input: not an API key: expected visible ASCII "
+                 "characters, at most "
               << limits::kMaxApiKeyBytes << '\n';
     return ExitStatus::kUsage;
   }
@@ -41,15 +41,16 @@
 }  // namespace
 
 ExitStatus RunApiKey(const CommandArguments& arguments) {
-  TCLAP::CmdLine line("Makes an API key of a team and its digest", ' ',
-                      BASILSILL_VERSION);
+  TCLAP::CmdLine line("Generates an API key for a team and prints its digest",
+                      ' ', BASILSILL_VERSION);
   TCLAP::SwitchArg digest(
-      "", "digest", "Only the digest, of the key on standard input", line);
+      "", "digest", "Only print the digest of the key on standard input", line);
   if (const auto status = ParseArguments(line, arguments)) {
     return *status;
   }
   if (sodium_init() < 0) {
-    std::cerr << "no source of random numbers\n";
+    std::cerr
+        << "libsodium failed to initialise: no source of random numbers\n";
     return ExitStatus::kFailed;
   }
   if (digest.getValue()) {
--- a/packages/ctl/src/api_key_command.h
+++ b/packages/ctl/src/api_key_command.h
@@ -5,9 +5,9 @@
 
 namespace basilsill::ctl {
 
-/// `basilsillctl api-key`: makes an API key, or digests one that is given on
-/// standard input. A key is never an argument: other users of the machine see
-/// those.
+/// `basilsillctl api-key`: generates an API key, or prints the digest of a key
+/// on standard input. A key is never a command-line argument, because other
+/// users of the machine can read those.
 ExitStatus RunApiKey(const CommandArguments& arguments);
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/command.cc
+++ b/packages/ctl/src/command.cc
@@ -22,8 +22,8 @@
          "5 unavailable or unresolved.\n";
 }
 
-// TCLAP knows one delimiter between a name and its value, here the blank.
-// This allows "--name=value" as well.
+// Splits "--name=value" into two arguments. TCLAP supports only one delimiter
+// between a name and its value, and that is the space here.
 CommandArguments SplitValues(const CommandArguments& arguments) {
   CommandArguments split;
   bool is_name_allowed = true;
@@ -60,7 +60,7 @@
       return static_cast<int>(command.run(own));
     }
   }
-  std::cerr << "basilsillctl: no subcommand '" << name << "'\n";
+  std::cerr << "basilsillctl: unknown subcommand '" << name << "'\n";
   PrintCommands(std::cerr);
   return static_cast<int>(ExitStatus::kUsage);
 }
--- a/packages/ctl/src/command.h
+++ b/packages/ctl/src/command.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-/// The subcommands of `basilsillctl` and what they share.
+/// The subcommands of `basilsillctl` and their common code.
 
 namespace TCLAP {  // NOLINT: the library's name.
 class CmdLine;
@@ -15,38 +15,38 @@
 
 namespace basilsill::ctl {
 
-/// Exit status of every subcommand; part of the tool's contract.
+/// Exit status of every subcommand; part of the public interface.
 enum class ExitStatus : int {
   kOk = 0,
-  kFailed = 1,       ///< A failure that has no status of its own.
-  kUsage = 2,        ///< The command line or an input file is wrong.
-  kConflict = 3,     ///< Based on a version that is not the current one.
-  kRejected = 4,     ///< The node refused the request for what it asks.
-  kUnavailable = 5,  ///< No node answered, or the outcome is not known.
+  kFailed = 1,       ///< Any other failure.
+  kUsage = 2,        ///< The command line or an input file is invalid.
+  kConflict = 3,     ///< The change is based on an outdated version.
+  kRejected = 4,     ///< The node rejected the content of the request.
+  kUnavailable = 5,  ///< No node answered, or the outcome is unknown.
 };
 
-/// Arguments of a subcommand; the first is the name shown in its help.
+/// Arguments of a subcommand; the first is the program name for its help.
 using CommandArguments = std::vector<std::string>;
 
 /// One row of the subcommand table.
 struct Command {
   std::string_view name;
-  std::string_view summary;  ///< One line for the list of subcommands.
+  std::string_view summary;  ///< One line in the list of subcommands.
   ExitStatus (*run)(const CommandArguments& arguments);
 };
 
-/// @returns every subcommand in the order that help shows them.
+/// @returns all subcommands in the order of the help text.
 std::span<const Command> AllCommands();
 
-/// Runs the subcommand that `arguments[1]` names.
-/// @param arguments As main() got them.
+/// Runs the subcommand named by `arguments[1]`.
+/// @param arguments All arguments of main().
 /// @returns the exit status of the process.
 int RunTool(const CommandArguments& arguments);
 
 /// Parses `arguments` into the TCLAP arguments that were added to `line`.
-/// Help, version and faults of usage are printed here.
-/// @returns the status to exit with at once, or nothing if the subcommand
-/// shall go on.
+/// Prints help, version and usage errors.
+/// @returns the exit status if the subcommand has to end here, or std::nullopt
+/// if it continues.
 std::optional<ExitStatus> ParseArguments(TCLAP::CmdLine& line,
                                          const CommandArguments& arguments);
 
--- a/packages/ctl/src/command_table.cc
+++ b/packages/ctl/src/command_table.cc
@@ -12,19 +12,21 @@
 namespace {
 
 constexpr std::array kCommands = {
-    Command{"apply", "make resources be as a file says", RunApply},
+    Command{"apply", "create or update resources from a file", RunApply},
     Command{"get", "show a resource", RunGet},
     Command{"list", "show resources", RunList},
     Command{"delete", "delete a resource", RunDelete},
-    Command{"drain", "keep new work away from a data centre", RunDrain},
-    Command{"undrain", "take a drained data centre back", RunUndrain},
+    Command{"drain", "stop routing new work to a data centre", RunDrain},
+    Command{"undrain", "end the drain of a data centre", RunUndrain},
     Command{"watch", "follow changes of resources", RunWatch},
-    Command{"api-key", "make an API key of a team, or digest one", RunApiKey},
+    Command{"api-key", "generate an API key for a team, or digest one",
+            RunApiKey},
     Command{"status", "show the state of an installation", RunStatus},
-    Command{"explain", "what became of one request, from logs", RunExplain},
+    Command{"explain", "show the course of one request from logs", RunExplain},
     Command{"platform", "emulated platform: log, VM list, faults", RunPlatform},
     Command{"upstream", "emulated upstream instances", RunUpstream},
-    Command{"load", "sends load, checks and measures", RunLoadCommand},
+    Command{"load", "generate load, check responses, measure latency",
+            RunLoadCommand},
 };
 
 }  // namespace
--- a/packages/ctl/src/explain.cc
+++ b/packages/ctl/src/explain.cc
@@ -12,13 +12,13 @@
 
 using std::chrono::milliseconds;
 
-// What happened so long before a request's first line can be its cause: the
-// platform's bounds are two to three seconds.
-constexpr milliseconds kBefore{3000};
-// Of lines about anything but the request.
-constexpr size_t kMaxAround = 30;
+// Events within this time before the first line of a request can have caused
+// its outcome: the platform's time bounds are two to three seconds.
+constexpr milliseconds kContextWindow{3000};
+// Limit for the lines that are not about a request.
+constexpr size_t kMaxContextLines = 30;
 
-struct PlacedLine {
+struct VmLine {
   const std::string* vm;
   const LogLine* line;
 };
@@ -28,91 +28,93 @@
   return value.empty() ? "?" : std::string(value);
 }
 
-std::string TellWhy(const LogLine& line) {
+std::string DescribeRetryReason(const LogLine& line) {
   const std::string_view reason = line.Field("reason");
   return reason.empty() || reason == "none" ? "first attempt"
                                             : std::string(reason);
 }
 
-// What was known of the upstream as it was chosen.
-std::string TellKnowledge(const LogLine& line) {
+// What the dispatcher knew about the speed of the upstream when it chose it.
+std::string DescribeUpstreamSpeed(const LogLine& line) {
   if (line.Field("slowness_age_ms").starts_with('-')) {
-    return "its speed was not known";
+    return "speed unknown";
   }
-  return "thought to take " + Value(line, "slowness") +
-         " times its usual time, as of " + Value(line, "slowness_age_ms") +
-         " ms before";
+  return "estimated at " + Value(line, "slowness") + " times its usual time, " +
+         Value(line, "slowness_age_ms") + " ms earlier";
 }
 
-std::string TellAttempt(const LogLine& line) {
-  return "sent to upstream " + Value(line, "upstream") + " (" + TellWhy(line) +
-         ") after waiting " + Value(line, "waited_ms") + " ms, " +
-         TellKnowledge(line) + ": " + Value(line, "end") + ", status " +
-         Value(line, "status") + ", after " + Value(line, "took_ms") + " ms";
+std::string DescribeAttempt(const LogLine& line) {
+  return "sent to upstream " + Value(line, "upstream") + " (" +
+         DescribeRetryReason(line) + ") after waiting " +
+         Value(line, "waited_ms") + " ms, " + DescribeUpstreamSpeed(line) +
+         ": " + Value(line, "end") + ", status " + Value(line, "status") +
+         ", after " + Value(line, "took_ms") + " ms";
 }
 
-std::string TellRefused(const LogLine& line) {
+std::string DescribeRefusal(const LogLine& line) {
   return "answered by the system itself: " + Value(line, "reason") +
          ", after " + Value(line, "elapsed_ms") + " ms";
 }
 
-std::string TellBroken(const LogLine& line) {
-  return "the answer broke off: " + Value(line, "reason") + ", after " +
+std::string DescribeBrokenResponse(const LogLine& line) {
+  return "the response was cut off: " + Value(line, "reason") + ", after " +
          Value(line, "elapsed_ms") + " ms";
 }
 
-std::string TellGone(const LogLine& line) {
-  return "the caller closed after " + Value(line, "elapsed_ms") + " ms";
+std::string DescribeCallerGone(const LogLine& line) {
+  return "the caller closed the connection after " + Value(line, "elapsed_ms") +
+         " ms";
 }
 
-std::string TellAsWritten(const LogLine& line) {
+std::string DescribeOtherEvent(const LogLine& line) {
   return line.text;
 }
 
-struct Teller {
+struct EventFormatter {
   Event event;
-  std::string (*tell)(const LogLine& line);
+  std::string (*format)(const LogLine& line);
 };
 
-constexpr std::array<Teller, 5> kTellers = {{
-    {Event::kAttemptAnswered, TellAttempt},
-    {Event::kAttemptFailed, TellAttempt},
-    {Event::kRequestRefused, TellRefused},
-    {Event::kAnswerBroken, TellBroken},
-    {Event::kCallerGone, TellGone},
+constexpr std::array<EventFormatter, 5> kEventFormatters = {{
+    {Event::kAttemptAnswered, DescribeAttempt},
+    {Event::kAttemptFailed, DescribeAttempt},
+    {Event::kRequestRefused, DescribeRefusal},
+    {Event::kAnswerBroken, DescribeBrokenResponse},
+    {Event::kCallerGone, DescribeCallerGone},
 }};
 
-std::string Tell(const LogLine& line) {
-  for (const Teller& teller : kTellers) {
-    if (static_cast<int>(teller.event) == line.event) {
-      return teller.tell(line);
+std::string Describe(const LogLine& line) {
+  for (const EventFormatter& formatter : kEventFormatters) {
+    if (static_cast<int>(formatter.event) == line.event) {
+      return formatter.format(line);
     }
   }
-  return TellAsWritten(line);
+  return DescribeOtherEvent(line);
 }
 
-std::string At(const PlacedLine& placed, const std::string& text) {
-  return placed.line->clock + " " + *placed.vm + ": " + text;
+std::string FormatLine(const VmLine& vm_line, const std::string& text) {
+  return vm_line.line->time_text + " " + *vm_line.vm + ": " + text;
 }
 
-template <typename Wanted>
-std::vector<PlacedLine> Find(const std::vector<NodeLog>& logs, Wanted wanted) {
-  std::vector<PlacedLine> found;
+template <typename Predicate>
+std::vector<VmLine> Find(const std::vector<NodeLog>& logs,
+                         Predicate predicate) {
+  std::vector<VmLine> found;
   for (const NodeLog& log : logs) {
     for (const LogLine& line : log.lines) {
-      if (wanted(log, line)) {
+      if (predicate(log, line)) {
         found.push_back({&log.vm, &line});
       }
     }
   }
   std::stable_sort(found.begin(), found.end(),
-                   [](const PlacedLine& a, const PlacedLine& b) {
+                   [](const VmLine& a, const VmLine& b) {
                      return a.line->time < b.line->time;
                    });
   return found;
 }
 
-bool IsAboutARequest(const LogLine& line) {
+bool HasRequestId(const LogLine& line) {
   return !line.Field("request").empty();
 }
 
@@ -120,38 +122,39 @@
   return line.event == static_cast<int>(Event::kEventsSuppressed);
 }
 
-void AddAround(const std::vector<PlacedLine>& around,
-               std::vector<std::string>& told) {
-  if (around.empty()) {
+void AddContext(const std::vector<VmLine>& context,
+                std::vector<std::string>& output) {
+  if (context.empty()) {
     return;
   }
-  told.emplace_back("what these VMs went through at that time:");
+  output.emplace_back("other events on these VMs at that time:");
   const size_t skipped =
-      around.size() > kMaxAround ? around.size() - kMaxAround : 0;
+      context.size() > kMaxContextLines ? context.size() - kMaxContextLines : 0;
   if (skipped > 0) {
-    told.push_back("  (" + std::to_string(skipped) + " earlier lines)");
+    output.push_back("  (" + std::to_string(skipped) + " earlier lines)");
   }
-  for (size_t i = skipped; i < around.size(); ++i) {
-    told.push_back("  " + At(around[i], around[i].line->text));
+  for (size_t i = skipped; i < context.size(); ++i) {
+    output.push_back("  " + FormatLine(context[i], context[i].line->text));
   }
 }
 
-void AddMissing(const std::vector<PlacedLine>& suppressed,
-                std::vector<std::string>& told) {
-  for (const PlacedLine& placed : suppressed) {
-    told.push_back("missing: " +
-                   At(placed, Value(*placed.line, "count") + " lines of " +
-                                  Value(*placed.line, "event") +
-                                  " were left out"));
+void AddMissing(const std::vector<VmLine>& suppressed,
+                std::vector<std::string>& output) {
+  for (const VmLine& vm_line : suppressed) {
+    output.push_back("missing: " +
+                     FormatLine(vm_line, Value(*vm_line.line, "count") +
+                                             " lines of " +
+                                             Value(*vm_line.line, "event") +
+                                             " were left out"));
   }
 }
 
-bool HasEnd(const std::vector<PlacedLine>& own) {
+bool HasFinalEvent(const std::vector<VmLine>& own) {
   constexpr std::array ends = {Event::kRequestRefused, Event::kAnswerBroken,
                                Event::kCallerGone, Event::kAttemptAnswered};
-  return std::any_of(own.begin(), own.end(), [&ends](const PlacedLine& placed) {
-    return std::any_of(ends.begin(), ends.end(), [&placed](Event event) {
-      return static_cast<int>(event) == placed.line->event;
+  return std::any_of(own.begin(), own.end(), [&ends](const VmLine& vm_line) {
+    return std::any_of(ends.begin(), ends.end(), [&vm_line](Event event) {
+      return static_cast<int>(event) == vm_line.line->event;
     });
   });
 }
@@ -181,38 +184,39 @@
       Find(logs, [request_id](const NodeLog&, const LogLine& line) {
         return line.Field("request") == request_id;
       });
-  std::vector<std::string> told;
+  std::vector<std::string> output;
   if (own.empty()) {
-    return told;
+    return output;
   }
   std::set<std::string> vms;
-  for (const PlacedLine& placed : own) {
-    told.push_back(At(placed, Tell(*placed.line)));
-    vms.insert(*placed.vm);
+  for (const VmLine& vm_line : own) {
+    output.push_back(FormatLine(vm_line, Describe(*vm_line.line)));
+    vms.insert(*vm_line.vm);
   }
-  const milliseconds from = own.front().line->time - kBefore;
+  const milliseconds from = own.front().line->time - kContextWindow;
   const milliseconds to = own.back().line->time;
   const auto is_near = [&](const NodeLog& log, const LogLine& line) {
     return vms.contains(log.vm) && line.time >= from && line.time <= to;
   };
-  AddAround(Find(logs,
-                 [&](const NodeLog& log, const LogLine& line) {
-                   return is_near(log, line) && !IsAboutARequest(line) &&
-                          !IsSuppression(line);
-                 }),
-            told);
+  AddContext(Find(logs,
+                  [&](const NodeLog& log, const LogLine& line) {
+                    return is_near(log, line) && !HasRequestId(line) &&
+                           !IsSuppression(line);
+                  }),
+             output);
   AddMissing(Find(logs,
                   [&](const NodeLog& log, const LogLine& line) {
-                    const bool soon =
-                        line.time >= from && line.time <= to + kBefore;
-                    return vms.contains(log.vm) && soon && IsSuppression(line);
+                    const bool in_window =
+                        line.time >= from && line.time <= to + kContextWindow;
+                    return vms.contains(log.vm) && in_window &&
+                           IsSuppression(line);
                   }),
-             told);
-  if (!HasEnd(own)) {
-    told.emplace_back(
-        "missing: how it ended; the VM that the caller reached may be another");
+             output);
+  if (!HasFinalEvent(own)) {
+    output.emplace_back(
+        "missing: how it ended; the caller may have reached another VM");
   }
-  return told;
+  return output;
 }
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/explain.h
+++ b/packages/ctl/src/explain.h
@@ -7,22 +7,23 @@
 
 #include "log_line.h"
 
-/// Tells from the logs of several VMs what became of one request, and why.
+/// Reconstructs the course of one request from the logs of several VMs.
 
 namespace basilsill::ctl {
 
 /// The log of one node.
 struct NodeLog {
-  std::string vm;  ///< As its first line says, or the name of the file.
+  std::string vm;  ///< From the node-starting line, else the name of the file.
   std::vector<LogLine> lines;
 };
 
-/// @param name Of the file, for logs that do not say which VM wrote them.
+/// Lines that no node wrote are skipped.
+/// @param name Name of the file, for logs without a node-starting line.
 NodeLog ReadNodeLog(std::string name, std::istream& input);
 
-/// @returns the time line of the request, VM by VM, then what its VMs went
-/// through at that time, then what is missing; one line each. Empty if no log
-/// has a line of the request.
+/// @returns one string per line of output: first the events of the request in
+/// order of time, then the other events of the VMs involved, then what is
+/// missing from the logs. Empty if no log contains the request.
 std::vector<std::string> Explain(std::string_view request_id,
                                  const std::vector<NodeLog>& logs);
 
--- a/packages/ctl/src/explain_command.cc
+++ b/packages/ctl/src/explain_command.cc
@@ -31,12 +31,12 @@
 }  // namespace
 
 ExitStatus RunExplain(const CommandArguments& arguments) {
-  TCLAP::CmdLine line("What became of one request, from the logs of VMs", ' ',
-                      BASILSILL_VERSION);
-  TCLAP::UnlabeledValueArg<std::string> id("id", "Id of the request", true, "",
+  TCLAP::CmdLine line("Shows the course of one request from the logs of VMs",
+                      ' ', BASILSILL_VERSION);
+  TCLAP::UnlabeledValueArg<std::string> id("id", "ID of the request", true, "",
                                            "ID", line);
   TCLAP::UnlabeledMultiArg<std::string> files(
-      "log", "Log of a VM; - is standard input", true, "LOG", line);
+      "log", "Log file of a VM; - is standard input", true, "LOG", line);
   if (const auto status = ParseArguments(line, arguments)) {
     return *status;
   }
@@ -48,13 +48,14 @@
     }
     logs.push_back(*std::move(log));
   }
-  const std::vector<std::string> told = Explain(id.getValue(), logs);
-  for (const std::string& text : told) {
+  const std::vector<std::string> output = Explain(id.getValue(), logs);
+  for (const std::string& text : output) {
     std::cout << text << '\n';
   }
-  if (told.empty()) {
-    std::cerr << "no line of request " << id.getValue()
-              << "; was it sent to another VM, or was its line left out?\n";
+  if (output.empty()) {
+    std::cerr
+        << "no log line of request " << id.getValue()
+        << "; it may have reached another VM, or its lines were suppressed\n";
     return ExitStatus::kFailed;
   }
   return ExitStatus::kOk;
--- a/packages/ctl/src/explain_command.h
+++ b/packages/ctl/src/explain_command.h
@@ -5,7 +5,8 @@
 
 namespace basilsill::ctl {
 
-/// `basilsillctl explain`: what became of one request, from the logs of VMs.
+/// `basilsillctl explain`: prints the course of one request from the logs of
+/// VMs.
 ExitStatus RunExplain(const CommandArguments& arguments);
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/http_server.cc
+++ b/packages/ctl/src/http_server.cc
@@ -30,10 +30,10 @@
   ServerRequest request;
   request.method = message.method_string();
   const std::string target = message.target();
-  const size_t mark = target.find('?');
-  request.path = target.substr(0, mark);
-  if (mark != std::string::npos) {
-    request.query = target.substr(mark + 1);
+  const size_t question_mark = target.find('?');
+  request.path = target.substr(0, question_mark);
+  if (question_mark != std::string::npos) {
+    request.query = target.substr(question_mark + 1);
   }
   for (const auto& field : message) {
     request.headers.push_back({field.name_string(), field.value()});
@@ -60,8 +60,8 @@
 }  // namespace
 
 struct HttpServer::State {
-  State(asio::io_context& io, ServerHandler answers)
-      : acceptor(io), handler(std::move(answers)) {}
+  State(asio::io_context& io, ServerHandler request_handler)
+      : acceptor(io), handler(std::move(request_handler)) {}
 
   tcp::acceptor acceptor;
   ServerHandler handler;
@@ -71,17 +71,17 @@
 
 namespace {
 
-/// Lists a connection for as long as its session lives.
+/// Registers a connection in `State::open` for the lifetime of its session.
 template <typename State>
-class OpenMark {
+class OpenStreamGuard {
  public:
-  OpenMark(State& where, beast::tcp_stream& which)
-      : state(where), stream(which) {
+  OpenStreamGuard(State& server_state, beast::tcp_stream& open_stream)
+      : state(server_state), stream(open_stream) {
     this->state.open.insert(&this->stream);
   }
-  OpenMark(const OpenMark&) = delete;
-  OpenMark& operator=(const OpenMark&) = delete;
-  ~OpenMark() { this->state.open.erase(&this->stream); }
+  OpenStreamGuard(const OpenStreamGuard&) = delete;
+  OpenStreamGuard& operator=(const OpenStreamGuard&) = delete;
+  ~OpenStreamGuard() { this->state.open.erase(&this->stream); }
 
  private:
   State& state;
@@ -91,7 +91,7 @@
 template <typename State>
 asio::awaitable<void> Serve(std::shared_ptr<State> state,
                             beast::tcp_stream stream) {
-  const OpenMark mark(*state, stream);
+  const OpenStreamGuard guard(*state, stream);
   beast::flat_buffer buffer;
   while (!state->stopped) {
     http::request_parser<http::string_body> parser;
@@ -107,10 +107,10 @@
       co_return;
     }
     auto message = ToMessage(*std::move(reply), keep_alive);
-    const bool again = message.keep_alive();
+    const bool stays_open = message.keep_alive();
     const auto [write_error, written] =
         co_await http::async_write(stream, message, kNoThrow);
-    if (write_error || !again) {
+    if (write_error || !stays_open) {
       co_return;
     }
   }
@@ -146,15 +146,15 @@
   auto state = std::make_shared<State>(io, std::move(handler));
   beast::error_code error;
   const auto address = asio::ip::make_address(endpoint.address, error);
-  const tcp::endpoint where(address, endpoint.port);
+  const tcp::endpoint local(address, endpoint.port);
   if (!error) {
-    state->acceptor.open(where.protocol(), error);
+    state->acceptor.open(local.protocol(), error);
   }
   if (!error) {
     state->acceptor.set_option(tcp::acceptor::reuse_address(true), error);
   }
   if (!error) {
-    state->acceptor.bind(where, error);
+    state->acceptor.bind(local, error);
   }
   if (!error) {
     state->acceptor.listen(asio::socket_base::max_listen_connections, error);
@@ -166,8 +166,8 @@
   return HttpServer(std::move(state));
 }
 
-HttpServer::HttpServer(std::shared_ptr<State> started)
-    : state(std::move(started)) {}
+HttpServer::HttpServer(std::shared_ptr<State> listening_state)
+    : state(std::move(listening_state)) {}
 HttpServer::HttpServer(HttpServer&& other) noexcept = default;
 
 HttpServer& HttpServer::operator=(HttpServer&& other) noexcept {
--- a/packages/ctl/src/load_check.cc
+++ b/packages/ctl/src/load_check.cc
@@ -14,12 +14,12 @@
 namespace json = boost::json;
 
 constexpr unsigned kFirstErrorStatus = 400;
-constexpr size_t kKeptBytes = 4096;
+constexpr size_t kMaxBodyStartBytes = 4096;
 constexpr std::string_view kUpstreamRefusal = "upstream-refused";
 
-// The delay that a refusal asks for: its body has milliseconds, the header
-// only whole seconds.
-std::optional<Duration> RetryAfter(const LoadAnswerHead& head,
+// Returns the retry delay of a refusal. The body gives milliseconds and comes
+// first; the Retry-After header only gives whole seconds.
+std::optional<Duration> RetryAfter(const LoadResponseHead& head,
                                    const std::string& body) {
   json::error_code error;
   const json::value value = json::parse(body, error);
@@ -37,33 +37,34 @@
 
 }  // namespace
 
-LoadAnswerCheck::LoadAnswerCheck(LoadExpectation expectation)
+LoadResponseCheck::LoadResponseCheck(LoadExpectation expectation)
     : expected(std::move(expectation)),
       pattern(PatternSeed(this->expected.tag)) {}
 
-void LoadAnswerCheck::AddBody(std::span<const char> bytes) {
+void LoadResponseCheck::AddBody(std::span<const char> bytes) {
   this->pattern.Add(bytes);
   this->digest.Add(bytes);
-  if (this->start.size() < kKeptBytes) {
-    const size_t room = kKeptBytes - this->start.size();
-    this->start.append(bytes.data(), std::min(room, bytes.size()));
+  if (this->body_start.size() < kMaxBodyStartBytes) {
+    const size_t room = kMaxBodyStartBytes - this->body_start.size();
+    this->body_start.append(bytes.data(), std::min(room, bytes.size()));
   }
 }
 
-LoadAttemptResult LoadAnswerCheck::Finish(const LoadAnswerHead& head) const {
+LoadAttemptResult LoadResponseCheck::Finish(
+    const LoadResponseHead& head) const {
   LoadAttemptResult result;
   if (head.status >= kFirstErrorStatus) {
-    result = this->JudgeRefusal(head);
+    result = this->ClassifyErrorResponse(head);
   } else {
-    result.verdict = this->JudgeUpstreamAnswer(head);
+    result.verdict = this->CheckUpstreamResponse(head);
   }
   result.status = head.status;
   result.bytes = this->pattern.size();
   return result;
 }
 
-LoadVerdict LoadAnswerCheck::JudgeUpstreamAnswer(
-    const LoadAnswerHead& head) const {
+LoadVerdict LoadResponseCheck::CheckUpstreamResponse(
+    const LoadResponseHead& head) const {
   if (head.tag != this->expected.tag || head.upstream.empty()) {
     return LoadVerdict::kWrongTag;
   }
@@ -83,11 +84,11 @@
                                                : LoadVerdict::kWrongBody;
 }
 
-LoadAttemptResult LoadAnswerCheck::JudgeRefusal(
-    const LoadAnswerHead& head) const {
+LoadAttemptResult LoadResponseCheck::ClassifyErrorResponse(
+    const LoadResponseHead& head) const {
   LoadAttemptResult result;
   result.verdict = LoadVerdict::kRefused;
-  result.retry_after = RetryAfter(head, this->start);
+  result.retry_after = RetryAfter(head, this->body_start);
   if (head.refused == "1") {
     result.reason = kUpstreamRefusal;
     result.promise = Promise::kNotRun;
--- a/packages/ctl/src/load_check.h
+++ b/packages/ctl/src/load_check.h
@@ -11,20 +11,20 @@
 #include "basilsill/ctl/load.h"
 #include "upstream_body.h"
 
-/// Decides whether an answer is the whole answer to its own request.
+/// Decides whether a response is complete and belongs to its request.
 
 namespace basilsill::ctl {
 
-/// What is known of the right answer before it comes.
+/// Properties of the right response that are known before it arrives.
 struct LoadExpectation {
   std::string tag;
-  std::optional<uint64_t> size;  ///< Unknown for an upstream's default answer.
+  std::optional<uint64_t> size;  ///< Unset for an upstream's default response.
   std::string upload_digest;     ///< Empty if nothing is uploaded.
   bool has_body = true;          ///< False for HEAD.
 };
 
-/// Header fields of an answer that the check reads; absent ones are empty.
-struct LoadAnswerHead {
+/// Status and header fields that the check reads; absent fields are empty.
+struct LoadResponseHead {
   unsigned status = 0;
   std::string_view upstream;
   std::string_view tag;
@@ -36,40 +36,44 @@
   std::string_view refused;
 };
 
-/// What one attempt came to.
+/// Result of one attempt.
 struct LoadAttemptResult {
   LoadVerdict verdict = LoadVerdict::kTimedOut;
-  unsigned status = 0;  ///< 0 if there was no answer.
-  std::string reason;   ///< Of a refusal.
+  unsigned status = 0;  ///< HTTP status; 0 if there was no response.
+  std::string reason;   ///< Reason of a refusal.
   Promise promise = Promise::kUnknown;
   std::optional<Duration> retry_after;
-  uint64_t bytes = 0;
+  uint64_t bytes = 0;  ///< Of the response body.
 };
 
-/// Checks one answer as it arrives.
-class LoadAnswerCheck {
+/// Checks one response as it arrives.
+class LoadResponseCheck {
  public:
-  explicit LoadAnswerCheck(LoadExpectation expectation = {});
+  explicit LoadResponseCheck(LoadExpectation expectation = {});
 
-  /// @param bytes The next piece of the body.
+  /// @param bytes The next part of the response body.
   void AddBody(std::span<const char> bytes);
 
-  /// The answer is complete.
-  LoadAttemptResult Finish(const LoadAnswerHead& head) const;
+  /// Called when the response is complete.
+  /// @returns the result of the attempt.
+  LoadAttemptResult Finish(const LoadResponseHead& head) const;
 
   uint64_t size() const { return this->pattern.size(); }
 
  private:
-  LoadVerdict JudgeUpstreamAnswer(const LoadAnswerHead& head) const;
-  LoadAttemptResult JudgeRefusal(const LoadAnswerHead& head) const;
+  LoadVerdict CheckUpstreamResponse(const LoadResponseHead& head) const;
+  LoadAttemptResult ClassifyErrorResponse(const LoadResponseHead& head) const;
 
   LoadExpectation expected;
   PatternCheck pattern;
   BodyDigest digest;
-  std::string start;  ///< First bytes of the body: refusals say more there.
+  std::string
+      body_start;  ///< First bytes of the body, with the details of refusals.
 };
 
-/// @returns the size of the body that the emulated upstream gives at `path`.
+/// @returns the size in bytes of the body that an emulated upstream returns for
+/// `path`, or std::nullopt if it depends on the settings of the upstream.
+/// @param body_bytes Size of the uploaded body.
 std::optional<uint64_t> ExpectedSize(std::string_view path, size_t body_bytes);
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/load_command.cc
+++ b/packages/ctl/src/load_command.cc
@@ -24,39 +24,48 @@
 
 /// The command line of `load`.
 struct LoadArguments {
-  TCLAP::CmdLine line{"Sends load and checks every answer.", ' ',
+  TCLAP::CmdLine line{"Generates load and checks every response.", ' ',
                       BASILSILL_VERSION};
-  // Where to.
-  Endpoints target{"",    "target",       "A node; repeat for several.",
+  // Endpoints.
+  Endpoints target{"",    "target",       "A node; may be repeated.",
                    false, "ADDRESS:PORT", this->line};
-  Endpoints direct{"",    "direct",       "An upstream, to compare with.",
+  Endpoints direct{"",    "direct",       "An upstream, for comparison.",
                    false, "ADDRESS:PORT", this->line};
-  Endpoints executions_at{
-      "",    "executions-at", "An emulated upstream to ask what ran.",
-      false, "ADDRESS:PORT",  this->line};
-  // How much.
+  Endpoints executions_at{"",
+                          "executions-at",
+                          "An emulated upstream to query for execution counts.",
+                          false,
+                          "ADDRESS:PORT",
+                          this->line};
+  // Amount of load.
   TCLAP::ValueArg<double> rate{
       "", "rate", "Requests/s on each side.", false, 100, "N", this->line};
-  TCLAP::ValueArg<double> duration{"", "duration", "How long to send.", false,
-                                   5,  "SECONDS",  this->line};
+  TCLAP::ValueArg<double> duration{
+      "", "duration", "Duration of the load.", false, 5, "SECONDS", this->line};
   TCLAP::ValueArg<double> warmup{
-      "",        "warmup",  "Leave so long out of the latencies.", false, 0,
-      "SECONDS", this->line};
-  TCLAP::ValueArg<uint64_t> requests{"", "requests", "At most so many.", false,
-                                     0,  "N",        this->line};
-  TCLAP::ValueArg<size_t> connections{"", "connections", "On each side.", false,
-                                      16, "N",           this->line};
+      "",        "warmup", "Initial time whose latencies are not counted.",
+      false,     0,        "SECONDS",
+      this->line};
+  TCLAP::ValueArg<uint64_t> requests{
+      "",  "requests", "Maximum number of requests on each side.", false, 0,
+      "N", this->line};
+  TCLAP::ValueArg<size_t> connections{
+      "",  "connections", "Connections on each side.", false, 16,
+      "N", this->line};
   TCLAP::ValueArg<size_t> idle{
-      "", "idle-connections", "Idle ones to hold.", false, 0, "N", this->line};
+      "",  "idle-connections", "Idle connections to hold.", false, 0,
+      "N", this->line};
   TCLAP::SwitchArg closed_loop{"", "max-throughput",
-                               "Send again as soon as an answer is here.",
+                               "Send the next request on each response.",
                                this->line};
   TCLAP::ValueArg<size_t> threads{
-      "", "threads", "Threads that send.", false, 1, "N", this->line};
-  TCLAP::SwitchArg spin{"", "spin", "Poll without sleeping.", this->line};
+      "", "threads", "Threads that send requests.", false, 1, "N", this->line};
+  TCLAP::SwitchArg spin{"", "spin", "Busy-poll instead of sleeping.",
+                        this->line};
   TCLAP::ValueArg<uint64_t> seed{
-      "", "seed", "Of arrivals and mix.", false, 1, "S", this->line};
-  // What.
+      "",  "seed",    "Random seed of arrivals and mix.", false, 1,
+      "S", this->line};
+  // Requests.
   TCLAP::ValueArg<std::string> mix{
       "", "mix", "File with a mix of requests.", false, "", "FILE", this->line};
   TCLAP::ValueArg<std::string> name{
@@ -68,31 +77,38 @@
                                     "load.test", "HOST", this->line};
   TCLAP::ValueArg<std::string> path{
       "", "path", "Path of the request.", false, "/", "PATH", this->line};
-  TCLAP::MultiArg<std::string> headers{"",    "header",     "A header.",
-                                       false, "NAME:VALUE", this->line};
+  TCLAP::MultiArg<std::string> headers{
+      "",    "header",     "A header of the request.",
+      false, "NAME:VALUE", this->line};
   TCLAP::ValueArg<size_t> body_bytes{
       "", "body-bytes", "Bytes to upload.", false, 0, "N", this->line};
-  TCLAP::SwitchArg once{"", "once", "Must not repeat: send a key.", this->line};
-  TCLAP::SwitchArg crash{"", "crash", "Kills the upstream that runs it.",
-                         this->line};
-  // Like a caller.
+  TCLAP::SwitchArg once{
+      "", "once", "Must not run twice: send an idempotency key.", this->line};
+  TCLAP::SwitchArg crash{
+      "", "crash", "Crash the upstream that runs the request.", this->line};
+  // Behaviour of the caller.
   TCLAP::ValueArg<int64_t> deadline{
       "",  "deadline-ms", "Deadline of each request.", false, 0,
       "D", this->line};
-  TCLAP::ValueArg<int64_t> timeout{"",    "timeout-ms", "Give up after.", false,
-                                   10000, "T",          this->line};
+  TCLAP::ValueArg<int64_t> timeout{
+      "",  "timeout-ms", "Time-out of each request.", false, 10000,
+      "T", this->line};
   TCLAP::ValueArg<unsigned> resends{
-      "", "resend", "Resends a request.", false, 0, "N", this->line};
-  // What to report.
-  TCLAP::MultiArg<int> processes{"",    "cpu-of", "A process to measure.",
+      "",  "resend",  "Maximum number of resends of a request.", false, 0,
+      "N", this->line};
+  // Report.
+  TCLAP::MultiArg<int> processes{"",    "cpu-of", "ID of a process to measure.",
                                  false, "PID",    this->line};
   TCLAP::SwitchArg allow_refusals{"", "allow-refusals",
                                   "Refusals don't fail the run.", this->line};
-  TCLAP::SwitchArg allow_broken{"", "allow-broken",
-                                "Visibly broken answers don't fail the run.",
-                                this->line};
+  TCLAP::SwitchArg allow_broken{
+      "", "allow-broken",
+      "Missing, truncated or malformed responses don't fail the run.",
+      this->line};
   TCLAP::ValueArg<std::string> output{
-      "", "output", "table or json.", false, "table", "FORMAT", this->line};
+      "",        "output", "Format of the report: table or json.",
+      false,     "table",  "FORMAT",
+      this->line};
 };
 
 Result<std::vector<LoadEndpoint>> ReadEndpoints(const Endpoints& argument) {
@@ -149,10 +165,10 @@
   return ParseLoadMix(text);
 }
 
-// Reads one list of endpoints; collects the fault if there is one.
-void TakeEndpoints(const Endpoints& argument,
-                   std::vector<LoadEndpoint>& endpoints,
-                   std::vector<Failure>& failures) {
+// Reads one list of endpoints; appends to `failures` on an error.
+void CollectEndpoints(const Endpoints& argument,
+                      std::vector<LoadEndpoint>& endpoints,
+                      std::vector<Failure>& failures) {
   auto read = ReadEndpoints(argument);
   if (read.has_error()) {
     failures.push_back(read.error());
@@ -185,9 +201,9 @@
 CheckedResult<LoadOptions> ReadOptions(const LoadArguments& arguments) {
   LoadOptions options = ReadNumbers(arguments);
   std::vector<Failure> failures;
-  TakeEndpoints(arguments.target, options.targets, failures);
-  TakeEndpoints(arguments.direct, options.direct, failures);
-  TakeEndpoints(arguments.executions_at, options.executions_at, failures);
+  CollectEndpoints(arguments.target, options.targets, failures);
+  CollectEndpoints(arguments.direct, options.direct, failures);
+  CollectEndpoints(arguments.executions_at, options.executions_at, failures);
   auto mix = ReadMix(arguments);
   if (mix.has_error()) {
     failures.insert(failures.end(), mix.error().begin(), mix.error().end());
@@ -208,7 +224,7 @@
 }  // namespace
 
 ExitStatus RunLoadCommand(const CommandArguments& arguments) {
-  // On the heap: TCLAP keeps pointers to what is inside.
+  // On the heap, since TCLAP keeps pointers to the members.
   const auto parsed = std::make_unique<LoadArguments>();
   if (const auto status = ParseArguments(parsed->line, arguments)) {
     return *status;
--- a/packages/ctl/src/load_command.h
+++ b/packages/ctl/src/load_command.h
@@ -5,8 +5,9 @@
 
 namespace basilsill::ctl {
 
-/// `basilsillctl load`: sends load and prints a report.
-/// @returns kOk only if every answer was right.
+/// `basilsillctl load`: generates load and prints a report.
+/// @returns kOk only if every response was right or allowed by --allow-refusals
+/// or --allow-broken.
 ExitStatus RunLoadCommand(const CommandArguments& arguments);
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/load_connection.cc
+++ b/packages/ctl/src/load_connection.cc
@@ -72,12 +72,12 @@
   return expected;
 }
 
-LoadAnswerHead HeadOf(const Parser::value_type& answer) {
-  const auto field = [&answer](std::string_view name) {
-    return std::string_view(answer[ToBeast(name)]);
+LoadResponseHead HeadOf(const Parser::value_type& response) {
+  const auto field = [&response](std::string_view name) {
+    return std::string_view(response[ToBeast(name)]);
   };
-  LoadAnswerHead head;
-  head.status = answer.result_int();
+  LoadResponseHead head;
+  head.status = response.result_int();
   head.upstream = field(kUpstreamHeader);
   head.tag = field(kTagHeader);
   head.digest = field(kDigestHeader);
@@ -91,12 +91,12 @@
 
 }  // namespace
 
-/// A request on its way and the answer to it. The buffers live on from one
-/// exchange to the next.
+/// A request in flight and its response. The buffers are reused by the next
+/// exchange.
 struct LoadConnection::Exchange {
   Request request;
   std::optional<Parser> parser;
-  LoadAnswerCheck check;
+  LoadResponseCheck check;
   boost::beast::flat_buffer buffer;
   std::vector<char> chunk = std::vector<char>(limits::kBodyChunkBytes);
   bool active = false;
@@ -116,9 +116,9 @@
 void LoadConnection::Connect(std::function<void(bool)> opened) {
   this->Close();
   this->socket.async_connect(
-      this->address,
-      [this, opened = std::move(opened), mine = this->epoch](error_code error) {
-        if (mine != this->epoch) {
+      this->address, [this, opened = std::move(opened),
+                      own_epoch = this->epoch](error_code error) {
+        if (own_epoch != this->epoch) {
           return;
         }
         error_code ignored;
@@ -137,7 +137,7 @@
   }
   Exchange& ex = *this->exchange;
   ex.request = MakeRequest(attempt);
-  ex.check = LoadAnswerCheck(ExpectationOf(attempt, ex.request));
+  ex.check = LoadResponseCheck(ExpectationOf(attempt, ex.request));
   ex.parser.emplace();
   ex.parser->body_limit(limits::kMaxBodyBytes);
   ex.parser->skip(attempt.kind->method == "HEAD");
@@ -157,10 +157,10 @@
 
 void LoadConnection::Write() {
   http::async_write(this->socket, this->exchange->request,
-                    [this, mine = this->epoch](error_code error, size_t) {
-                      if (mine == this->epoch && error) {
+                    [this, own_epoch = this->epoch](error_code error, size_t) {
+                      if (own_epoch == this->epoch && error) {
                         this->Fail(LoadVerdict::kClosed);
-                      } else if (mine == this->epoch) {
+                      } else if (own_epoch == this->epoch) {
                         this->Read();
                       }
                     });
@@ -172,18 +172,18 @@
   body.data = ex.chunk.data();
   body.size = ex.chunk.size();
   http::async_read(this->socket, ex.buffer, *ex.parser,
-                   [this, mine = this->epoch](error_code error, size_t) {
-                     if (mine == this->epoch) {
+                   [this, own_epoch = this->epoch](error_code error, size_t) {
+                     if (own_epoch == this->epoch) {
                        this->OnRead(error);
                      }
                    });
 }
 
 void LoadConnection::OnRead(error_code error) {
-  this->TakeBody();
+  this->ConsumeBody();
   if (error == http::error::need_buffer) {
-    // Beast reads what the buffer has room for; without this, long bodies
-    // would come in reads of 1.5 KB.
+    // Beast limits each read to the capacity of the buffer; without this, long
+    // bodies would be read in pieces of 1.5 KB.
     this->exchange->buffer.reserve(limits::kBodyChunkBytes);
     this->Read();
   } else if (!error) {
@@ -199,7 +199,7 @@
   }
 }
 
-void LoadConnection::TakeBody() {
+void LoadConnection::ConsumeBody() {
   Exchange& ex = *this->exchange;
   const size_t filled = ex.chunk.size() - ex.parser->get().body().size;
   ex.check.AddBody(std::span<const char>(ex.chunk).first(filled));
@@ -211,7 +211,7 @@
   if (!ex.parser->get().keep_alive()) {
     this->Close();
   }
-  this->Done(result);
+  this->FinishExchange(result);
 }
 
 void LoadConnection::Fail(LoadVerdict verdict) {
@@ -219,15 +219,15 @@
   result.verdict = verdict;
   result.bytes = this->exchange->check.size();
   this->Close();
-  this->Done(result);
+  this->FinishExchange(result);
 }
 
-void LoadConnection::Done(LoadAttemptResult result) {
+void LoadConnection::FinishExchange(LoadAttemptResult result) {
   this->exchange->active = false;
   this->on_done(*this, std::move(result));
 }
 
-void LoadConnection::GiveUp() {
+void LoadConnection::TimeOut() {
   if (this->exchange != nullptr && this->exchange->active) {
     this->Fail(LoadVerdict::kTimedOut);
   }
@@ -242,8 +242,9 @@
   }
 }
 
-// An idle connection that the peer closed is readable without bytes. Bytes on
-// an idle connection belong to no request: it can't be used again either.
+// A peek at an idle connection returns end of file if the peer has closed it.
+// Bytes on an idle connection belong to no request, so that such a connection
+// can't be reused and counts as closed, too.
 bool LoadConnection::IsClosed() {
   if (!this->socket.is_open()) {
     return true;
--- a/packages/ctl/src/load_connection.h
+++ b/packages/ctl/src/load_connection.h
@@ -16,12 +16,12 @@
 
 namespace basilsill::ctl {
 
-/// What goes over the connection for one attempt.
+/// The data of one attempt that the connection sends.
 struct LoadAttempt {
   const LoadKind* kind = nullptr;
   std::string tag;
-  std::string key;
-  /// What is left of the deadline, for the header.
+  std::string key;  ///< Idempotency key; empty if there is none.
+  /// Remaining time until the deadline, for the deadline header.
   std::optional<std::chrono::milliseconds> deadline_left;
 };
 
@@ -29,7 +29,7 @@
  public:
   using OnDone = std::function<void(LoadConnection&, LoadAttemptResult)>;
 
-  /// @param done Called once for each Send(), never from within it.
+  /// @param done Called once for each Send(), but never from within Send().
   LoadConnection(boost::asio::io_context& io,
                  boost::asio::ip::tcp::endpoint endpoint,
                  OnDone done);
@@ -37,29 +37,30 @@
   LoadConnection(const LoadConnection&) = delete;
   LoadConnection& operator=(const LoadConnection&) = delete;
 
-  /// Opens the connection ahead of its first use.
-  /// @param opened Called with the outcome.
+  /// Opens the connection before its first use.
+  /// @param opened Called with true if the connection is open.
   void Open(std::function<void(bool)> opened);
 
-  /// Sends one request; connects first if the peer closed meanwhile.
+  /// Sends one request; connects first if the connection is closed.
   void Send(const LoadAttempt& attempt);
 
-  /// Closes in the middle of an exchange, which ends as kTimedOut.
-  void GiveUp();
+  /// Closes the connection if an exchange is active, which then ends with
+  /// kTimedOut.
+  void TimeOut();
 
   void Close();
 
-  /// @returns true if the peer closed this idle connection, or it never
-  /// opened.
+  /// @returns true if the peer closed this idle connection, or if it was never
+  /// open.
   bool IsClosed();
 
-  /// Frees the memory for bodies until the next Send().
+  /// Frees the buffers until the next Send(), unless an exchange is active.
   void ReleaseMemory();
 
-  /// The request in flight; the owner's to use.
+  /// The request in flight; set and used by the owner of the connection.
   LoadCall call;
-  TimePoint give_up_at = kNever;
-  size_t pool = 0;
+  TimePoint timeout_at = kNever;  ///< Time-out of the request in flight.
+  size_t pool = 0;                ///< Index of the owner's pool.
 
  private:
   struct Exchange;
@@ -68,15 +69,16 @@
   void Write();
   void Read();
   void OnRead(boost::system::error_code error);
-  void TakeBody();
+  void ConsumeBody();
   void Complete();
   void Fail(LoadVerdict verdict);
-  void Done(LoadAttemptResult result);
+  void FinishExchange(LoadAttemptResult result);
 
   boost::asio::ip::tcp::endpoint address;
   boost::asio::ip::tcp::socket socket;
   OnDone on_done;
-  /// Handlers of an exchange that was given up see another number here.
+  /// Incremented by Close(), so that handlers of an aborted exchange can tell
+  /// that it has ended.
   uint64_t epoch = 0;
   std::unique_ptr<Exchange> exchange;
 };
--- a/packages/ctl/src/load_executions.cc
+++ b/packages/ctl/src/load_executions.cc
@@ -23,7 +23,8 @@
 
 using Response = http::response_parser<http::string_body>;
 
-// One exchange; its steps are chained so that one timeout covers them all.
+// Fetches the counts of one upstream. The steps are chained so that one
+// timeout covers the whole exchange.
 Result<std::string> Fetch(const LoadEndpoint& endpoint) {
   asio::io_context io;
   boost::beast::tcp_stream stream(io);
@@ -60,8 +61,9 @@
 }  // namespace
 
 Result<void> AddExecutions(std::string_view stats, LoadExecutions& executions) {
-  const Failure not_stats{FailureKind::kSyntax, "executions",
-                          "not the counts of an emulated upstream"};
+  const Failure not_stats{
+      FailureKind::kSyntax, "executions",
+      "expected the execution counts of an emulated upstream"};
   error_code error;
   const json::value value = json::parse(json::string_view(stats), error);
   if (error || !value.is_object()) {
--- a/packages/ctl/src/load_executions.h
+++ b/packages/ctl/src/load_executions.h
@@ -11,23 +11,25 @@
 #include "basilsill/ctl/load.h"
 #include "load_worker.h"
 
-/// Holds what callers were told against what the upstreams ran.
+/// Compares the outcomes that callers saw with the executions that the
+/// upstreams counted.
 
 namespace basilsill::ctl {
 
-/// Executions by idempotency key, over all upstreams.
+/// Number of executions by idempotency key, over all upstreams.
 using LoadExecutions = std::map<std::string, uint64_t, std::less<>>;
 
 /// Adds the executions in the body of an upstream's `GET /_control/stats`.
-/// @returns kSyntax if it is not that.
+/// @returns kSyntax if `stats` is no such body.
 Result<void> AddExecutions(std::string_view stats, LoadExecutions& executions);
 
-/// @returns how the outcomes of `keys` agree with `executions`.
+/// @returns the executions of `keys`, and the contradictions between their
+/// outcomes and `executions`. Does not set `unreachable`.
 LoadExecutionReport CompareExecutions(const std::vector<LoadKeyOutcome>& keys,
                                       const LoadExecutions& executions);
 
-/// Asks each upstream of `endpoints`; blocks.
-/// @param unreachable Set to how many did not answer.
+/// Queries each upstream of `endpoints`; blocks.
+/// @param unreachable Set to the number of upstreams that returned no counts.
 LoadExecutions FetchExecutions(const std::vector<LoadEndpoint>& endpoints,
                                uint64_t& unreachable);
 
--- a/packages/ctl/src/load_histogram.cc
+++ b/packages/ctl/src/load_histogram.cc
@@ -44,8 +44,8 @@
   return this->largest;
 }
 
-// Values below 2^kSubBits have a bucket each. Above, the highest bit picks a
-// row and the kSubBits bits after it a bucket of that row.
+// Each value below 2^kSubBits has its own bucket. For larger values, the
+// highest bit selects a row, and the next kSubBits bits a bucket in that row.
 size_t LoadHistogram::BucketOf(uint64_t value) {
   if (value < kSubBuckets) {
     return value;
--- a/packages/ctl/src/load_idle.cc
+++ b/packages/ctl/src/load_idle.cc
@@ -6,7 +6,7 @@
 namespace basilsill::ctl {
 namespace {
 
-/// Connections that are being opened at once: below a usual listen backlog.
+/// Connections opened at the same time; below the usual listen backlog.
 constexpr size_t kOpenAtOnce = 64;
 
 }  // namespace
--- a/packages/ctl/src/load_idle.h
+++ b/packages/ctl/src/load_idle.h
@@ -9,18 +9,19 @@
 #include "basilsill/ctl/load.h"
 #include "load_connection.h"
 
-/// Keep-alive connections that carry one request and then only exist.
+/// Keep-alive connections that carry one request and then stay idle.
 
 namespace basilsill::ctl {
 
 class LoadIdleConnections {
  public:
-  /// Opens all connections, sends one request over each, and waits for the
-  /// answers; blocks.
+  /// Opens all connections, sends one request over each, and blocks until all
+  /// responses are there or have failed.
   /// @param options Reads idle_connections, targets (or direct) and mix.
   explicit LoadIdleConnections(const LoadOptions& options);
 
-  /// @returns how many opened, failed, and were closed by their peer since.
+  /// @returns how many connections opened, failed to open, and were closed by
+  /// the peer afterwards.
   LoadIdleReport Report();
 
  private:
--- a/packages/ctl/src/load_json.cc
+++ b/packages/ctl/src/load_json.cc
@@ -1,4 +1,4 @@
-// The load report as JSON.
+// Formats the load report as JSON.
 
 #include <string>
 
--- a/packages/ctl/src/load_mix.cc
+++ b/packages/ctl/src/load_mix.cc
@@ -37,8 +37,8 @@
     MixField{"crash", &LoadKind::crash},
 };
 
-// Reads a JSON value into the member that a field names.
-// @returns false if the value is of another type or out of range.
+// Stores a JSON value in a member of LoadKind.
+// @returns false if the value has the wrong type or is out of range.
 struct MemberReader {
   const json::value& value;
   LoadKind& kind;
@@ -161,13 +161,14 @@
                   "no such field");
     } else if (!member.is_array() || member.get_array().size() > kMaxKinds) {
       reader.Fail(FailureKind::kWrongType, "/requests",
-                  "allowed is a list of at most 64");
+                  "allowed is a list of at most 64 objects");
     } else {
       reader.ReadKinds(member.get_array());
     }
   }
   if (reader.kinds.empty() && reader.failures.empty()) {
-    reader.Fail(FailureKind::kMissingField, "/requests", "no request given");
+    reader.Fail(FailureKind::kMissingField, "/requests",
+                "expected at least one request");
   }
   if (!reader.failures.empty()) {
     return reader.failures;
--- a/packages/ctl/src/load_process.cc
+++ b/packages/ctl/src/load_process.cc
@@ -12,7 +12,8 @@
 namespace basilsill::ctl {
 namespace {
 
-// Fields of /proc/PID/stat, counted from the one after the name: proc(5).
+// Indices of fields in /proc/PID/stat, counted from the field after the name;
+// see proc(5).
 constexpr size_t kUserTimeField = 11;
 constexpr size_t kSystemTimeField = 12;
 constexpr size_t kResidentField = 21;
@@ -25,8 +26,8 @@
 
 Result<ProcessSample> ParseProcessStat(std::string_view text) {
   const Failure not_stat{FailureKind::kSyntax, "stat",
-                         "not the text of /proc/PID/stat"};
-  // The name stands in parentheses and may hold any byte.
+                         "expected the format of /proc/PID/stat"};
+  // The name is in parentheses and may contain any byte.
   const size_t name_end = text.rfind(')');
   if (name_end == std::string_view::npos) {
     return not_stat;
--- a/packages/ctl/src/load_process.h
+++ b/packages/ctl/src/load_process.h
@@ -13,26 +13,28 @@
 
 namespace basilsill::ctl {
 
-/// What the kernel says of one process at one moment.
+/// Resource usage of one process at one time.
 struct ProcessSample {
-  Duration cpu{};      ///< User and system time of all threads so far.
+  Duration cpu{};      ///< User and system time of all threads since the start.
   int64_t memory = 0;  ///< Resident bytes.
 };
 
-/// Reads the text of /proc/PID/stat.
-/// @returns kSyntax if it is not that.
+/// Parses the text of /proc/PID/stat.
+/// @returns kSyntax if `text` has another format.
 Result<ProcessSample> ParseProcessStat(std::string_view text);
 
 /// @returns kUnreadable if there is no such process.
 Result<ProcessSample> SampleProcess(int pid);
 
-/// Follows several processes over one run.
+/// Samples several processes during one run.
 class ProcessMeter {
  public:
-  /// Takes the first sample of each.
+  /// Takes the first sample of each process.
+  /// @returns kUnreadable if a process does not exist.
   static Result<ProcessMeter> Create(const std::vector<int>& pids);
 
-  /// Takes another sample; a process that has ended keeps its last one.
+  /// Takes another sample of each process. A process that has ended keeps its
+  /// last sample.
   void Sample();
 
   const std::vector<LoadProcessReport>& reports() const {
--- a/packages/ctl/src/load_report.cc
+++ b/packages/ctl/src/load_report.cc
@@ -37,8 +37,8 @@
 }
 
 bool IsGoodSide(const LoadSideReport& side, const LoadTolerance& tolerance) {
-  // Attempts count as well: a resend that went well does not mend a wrong
-  // answer before it.
+  // Attempts count as well: a successful resend does not make up for an
+  // earlier wrong response.
   const LoadVerdictCounts finals = side.Total().verdicts;
   const uint64_t refused = CountOf(finals, LoadVerdictClass::kRefused);
   const uint64_t broken =
--- a/packages/ctl/src/load_report.h
+++ b/packages/ctl/src/load_report.h
@@ -7,28 +7,31 @@
 
 #include "basilsill/ctl/load.h"
 
-/// A load report as a table for people and as JSON for programs.
+/// Evaluates a load report and formats it as a table or as JSON.
 
 namespace basilsill::ctl {
 
-/// What a run may contain and still be good. Wrong answers never are.
+/// Failures that a good run may contain. Wrong responses are never allowed.
 struct LoadTolerance {
   bool refusals = false;
   bool broken = false;
 };
 
-/// Quantiles that reports show.
+/// Quantiles in the rows of the table.
 inline constexpr std::array kLoadQuantiles = {0.5, 0.9, 0.99, 0.999};
 
-/// @returns true if every request got its right answer, within `tolerance`,
-/// and nothing ran that should not have.
+/// @returns true if each side sent requests, all responses were right or within
+/// `tolerance`, all idle connections stayed open or `tolerance.broken` is set,
+/// and the execution counts are complete and agree with the outcomes.
 bool IsGood(const LoadReport& report, const LoadTolerance& tolerance);
 
-/// @returns the difference of one quantile, through less direct.
+/// @returns the latency that the load balancer adds at one quantile: the
+/// quantile of the through side minus that of the direct side.
 /// @pre The report has both sides.
 Duration AddedLatency(const LoadReport& report, double fraction);
 
-/// Requests of the side that the measured processes serve, for cost a request.
+/// @returns the attempts of the first side, which the measured processes serve;
+/// used for the CPU time per request.
 uint64_t MeasuredRequests(const LoadReport& report);
 
 void PrintReport(const LoadReport& report, std::ostream& out);
--- a/packages/ctl/src/load_resend.cc
+++ b/packages/ctl/src/load_resend.cc
@@ -12,15 +12,15 @@
 }  // namespace
 
 std::optional<Duration> ResendDelay(const LoadAttemptResult& result,
-                                    const LoadResendFacts& facts) {
-  if (facts.resends_done >= facts.resends_allowed) {
+                                    const LoadResendState& state) {
+  if (state.resends_done >= state.resends_allowed) {
     return std::nullopt;
   }
   const Duration backoff =
-      kFirstBackoff * (1U << std::min(facts.resends_done, kMaxDoublings));
+      kFirstBackoff * (1U << std::min(state.resends_done, kMaxDoublings));
   const bool not_run = result.promise == Promise::kNotRun;
   if (ClassOf(result.verdict) == LoadVerdictClass::kRefused) {
-    if (!not_run && !facts.repeatable) {
+    if (!not_run && !state.repeatable) {
       return std::nullopt;
     }
     if (result.retry_after) {
@@ -33,7 +33,7 @@
     return std::nullopt;
   }
   const bool never_sent = result.verdict == LoadVerdict::kConnectFailed;
-  return never_sent || facts.repeatable ? std::optional(backoff) : std::nullopt;
+  return never_sent || state.repeatable ? std::optional(backoff) : std::nullopt;
 }
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/load_resend.h
+++ b/packages/ctl/src/load_resend.h
@@ -6,24 +6,28 @@
 #include "basilsill/base/time.h"
 #include "load_check.h"
 
-/// When a caller sends a request again.
+/// Resend policy of the emulated callers.
 
 namespace basilsill::ctl {
 
-/// What the decision rests on, besides the attempt's result.
-struct LoadResendFacts {
+/// Inputs of the decision besides the result of the attempt.
+struct LoadResendState {
   unsigned resends_done = 0;
   unsigned resends_allowed = 0;
-  /// Running it twice does no harm: a safe method, or an idempotency key.
+  /// The request has a safe method or an idempotency key, so that sending it
+  /// twice does no harm.
   bool repeatable = false;
 };
 
-/// @returns after what delay to send again, or nothing if `result` is final.
-/// @remarks A refusal that names no time to come back would be refused again
-/// (a bad request, an expired key); only an upstream's own refusal and a
-/// failure on the way are tried again without it.
+/// @returns the delay before the request is sent again, or std::nullopt if
+/// `result` is final.
+/// @remarks If the request may have run, it is only sent again if it is
+/// repeatable. A refusal with a 4xx status and without a retry delay is final,
+/// since the request would be refused again (a bad request, an expired key).
+/// Refusals with a 5xx status and without a retry delay, and exchanges that
+/// failed, are followed by an exponential back-off.
 std::optional<Duration> ResendDelay(const LoadAttemptResult& result,
-                                    const LoadResendFacts& facts);
+                                    const LoadResendState& state);
 
 }  // namespace basilsill::ctl
 
--- a/packages/ctl/src/load_run.cc
+++ b/packages/ctl/src/load_run.cc
@@ -1,4 +1,4 @@
-// RunLoad: splits the load over threads, measures, and merges the results.
+// RunLoad: divides the load between threads, measures, and merges the results.
 
 #include <algorithm>
 #include <condition_variable>
@@ -29,23 +29,25 @@
 constexpr size_t kMaxThreads = 64;
 constexpr size_t kMaxUploadBytes = size_t{64} * 1024 * 1024;
 constexpr milliseconds kSampleInterval = milliseconds(100);
-/// How long a caller still waits for an answer that is late.
+/// How long callers wait for a response after the deadline.
 constexpr milliseconds kLateGrace = seconds(1);
 
 Failure OutOfRange(std::string path, std::string detail) {
   return {FailureKind::kOutOfRange, std::move(path), std::move(detail)};
 }
 
-// Load on somebody else's machine is harm; a typo must not send any.
+// Rejects addresses of other machines: a mistyped address must not put load on
+// them.
 Result<void> CheckLoopback(const std::vector<LoadEndpoint>& endpoints,
                            const std::string& path) {
   for (const LoadEndpoint& endpoint : endpoints) {
     boost::system::error_code error;
     const auto address = boost::asio::ip::make_address(endpoint.address, error);
     if (error || !address.is_loopback() || endpoint.port == 0) {
-      return OutOfRange(path, "found " + endpoint.address + ":" +
-                                  std::to_string(endpoint.port) +
-                                  ", allowed is a loopback IP number");
+      return OutOfRange(
+          path, "found " + endpoint.address + ":" +
+                    std::to_string(endpoint.port) +
+                    ", allowed is a loopback IP address with a port above 0");
     }
   }
   return boost::outcome_v2::success();
@@ -53,13 +55,16 @@
 
 Result<void> CheckEndpoints(const LoadOptions& options) {
   if (options.targets.empty() && options.direct.empty()) {
-    return OutOfRange("target", "no endpoint to send to");
+    return OutOfRange("target",
+                      "expected at least one target or direct endpoint");
   }
-  if (auto good = CheckLoopback(options.targets, "target"); good.has_error()) {
-    return good;
+  if (auto result = CheckLoopback(options.targets, "target");
+      result.has_error()) {
+    return result;
   }
-  if (auto good = CheckLoopback(options.direct, "direct"); good.has_error()) {
-    return good;
+  if (auto result = CheckLoopback(options.direct, "direct");
+      result.has_error()) {
+    return result;
   }
   return CheckLoopback(options.executions_at, "executions-at");
 }
@@ -69,18 +74,18 @@
   for (const LoadKind& kind : mix) {
     weight_sum += kind.weight;
     if (kind.body_bytes > kMaxUploadBytes) {
-      return OutOfRange("mix", "body_bytes above 64 MiB");
+      return OutOfRange("mix", "allowed are body_bytes up to 64 MiB");
     }
   }
   if (weight_sum == 0) {
-    return OutOfRange("mix", "no kind of request has a weight");
+    return OutOfRange("mix", "the weights of all requests are zero");
   }
   return boost::outcome_v2::success();
 }
 
 Result<void> CheckNumbers(const LoadOptions& options) {
   if (!(options.rate >= 0 && options.rate <= kMaxRate)) {
-    return OutOfRange("rate", "allowed are 0 to 500000");
+    return OutOfRange("rate", "allowed are 0 to 500000 requests/s");
   }
   if (options.duration <= milliseconds(0) || options.duration > kMaxDuration) {
     return OutOfRange("duration", "allowed are 0.001 to 3600 seconds");
@@ -94,26 +99,29 @@
   if (options.connections < options.threads ||
       options.connections > kMaxConnections ||
       options.idle_connections > kMaxConnections) {
-    return OutOfRange("connections", "allowed are one a thread to 20000");
+    return OutOfRange("connections",
+                      "allowed are 20000 at most and one per thread at least");
   }
   const bool both = !options.targets.empty() && !options.direct.empty();
   if (options.closed_loop && both) {
-    return OutOfRange("max-throughput", "takes targets or direct, not both");
+    return OutOfRange("max-throughput",
+                      "allowed with targets or direct endpoints, not both");
   }
   return boost::outcome_v2::success();
 }
 
 Result<void> CheckOptions(const LoadOptions& options) {
-  if (auto good = CheckEndpoints(options); good.has_error()) {
-    return good;
+  if (auto result = CheckEndpoints(options); result.has_error()) {
+    return result;
   }
-  if (auto good = CheckMix(options.mix); good.has_error()) {
-    return good;
+  if (auto result = CheckMix(options.mix); result.has_error()) {
+    return result;
   }
   return CheckNumbers(options);
 }
 
-// Each connection is a file; the default limit is far below what is allowed.
+// Each connection needs a file descriptor, and the default limit is far below
+// kMaxConnections.
 void RaiseFileLimit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
@@ -126,7 +134,7 @@
   return whole / parts + (index < whole % parts ? 1 : 0);
 }
 
-// The part of one worker.
+// Returns the options of one worker: its share of the load.
 LoadOptions ShareOf(const LoadOptions& options, size_t index) {
   LoadOptions share = options;
   share.rate /= static_cast<double>(options.threads);
@@ -138,10 +146,11 @@
   return share;
 }
 
-/// The threads of one run; the caller's thread samples the processes.
-class LoadCrew {
+/// The worker threads of one run. The thread that calls Run() samples the
+/// measured processes.
+class LoadWorkerGroup {
  public:
-  explicit LoadCrew(const LoadOptions& options)
+  explicit LoadWorkerGroup(const LoadOptions& options)
       : all_open(static_cast<std::ptrdiff_t>(options.threads)) {
     for (size_t i = 0; i < options.threads; ++i) {
       this->workers.push_back(
@@ -194,17 +203,17 @@
   size_t ended = 0;
 };
 
-// With fewer requests than threads, a worker without any would take its bound
-// of zero for none.
-LoadOptions FitThreads(LoadOptions options) {
+// Limits the threads to one per request: the share of a further worker would be
+// zero requests, which means no limit.
+LoadOptions LimitThreads(LoadOptions options) {
   if (options.requests > 0) {
     options.threads = std::min<uint64_t>(options.threads, options.requests);
   }
   return options;
 }
 
-void MergeWorkers(const LoadCrew& crew, LoadReport& report) {
-  for (const auto& worker : crew.all()) {
+void MergeWorkers(const LoadWorkerGroup& group, LoadReport& report) {
+  for (const auto& worker : group.all()) {
     report.elapsed = std::max(report.elapsed, worker->elapsed());
     report.start_lag.Merge(worker->start_lag());
     if (report.sides.empty()) {
@@ -218,9 +227,9 @@
 }
 
 LoadExecutionReport CheckExecutions(const LoadOptions& options,
-                                    const LoadCrew& crew) {
+                                    const LoadWorkerGroup& group) {
   std::vector<LoadKeyOutcome> keys;
-  for (const auto& worker : crew.all()) {
+  for (const auto& worker : group.all()) {
     keys.insert(keys.end(), worker->keys().begin(), worker->keys().end());
   }
   uint64_t unreachable = 0;
@@ -231,8 +240,8 @@
   return report;
 }
 
-// Only holds the idle connections.
-void HoldIdle(const LoadOptions& options, ProcessMeter& meter) {
+// Waits for the duration of the run while the idle connections are open.
+void HoldIdleConnections(const LoadOptions& options, ProcessMeter& meter) {
   const TimePoint ends = MonotonicClock::now() + options.duration;
   while (MonotonicClock::now() < ends) {
     std::this_thread::sleep_for(kSampleInterval);
@@ -242,11 +251,11 @@
 
 }  // namespace
 
-Result<LoadReport> RunLoad(const LoadOptions& asked) {
-  if (auto good = CheckOptions(asked); good.has_error()) {
-    return good.error();
+Result<LoadReport> RunLoad(const LoadOptions& requested) {
+  if (auto result = CheckOptions(requested); result.has_error()) {
+    return result.error();
   }
-  const LoadOptions options = FitThreads(asked);
+  const LoadOptions options = LimitThreads(requested);
   RaiseFileLimit();
   auto meter = ProcessMeter::Create(options.processes);
   if (meter.has_error()) {
@@ -255,14 +264,14 @@
   LoadReport report;
   LoadIdleConnections idle(options);
   if (options.rate > 0 || options.closed_loop) {
-    LoadCrew crew(options);
-    crew.Run(meter.value());
-    MergeWorkers(crew, report);
+    LoadWorkerGroup group(options);
+    group.Run(meter.value());
+    MergeWorkers(group, report);
     if (!options.executions_at.empty()) {
-      report.executions = CheckExecutions(options, crew);
+      report.executions = CheckExecutions(options, group);
     }
   } else {
-    HoldIdle(options, meter.value());
+    HoldIdleConnections(options, meter.value());
     report.elapsed = options.duration;
   }
   report.idle = idle.Report();
--- a/packages/ctl/src/load_schedule.cc
+++ b/packages/ctl/src/load_schedule.cc
@@ -29,9 +29,9 @@
   return Duration(std::llround(gaps(this->random) * kNanosecondsPerSecond));
 }
 
-LoadCall LoadSchedule::Next(TimePoint intended, WallTime wall) {
+LoadCall LoadSchedule::Next(TimePoint scheduled_start, WallTime wall) {
   LoadCall call;
-  call.intended = intended;
+  call.scheduled_start = scheduled_start;
   call.side = this->settings.sides[this->number % this->settings.sides.size()];
   call.kind = this->DrawKind();
   call.tag = std::to_string(this->settings.seed) + "-" +
@@ -59,15 +59,17 @@
   return kind;
 }
 
-// A time-ordered UUID (version 7): whoever sees it again can tell its age.
+// Returns a time-ordered UUID (version 7), so that a recipient can compute the
+// age of the key.
 std::string LoadSchedule::DrawKey(WallTime wall) {
-  const auto birth = static_cast<uint64_t>(wall.time_since_epoch().count());
+  const auto created_at =
+      static_cast<uint64_t>(wall.time_since_epoch().count());
   const uint64_t high = this->random();
   const uint64_t low = this->random();
   std::array<char, kUuidTextSize> text{};
   std::snprintf(text.data(), text.size(), "%08x-%04x-7%03x-%04x-%012llx",
-                static_cast<unsigned>(birth >> 16U),
-                static_cast<unsigned>(birth & 0xffffU),
+                static_cast<unsigned>(created_at >> 16U),
+                static_cast<unsigned>(created_at & 0xffffU),
                 static_cast<unsigned>(high & 0xfffU),
                 static_cast<unsigned>(0x8000U | ((low >> 48U) & 0x3fffU)),
                 static_cast<unsigned long long>(low & 0xffffffffffffU));
--- a/packages/ctl/src/load_schedule.h
+++ b/packages/ctl/src/load_schedule.h
@@ -10,45 +10,44 @@
 #include "basilsill/base/time.h"
 #include "basilsill/ctl/load.h"
 
-/// Which requests start when. The schedule never looks at answers: a request
-/// that is held up counts its wait from the time the schedule gave it.
+/// Determines which requests start when. The schedule does not depend on
+/// responses: the latency of a delayed request counts from its scheduled start.
 
 namespace basilsill::ctl {
 
-/// One request, through all its attempts.
+/// One request with all its attempts.
 struct LoadCall {
-  TimePoint intended;  ///< Latency counts from here.
+  TimePoint scheduled_start;  ///< Latency counts from here.
   LoadSide side = LoadSide::kThrough;
-  size_t kind = 0;
+  size_t kind = 0;  ///< Index in the mix.
   unsigned resends = 0;
-  std::string tag;  ///< The same for all attempts, as is the body.
-  std::string key;  ///< Empty unless the request must not repeat.
-  /// Some attempt ended without the promise that it did not run.
+  std::string tag;  ///< The same for all attempts, and so is the body.
+  std::string key;  ///< Idempotency key; empty if it may run twice.
+  /// At least one attempt ended without the promise that it did not run.
   bool may_have_run = false;
 };
 
-/// What a schedule needs to know.
 struct LoadScheduleOptions {
-  std::vector<LoadSide> sides;    ///< They take turns.
-  std::vector<unsigned> weights;  ///< Of the kinds.
-  std::vector<bool> once;         ///< Kinds that must not repeat.
-  double rate = 1;                ///< Requests a second, all sides together.
+  std::vector<LoadSide> sides;    ///< Requests alternate between them.
+  std::vector<unsigned> weights;  ///< By kind.
+  std::vector<bool> once;         ///< By kind: must not run twice.
+  double rate = 1;  ///< Requests per second on all sides together.
   uint64_t seed = 1;
-  /// Tells schedules of one run apart.
+  /// Number of the worker; selects the random sequence and is part of tags.
   size_t worker = 0;
 };
 
-/// An endless series of requests with exponential gaps.
+/// An endless sequence of requests with exponentially distributed gaps.
 class LoadSchedule {
  public:
   explicit LoadSchedule(LoadScheduleOptions options);
 
-  /// @returns the gap from the last request to the next one.
+  /// @returns the time between the last request and the next one.
   Duration NextGap();
 
-  /// @returns the next request, meant to start at `intended`.
-  /// @param wall For the birth that an idempotency key carries.
-  LoadCall Next(TimePoint intended, WallTime wall);
+  /// @param wall Creation time in the idempotency key.
+  /// @returns the next request.
+  LoadCall Next(TimePoint scheduled_start, WallTime wall);
 
  private:
   size_t DrawKind();
--- a/packages/ctl/src/load_table.cc
+++ b/packages/ctl/src/load_table.cc
@@ -1,4 +1,4 @@
-// The load report as a table for people.
+// Formats the load report as a table.
 
 #include <array>
 #include <cstdio>
--- a/packages/ctl/src/load_worker.cc
+++ b/packages/ctl/src/load_worker.cc
@@ -122,49 +122,50 @@
 }
 
 void LoadWorker::RunSpinning() {
-  // Without work the context would stop, and poll() do nothing from then on.
+  // Without the guard, the context would stop as soon as it has no work, and
+  // poll() would do nothing from then on.
   const auto guard = asio::make_work_guard(this->io);
   while (!this->IsFinished()) {
     this->io.poll();
-    this->Advance();
+    this->RunDueWork();
   }
 }
 
 void LoadWorker::RunSleeping() {
-  this->Arm();
+  this->ArmTimer();
   this->io.run();
 }
 
-void LoadWorker::Arm() {
+void LoadWorker::ArmTimer() {
   this->timer.expires_at(
-      asio::steady_timer::time_point(this->NextWake().time_since_epoch()));
+      asio::steady_timer::time_point(this->NextDueTime().time_since_epoch()));
   this->timer.async_wait([this](boost::system::error_code) {
-    this->Advance();
+    this->RunDueWork();
     if (!this->IsFinished()) {
-      this->Arm();
+      this->ArmTimer();
     }
   });
 }
 
-void LoadWorker::Advance() {
+void LoadWorker::RunDueWork() {
   const TimePoint now = MonotonicClock::now();
   this->StartArrivals(now);
   this->StartResends(now);
   if (now >= this->next_sweep) {
-    this->GiveUpOverdue(now);
+    this->TimeOutOverdue(now);
     this->next_sweep = now + kSweepInterval;
   }
 }
 
-TimePoint LoadWorker::NextWake() const {
-  TimePoint wake = this->next_sweep;
+TimePoint LoadWorker::NextDueTime() const {
+  TimePoint due = this->next_sweep;
   if (!this->ArrivalsOver()) {
-    wake = std::min(wake, this->next_arrival);
+    due = std::min(due, this->next_arrival);
   }
   if (!this->resends.empty()) {
-    wake = std::min(wake, this->resends.begin()->first);
+    due = std::min(due, this->resends.begin()->first);
   }
-  return wake;
+  return due;
 }
 
 bool LoadWorker::ArrivalsOver() const {
@@ -190,10 +191,10 @@
   }
 }
 
-LoadCall LoadWorker::NextCall(TimePoint intended) {
+LoadCall LoadWorker::NextCall(TimePoint scheduled_start) {
   ++this->calls_started;
   ++this->calls_open;
-  return this->schedule.Next(intended, WallNow());
+  return this->schedule.Next(scheduled_start, WallNow());
 }
 
 void LoadWorker::StartResends(TimePoint now) {
@@ -204,16 +205,16 @@
   }
 }
 
-// Ends what waits for too long, so that the run itself always ends.
-void LoadWorker::GiveUpOverdue(TimePoint now) {
+// Ends requests that have exceeded their time-out, so that the run always ends.
+void LoadWorker::TimeOutOverdue(TimePoint now) {
   for (const auto& connection : this->connections) {
-    if (connection->give_up_at <= now) {
-      connection->GiveUp();
+    if (connection->timeout_at <= now) {
+      connection->TimeOut();
     }
   }
   for (auto& queue : this->waiting) {
     while (!queue.empty() &&
-           queue.front().intended + this->options.timeout <= now) {
+           queue.front().scheduled_start + this->options.timeout <= now) {
       LoadCall call = std::move(queue.front());
       queue.pop_front();
       call.may_have_run = true;
@@ -231,7 +232,7 @@
   this->SendOn(*connection, std::move(call));
 }
 
-// The endpoints of a side take turns, as behind a plain balancer.
+// Chooses between the endpoints of a side by round robin.
 LoadConnection* LoadWorker::TakeIdle(LoadSide side) {
   for (size_t i = 0; i < this->pools.size(); ++i) {
     Pool& pool = this->pools[this->next_pool++ % this->pools.size()];
@@ -251,11 +252,11 @@
   attempt.key = call.key;
   if (this->options.deadline) {
     const auto left =
-        call.intended + *this->options.deadline - MonotonicClock::now();
+        call.scheduled_start + *this->options.deadline - MonotonicClock::now();
     attempt.deadline_left = std::chrono::ceil<std::chrono::milliseconds>(
         std::max(left, Duration::zero()));
   }
-  connection.give_up_at = call.intended + this->options.timeout;
+  connection.timeout_at = call.scheduled_start + this->options.timeout;
   connection.call = std::move(call);
   connection.Send(attempt);
 }
@@ -264,7 +265,7 @@
                         const LoadAttemptResult& result) {
   const TimePoint now = MonotonicClock::now();
   LoadCall call = std::move(connection.call);
-  connection.give_up_at = kNever;
+  connection.timeout_at = kNever;
   this->CountAttempt(call, result);
   const bool promised = result.verdict == LoadVerdict::kRefused &&
                         result.promise == Promise::kNotRun;
@@ -292,11 +293,11 @@
 bool LoadWorker::Resend(LoadCall& call,
                         const LoadAttemptResult& result,
                         TimePoint now) {
-  const LoadResendFacts facts{call.resends, this->options.resends,
+  const LoadResendState state{call.resends, this->options.resends,
                               IsRepeatable(this->options.mix[call.kind])};
-  const auto delay = ResendDelay(result, facts);
-  const TimePoint last =
-      call.intended + this->options.deadline.value_or(this->options.timeout);
+  const auto delay = ResendDelay(result, state);
+  const TimePoint last = call.scheduled_start +
+                         this->options.deadline.value_or(this->options.timeout);
   if (!delay || now + *delay >= last) {
     return false;
   }
@@ -330,12 +331,12 @@
     this->key_outcomes.push_back(
         {call.key, result.verdict, !call.may_have_run});
   }
-  const Duration latency = now - call.intended;
+  const Duration latency = now - call.scheduled_start;
   const bool right = result.verdict == LoadVerdict::kRight;
   if (right && this->options.deadline && latency > *this->options.deadline) {
     ++report.late;
   }
-  if (call.intended < this->started + this->options.warmup) {
+  if (call.scheduled_start < this->started + this->options.warmup) {
     return;
   }
   if (right) {
--- a/packages/ctl/src/load_worker.h
+++ b/packages/ctl/src/load_worker.h
@@ -15,12 +15,12 @@
 #include "load_connection.h"
 #include "load_schedule.h"
 
-/// One thread of the load generator: a schedule, pools of connections, and
-/// the counts of what became of each request.
+/// One thread of the load generator, with its schedule, its connection pools
+/// and the counts of its results.
 
 namespace basilsill::ctl {
 
-/// What a request that must not repeat came to.
+/// Result of a request that must not run twice.
 struct LoadKeyOutcome {
   std::string key;
   LoadVerdict verdict = LoadVerdict::kTimedOut;
@@ -30,17 +30,18 @@
 
 class LoadWorker {
  public:
-  /// @param share This worker's part of rate, connections and requests.
+  /// @param share Options with this worker's share of rate, connections and
+  /// requests.
   /// @param index Number of the worker in this run.
   LoadWorker(const LoadOptions& share, size_t index);
   ~LoadWorker();
   LoadWorker(const LoadWorker&) = delete;
   LoadWorker& operator=(const LoadWorker&) = delete;
 
-  /// Opens all connections; blocks until each is open or failed.
+  /// Opens all connections; blocks until each is open or has failed.
   void OpenConnections();
 
-  /// Sends all requests and waits for their answers; blocks.
+  /// Sends all requests; blocks until each has its final result.
   void Run();
 
   // Results, after Run().
@@ -62,12 +63,12 @@
 
   void RunSpinning();
   void RunSleeping();
-  void Arm();
-  void Advance();
-  TimePoint NextWake() const;
+  void ArmTimer();
+  void RunDueWork();
+  TimePoint NextDueTime() const;
   void StartArrivals(TimePoint now);
   void StartResends(TimePoint now);
-  void GiveUpOverdue(TimePoint now);
+  void TimeOutOverdue(TimePoint now);
   bool ArrivalsOver() const;
   bool IsFinished() const;
 
@@ -82,7 +83,7 @@
                  const LoadAttemptResult& result,
                  TimePoint now);
   void StartClosedLoop();
-  LoadCall NextCall(TimePoint intended);
+  LoadCall NextCall(TimePoint scheduled_start);
 
   LoadOptions options;
   LoadSchedule schedule;
@@ -91,7 +92,7 @@
   std::vector<std::unique_ptr<LoadConnection>> connections;
   std::vector<Pool> pools;
   size_t next_pool = 0;
-  /// Calls without a free connection, by side.
+  /// Requests that wait for a free connection, by side.
   std::array<std::deque<LoadCall>, static_cast<size_t>(LoadSide::kCount)>
       waiting;
   std::multimap<TimePoint, LoadCall> resends;
--- a/packages/ctl/src/log_line.cc
+++ b/packages/ctl/src/log_line.cc
@@ -9,37 +9,39 @@
 
 using std::chrono::milliseconds;
 
-// `2026-01-31T23:59:59.999Z`: where the parts of the time of day stand.
-constexpr size_t kTimeAt = 11;
+// Position of the time of day in a timestamp: `2026-01-31T23:59:59.999Z`.
+constexpr size_t kTimeOffset = 11;
 constexpr size_t kTimeSize = 12;
-constexpr size_t kStampSize = 24;
+constexpr size_t kTimestampSize = 24;
 
-// Takes the first word off `rest`.
-std::string_view TakeWord(std::string_view& rest) {
+// Removes the first word from `rest`.
+// @returns the word.
+std::string_view ConsumeWord(std::string_view& rest) {
   const size_t end = std::min(rest.find(' '), rest.size());
   const std::string_view word = rest.substr(0, end);
   rest.remove_prefix(std::min(end + 1, rest.size()));
   return word;
 }
 
-// Takes a value off `rest`: a plain word, or text in quotes.
-std::string TakeValue(std::string_view& rest) {
+// Removes the first value from `rest`: a word, or a quoted string.
+// @returns the value without quotes and escapes.
+std::string ConsumeValue(std::string_view& rest) {
   if (!rest.starts_with('"')) {
-    return std::string(TakeWord(rest));
+    return std::string(ConsumeWord(rest));
   }
   std::string value;
-  size_t at = 1;
-  while (at < rest.size() && rest[at] != '"') {
-    at += rest[at] == '\\' && at + 1 < rest.size() ? 1 : 0;
-    value += rest[at++];
+  size_t position = 1;
+  while (position < rest.size() && rest[position] != '"') {
+    position += rest[position] == '\\' && position + 1 < rest.size() ? 1 : 0;
+    value += rest[position++];
   }
-  rest.remove_prefix(std::min(at + 2, rest.size()));
+  rest.remove_prefix(std::min(position + 2, rest.size()));
   return value;
 }
 
-std::optional<milliseconds> ReadTimeOfDay(std::string_view text) {
+std::optional<milliseconds> ParseTimeOfDay(std::string_view text) {
   struct Part {
-    size_t at;
+    size_t offset;
     size_t size;
     milliseconds unit;
   };
@@ -49,7 +51,8 @@
                                           {9, 3, milliseconds(1)}}};
   milliseconds time{0};
   for (const Part& part : parts) {
-    const auto number = ParseNumber<int64_t>(text.substr(part.at, part.size));
+    const auto number =
+        ParseNumber<int64_t>(text.substr(part.offset, part.size));
     if (!number) {
       return std::nullopt;
     }
@@ -67,23 +70,23 @@
 
 std::optional<LogLine> ParseLogLine(std::string_view text) {
   std::string_view rest = text;
-  const std::string_view stamp = TakeWord(rest);
-  TakeWord(rest);  // The severity says nothing that the number does not.
-  const auto number = ParseNumber<int>(TakeWord(rest));
-  if (stamp.size() != kStampSize || !number) {
+  const std::string_view timestamp = ConsumeWord(rest);
+  ConsumeWord(rest);  // Skips the severity: the event number implies it.
+  const auto number = ParseNumber<int>(ConsumeWord(rest));
+  if (timestamp.size() != kTimestampSize || !number) {
     return std::nullopt;
   }
-  const std::string_view clock = stamp.substr(kTimeAt, kTimeSize);
-  const auto time = ReadTimeOfDay(clock);
+  const std::string_view time_text = timestamp.substr(kTimeOffset, kTimeSize);
+  const auto time = ParseTimeOfDay(time_text);
   if (!time) {
     return std::nullopt;
   }
   LogLine line;
   line.time = *time;
-  line.clock = clock;
+  line.time_text = time_text;
   line.event = *number;
   line.text = rest;
-  line.name = TakeWord(rest);
+  line.name = ConsumeWord(rest);
   while (!rest.empty()) {
     const size_t equals = rest.find('=');
     if (equals == std::string_view::npos) {
@@ -91,7 +94,7 @@
     }
     const std::string field(rest.substr(0, equals));
     rest.remove_prefix(equals + 1);
-    line.fields[field] = TakeValue(rest);
+    line.fields[field] = ConsumeValue(rest);
   }
   return line;
 }
--- a/packages/ctl/src/log_line.h
+++ b/packages/ctl/src/log_line.h
@@ -7,23 +7,23 @@
 #include <string>
 #include <string_view>
 
-/// Reads the lines that nodes write to their logs.
+/// Parser of the log lines of nodes.
 
 namespace basilsill::ctl {
 
 struct LogLine {
-  std::chrono::milliseconds time{0};  ///< Of the day, UTC.
-  std::string clock;                  ///< The same, as the line has it.
-  int event = 0;                      ///< Its number.
-  std::string name;
+  std::chrono::milliseconds time{0};  ///< Time of day, UTC.
+  std::string time_text;              ///< The same as text, HH:MM:SS.mmm.
+  int event = 0;                      ///< Number of the event.
+  std::string name;                   ///< Name of the event.
   std::map<std::string, std::string, std::less<>> fields;
-  std::string text;  ///< From the name on, as it was written.
+  std::string text;  ///< The rest of the line, from the name on.
 
-  /// @returns the value of a field, empty if it is not there.
+  /// @returns the value of a field, or an empty string if it is absent.
   std::string_view Field(std::string_view field) const;
 };
 
-/// @returns the line, or nothing if a node did not write it.
+/// @returns the line, or std::nullopt if it is not in the format of nodes.
 std::optional<LogLine> ParseLogLine(std::string_view text);
 
 }  // namespace basilsill::ctl
--- a/packages/ctl/src/main.cc
+++ b/packages/ctl/src/main.cc
@@ -1,4 +1,5 @@
-// Entry point of `basilsillctl`, the operators' tool and its stand-ins.
+// Entry point of `basilsillctl`: the operators' tool, the load generator and
+// the emulators.
 
 #include "command.h"
 
--- a/packages/ctl/src/run_command.cc
+++ b/packages/ctl/src/run_command.cc
@@ -13,11 +13,11 @@
   ExitStatus status = ExitStatus::kFailed;
   boost::asio::co_spawn(
       io, std::move(work),
-      [&io, &status](const std::exception_ptr& fault, ExitStatus ended) {
-        if (fault) {
-          std::rethrow_exception(fault);
+      [&io, &status](const std::exception_ptr& exception, ExitStatus result) {
+        if (exception) {
+          std::rethrow_exception(exception);
         }
-        status = ended;
+        status = result;
         io.stop();
       });
   io.run();
--- a/packages/ctl/src/run_command.h
+++ b/packages/ctl/src/run_command.h
@@ -11,8 +11,9 @@
 
 namespace basilsill::ctl {
 
-/// Runs `io` on this thread until `work` has ended.
-/// @returns what it returned.
+/// Runs `io` on this thread until `work` has ended. Throws the exceptions of
+/// `work`.
+/// @returns the result of `work`.
 ExitStatus RunCommand(boost::asio::io_context& io,
                       boost::asio::awaitable<ExitStatus> work);
 
--- a/packages/ctl/test/api_key_command_test.cc
+++ b/packages/ctl/test/api_key_command_test.cc
@@ -1,4 +1,4 @@
-// The command that makes API keys, from its command line to what it prints.
+// Tests of `basilsillctl api-key`, from its command line to its output.
 
 #include "api_key_command.h"
 
@@ -28,7 +28,8 @@
     std::cerr.rdbuf(this->err_before);
   }
 
-  // The key and the digest that were printed.
+  // Runs the command.
+  // @returns the printed key and digest.
   std::pair<std::string, std::string> MakeKey() {
     this->out.str("");
     CHECK(RunApiKey({"basilsillctl"}) == ExitStatus::kOk);
@@ -41,20 +42,20 @@
   }
 };
 
-TEST(ApiKeyCommand, Make_Twice_TwoKeysEachWithItsDigest) {
+TEST(ApiKeyCommand, Generate_Twice_TwoKeysEachWithItsDigest) {
   const auto [key, digest] = this->MakeKey();
   CHECK(basilsill::IsApiKey(key));
   CHECK(ParseApiKeyDigest(digest) == DigestApiKey(key));
   CHECK(this->MakeKey().first != key);
 }
 
-TEST(ApiKeyCommand, Digest_OfAKeyOnStandardInput_PrintedWithoutTheKey) {
+TEST(ApiKeyCommand, Digest_KeyOnStandardInput_PrintedWithoutKey) {
   this->in.str("a-key\n");
   CHECK(RunApiKey({"basilsillctl", "--digest"}) == ExitStatus::kOk);
   CHECK_EQUAL(ToHex(DigestApiKey("a-key")) + "\n", this->out.str());
 }
 
-TEST(ApiKeyCommand, Digest_OfNothing_Refused) {
+TEST(ApiKeyCommand, Digest_EmptyInput_UsageError) {
   CHECK(RunApiKey({"basilsillctl", "--digest"}) == ExitStatus::kUsage);
   CHECK_EQUAL("", this->out.str());
 }
--- a/packages/ctl/test/explain_test.cc
+++ b/packages/ctl/test/explain_test.cc
@@ -1,4 +1,5 @@
-// Tests of telling a request's course from the logs of several VMs.
+// Tests of `basilsillctl explain`: the course of a request is reconstructed
+// from the logs of several VMs.
 
 #include "explain.h"
 
@@ -19,8 +20,8 @@
   return ReadNodeLog("file", input);
 }
 
-bool Has(const std::vector<std::string>& told, const std::string& part) {
-  return std::any_of(told.begin(), told.end(), [&part](const auto& line) {
+bool Has(const std::vector<std::string>& output, const std::string& part) {
+  return std::any_of(output.begin(), output.end(), [&part](const auto& line) {
     return line.find(part) != std::string::npos;
   });
 }
@@ -28,7 +29,8 @@
 }  // namespace
 
 TEST_GROUP(Explain) {
-  // The VM that the caller reached, and the one that dispatched for it.
+  // Logs of the VM that the caller reached, and of the VM that dispatched the
+  // request.
   NodeLog entry = LogOf(
       "2026-01-31T10:00:00.000Z INFO 100 node-starting vm=vm-1 callers=1\n"
       "2026-01-31T10:00:05.000Z ERROR 500 log-unavailable store=a:1 "
@@ -57,34 +59,35 @@
   CHECK(line->time == std::chrono::milliseconds(86'399'999));
 }
 
-TEST(Explain, Line_OfAnotherProgram_IsNone) {
+TEST(Explain, Line_OfAnotherProgram_NotParsed) {
   for (const char* text : {"", "hello", "2026-01-31T10:00:00.000Z INFO x y"}) {
     CHECK_FALSE(ParseLogLine(text).has_value());
   }
 }
 
-TEST(Explain, Request_ThroughTwoVms_ToldInOrderOfTime) {
-  const auto told = Explain("r1", {this->entry, this->dispatcher});
-  CHECK(told[0].find("vm-2: sent to upstream i-7 (first attempt) after "
-                     "waiting 35 ms") != std::string::npos);
-  CHECK(told[0].find("shed, status 503, after 4 ms") != std::string::npos);
-  CHECK(told[1].find("vm-1: answered by the system itself: upstream-shed") !=
+TEST(Explain, Request_ThroughTwoVms_ListedInOrderOfTime) {
+  const auto output = Explain("r1", {this->entry, this->dispatcher});
+  CHECK(output[0].find("vm-2: sent to upstream i-7 (first attempt) after "
+                       "waiting 35 ms") != std::string::npos);
+  CHECK(output[0].find("shed, status 503, after 4 ms") != std::string::npos);
+  CHECK(output[1].find("vm-1: answered by the system itself: upstream-shed") !=
         std::string::npos);
-  CHECK_FALSE(Has(told, "r2"));
+  CHECK_FALSE(Has(output, "r2"));
 }
 
-TEST(Explain, Request_WhileTheStoreWasAway_SaysSo) {
-  const auto told = Explain("r1", {this->entry, this->dispatcher});
-  CHECK(Has(told, "log-unavailable store=a:1"));
+TEST(Explain, Request_WhileStoreUnavailable_ShowsStoreEvent) {
+  const auto output = Explain("r1", {this->entry, this->dispatcher});
+  CHECK(Has(output, "log-unavailable store=a:1"));
 }
 
-// Lines were left out on one of its VMs: what is not there proves nothing.
-TEST(Explain, Lines_LeftOut_SaidToBeMissing) {
+// Failure: log lines were suppressed on a VM, and the reader takes their
+// absence as proof that the events did not happen.
+TEST(Explain, Lines_Suppressed_ReportedAsMissing) {
   CHECK(Has(Explain("r1", {this->entry, this->dispatcher}),
             "9 lines of attempt-answered were left out"));
 }
 
-TEST(Explain, Logs_WithoutTheEntryVm_SayThatTheEndIsMissing) {
+TEST(Explain, Logs_WithoutEntryVm_EndReportedAsMissing) {
   CHECK(Has(Explain("r1", {this->dispatcher}), "missing: how it ended"));
   CHECK(Explain("r9", {this->dispatcher}).empty());
 }
--- a/packages/ctl/test/fake_node.cc
+++ b/packages/ctl/test/fake_node.cc
@@ -22,7 +22,7 @@
                  {"127.0.0.1", 0},
                  [this](ServerRequest request)
                      -> boost::asio::awaitable<std::optional<ServerReply>> {
-                   co_return this->Answer(request);
+                   co_return this->HandleRequest(request);
                  })
                  .value()),
       thread([this] { this->io.run(); }) {}
@@ -32,10 +32,10 @@
   this->thread.join();
 }
 
-void FakeNode::LoseNextAnswer(std::optional<ServerReply> instead) {
+void FakeNode::LoseNextAnswer(std::optional<ServerReply> replacement) {
   const std::lock_guard lock(this->mutex);
-  this->lose_next_answer = true;
-  this->instead_of_answer = std::move(instead);
+  this->drop_next_response = true;
+  this->replacement_response = std::move(replacement);
 }
 
 void FakeNode::RefuseAll(ServerReply reply) {
@@ -58,7 +58,8 @@
   return this->calls;
 }
 
-std::optional<ServerReply> FakeNode::Answer(const ServerRequest& request) {
+std::optional<ServerReply> FakeNode::HandleRequest(
+    const ServerRequest& request) {
   const std::lock_guard lock(this->mutex);
   this->calls.push_back(request.method + " " + request.path +
                         (request.query.empty() ? "" : "?" + request.query));
@@ -68,8 +69,8 @@
   const std::string key = request.path.substr(kApi.size());
   if (request.method == "PUT" || request.method == "DELETE") {
     ServerReply reply = this->ChangeOnce(request, key);
-    if (std::exchange(this->lose_next_answer, false)) {
-      return this->instead_of_answer;
+    if (std::exchange(this->drop_next_response, false)) {
+      return this->replacement_response;
     }
     return reply;
   }
@@ -89,11 +90,11 @@
 ServerReply FakeNode::ChangeOnce(const ServerRequest& request,
                                  const std::string& key) {
   const std::string id(HeaderValue(request, "Change-Id"));
-  const auto known = this->decided.find(id);
-  if (known != this->decided.end()) {
+  const auto known = this->replies_by_change_id.find(id);
+  if (known != this->replies_by_change_id.end()) {
     return known->second;
   }
-  return this->decided[id] = this->Change(request, key);
+  return this->replies_by_change_id[id] = this->Change(request, key);
 }
 
 ServerReply FakeNode::Change(const ServerRequest& request,
@@ -112,7 +113,7 @@
   }
   Entry& entry = this->entries[key];
   entry = {request.body, this->next_version++, this->reads_until_in_force};
-  return {exists ? 200U : 201U, this->Write(key, entry), {}};
+  return {exists ? 200U : 201U, this->ToJson(key, entry), {}};
 }
 
 ServerReply FakeNode::Read(const std::string& key) {
@@ -123,14 +124,14 @@
   if (found->second.reads_until_in_force > 0) {
     --found->second.reads_until_in_force;
   }
-  return {200, this->Write(key, found->second), {}};
+  return {200, this->ToJson(key, found->second), {}};
 }
 
 ServerReply FakeNode::List(const std::string& kind) {
   std::string list;
   for (const auto& [key, entry] : this->entries) {
     if (key.starts_with(kind + "/")) {
-      list += (list.empty() ? "" : ",") + this->Write(key, entry);
+      list += (list.empty() ? "" : ",") + this->ToJson(key, entry);
     }
   }
   return {200,
@@ -139,7 +140,7 @@
           {}};
 }
 
-std::string FakeNode::Write(const std::string& key, const Entry& entry) const {
+std::string FakeNode::ToJson(const std::string& key, const Entry& entry) const {
   const size_t slash = key.find('/');
   const bool in_force = entry.reads_until_in_force == 0;
   return R"({"kind":")" + key.substr(0, slash) + R"(","name":")" +
--- a/packages/ctl/test/fake_node.h
+++ b/packages/ctl/test/fake_node.h
@@ -13,7 +13,7 @@
 
 #include "basilsill/ctl/http_server.h"
 
-/// A node's resource API over a map, on a thread of its own.
+/// Fake node with the resource API, an in-memory store and its own thread.
 
 namespace basilsill::ctl {
 
@@ -26,20 +26,22 @@
 
   std::string endpoint() const { return ToString(this->server.endpoint()); }
 
-  /// The next PUT or DELETE takes effect, and then: nothing closes the
-  /// connection, a reply is sent instead of the right one.
-  void LoseNextAnswer(std::optional<ServerReply> instead);
+  /// The next PUT or DELETE takes effect, but its response is lost.
+  /// @param replacement Response that is sent instead; std::nullopt closes the
+  /// connection without a response.
+  void LoseNextAnswer(std::optional<ServerReply> replacement);
 
-  /// All calls get `reply`; 200 ends that.
+  /// Answers all requests with `reply`; a reply with status 200 ends this.
   void RefuseAll(ServerReply reply);
 
-  /// A resource is in force after it has been read so often.
+  /// Reports resources that are written from now on as in force from their
+  /// `reads`-th read on.
   void SetReadsUntilInForce(int reads);
 
-  /// What `GET /api/v1/watch` streams.
+  /// Sets the body of `GET /api/v1/watch`.
   void SetWatchLines(std::string lines);
 
-  /// Requests so far, as "METHOD target".
+  /// @returns all requests so far, as "METHOD target".
   std::vector<std::string> Calls();
 
  private:
@@ -49,24 +51,24 @@
     int reads_until_in_force = 0;
   };
 
-  std::optional<ServerReply> Answer(const ServerRequest& request);
+  std::optional<ServerReply> HandleRequest(const ServerRequest& request);
   ServerReply ChangeOnce(const ServerRequest& request, const std::string& key);
   ServerReply Change(const ServerRequest& request, const std::string& key);
   ServerReply Read(const std::string& key);
   ServerReply List(const std::string& kind);
-  std::string Write(const std::string& key, const Entry& entry) const;
+  std::string ToJson(const std::string& key, const Entry& entry) const;
 
   boost::asio::io_context io;
   std::mutex mutex;
   std::map<std::string, Entry> entries;
   uint64_t next_version = 17;
-  bool lose_next_answer = false;
-  std::optional<ServerReply> instead_of_answer;
+  bool drop_next_response = false;
+  std::optional<ServerReply> replacement_response;
   ServerReply refusal;
   int reads_until_in_force = 0;
   std::string watch_lines;
   std::vector<std::string> calls;
-  std::map<std::string, ServerReply> decided;  // By change id.
+  std::map<std::string, ServerReply> replies_by_change_id;
   HttpServer server;
   std::thread thread;
 };
--- a/packages/ctl/test/load_check_test.cc
+++ b/packages/ctl/test/load_check_test.cc
@@ -1,4 +1,4 @@
-// Whether an answer is the whole answer to its own request.
+// Tests of the check whether a response is complete and belongs to its request.
 
 #include "load_check.h"
 
@@ -8,20 +8,20 @@
 
 using basilsill::Promise;
 using basilsill::ctl::DigestText;
-using basilsill::ctl::LoadAnswerCheck;
-using basilsill::ctl::LoadAnswerHead;
 using basilsill::ctl::LoadAttemptResult;
 using basilsill::ctl::LoadExpectation;
+using basilsill::ctl::LoadResponseCheck;
+using basilsill::ctl::LoadResponseHead;
 using basilsill::ctl::LoadVerdict;
 using basilsill::ctl::MakePattern;
 using basilsill::ctl::NameOf;
 using basilsill::ctl::PatternSeed;
 
-TEST_GROUP(LoadAnswerCheck) {
+TEST_GROUP(LoadResponseCheck) {
   LoadExpectation expected{"7", std::nullopt, "", true};
   std::string body = MakePattern(PatternSeed("7"), 100);
   std::string digest = DigestText(this->body);
-  LoadAnswerHead head;
+  LoadResponseHead head;
 
   void setup() override {
     this->head.status = 200;
@@ -31,7 +31,7 @@
   }
 
   LoadAttemptResult Check() {
-    LoadAnswerCheck check(this->expected);
+    LoadResponseCheck check(this->expected);
     check.AddBody(std::span(this->body).first(this->body.size() / 2));
     check.AddBody(std::span(this->body).subspan(this->body.size() / 2));
     return check.Finish(this->head);
@@ -43,48 +43,50 @@
   }
 };
 
-TEST(LoadAnswerCheck, Finish_WholeAnswer_IsRight) {
+TEST(LoadResponseCheck, Finish_CompleteResponse_IsRight) {
   this->CheckVerdict(LoadVerdict::kRight);
 }
 
-TEST(LoadAnswerCheck, Finish_OneBitFlipped_IsWrongDigest) {
+TEST(LoadResponseCheck, Finish_OneBitFlipped_IsWrongDigest) {
   this->body[50] = static_cast<char>(this->body[50] ^ 1);
   this->CheckVerdict(LoadVerdict::kWrongDigest);
 }
 
-TEST(LoadAnswerCheck, Finish_CutWithACleanEnd_IsWrongDigest) {
-  // An upstream dies half-way and something on the way ends the body cleanly:
-  // the caller would take half an export for a whole one.
+TEST(LoadResponseCheck, Finish_TruncatedWithCleanEnd_IsWrongDigest) {
+  // Failure: an upstream dies in the middle of a response and a proxy
+  // terminates the body correctly, so that the caller takes it for a complete
+  // one.
   this->body.resize(60);
   this->CheckVerdict(LoadVerdict::kWrongDigest);
 }
 
-TEST(LoadAnswerCheck, Finish_AnswerOfAnotherRequest_IsWrongTag) {
+TEST(LoadResponseCheck, Finish_ResponseOfOtherRequest_IsWrongTag) {
   this->head.tag = "8";
   this->CheckVerdict(LoadVerdict::kWrongTag);
 }
 
-TEST(LoadAnswerCheck, Finish_BodyOfAnotherRequest_IsWrongBody) {
-  // Two answers swap bodies but not headers, digest header included.
+TEST(LoadResponseCheck, Finish_BodyOfOtherRequest_IsWrongBody) {
+  // Failure: the bodies of two responses are swapped together with their digest
+  // headers, but the tags are not.
   this->body = MakePattern(PatternSeed("8"), 100);
   this->digest = DigestText(this->body);
   this->head.digest = this->digest;
   this->CheckVerdict(LoadVerdict::kWrongBody);
 }
 
-TEST(LoadAnswerCheck, Finish_ShorterThanAskedFor_IsWrongBody) {
+TEST(LoadResponseCheck, Finish_ShorterThanRequested_IsWrongBody) {
   this->expected.size = 101;
   this->CheckVerdict(LoadVerdict::kWrongBody);
 }
 
-TEST(LoadAnswerCheck, Finish_UploadArrivedOtherwise_IsWrongUpload) {
+TEST(LoadResponseCheck, Finish_UploadDigestDiffers_IsWrongUpload) {
   this->expected.upload_digest = this->digest;
   this->CheckVerdict(LoadVerdict::kWrongUpload);
   this->head.received_digest = this->digest;
   this->CheckVerdict(LoadVerdict::kRight);
 }
 
-TEST(LoadAnswerCheck, Finish_RefusalWithPromise_TellsReasonAndDelay) {
+TEST(LoadResponseCheck, Finish_RefusalWithPromise_ReturnsReasonAndDelay) {
   this->head.status = 503;
   this->head.promise = "not-run";
   this->head.reason = "queue-full";
@@ -99,7 +101,7 @@
   CHECK(this->Check().retry_after == std::chrono::seconds(1));
 }
 
-TEST(LoadAnswerCheck, Finish_ErrorWithoutPromise_IsUnexplained) {
+TEST(LoadResponseCheck, Finish_ErrorWithoutPromise_IsUnexplained) {
   this->head.status = 502;
   this->CheckVerdict(LoadVerdict::kUnexplained);
   this->head.reason = "upstream-died";
--- a/packages/ctl/test/load_parts_test.cc
+++ b/packages/ctl/test/load_parts_test.cc
@@ -1,4 +1,4 @@
-// The pure parts of the load generator.
+// Tests of the parts of the load generator that need no network.
 
 #include <algorithm>
 #include <cmath>
@@ -26,7 +26,7 @@
 using basilsill::ctl::LoadCall;
 using basilsill::ctl::LoadHistogram;
 using basilsill::ctl::LoadReport;
-using basilsill::ctl::LoadResendFacts;
+using basilsill::ctl::LoadResendState;
 using basilsill::ctl::LoadSchedule;
 using basilsill::ctl::LoadScheduleOptions;
 using basilsill::ctl::LoadSide;
@@ -42,7 +42,7 @@
   pcg32 random(3);
   std::vector<int64_t> values;
   for (int i = 0; i < 10000; ++i) {
-    // From microseconds to seconds, as latencies are.
+    // From microseconds to seconds, the range of real latencies.
     const double exponent = 3 + 6 * (random() / 4294967296.0);
     values.push_back(std::llround(std::pow(10, exponent)));
     this->histogram.Add(Duration(values.back()));
@@ -59,7 +59,7 @@
   }
 }
 
-TEST(LoadHistogram, Merge_TwoHalves_EqualsTheWhole) {
+TEST(LoadHistogram, Merge_TwoHalves_EqualsWhole) {
   LoadHistogram other;
   LoadHistogram whole;
   for (int i = 0; i < 1000; ++i) {
@@ -74,7 +74,7 @@
   CHECK(this->histogram.mean() == whole.mean());
 }
 
-TEST(LoadHistogram, Add_BeyondTheTable_KeepsTheMaximum) {
+TEST(LoadHistogram, Add_BeyondTable_KeepsMaximum) {
   this->histogram.Add(std::chrono::hours(100));
   CHECK(this->histogram.Quantile(0.5) <= std::chrono::hours(100));
   CHECK(this->histogram.max() == std::chrono::hours(100));
@@ -90,19 +90,19 @@
   WallTime wall{milliseconds(0x0198765432ab)};
 };
 
-TEST(LoadSchedule, Gaps_ManyDrawn_HaveTheRateAndRepeatWithTheSeed) {
+TEST(LoadSchedule, NextGap_ManyCalls_MatchRateAndRepeatWithSeed) {
   LoadSchedule schedule(this->options);
-  LoadSchedule again(this->options);
+  LoadSchedule same_seed(this->options);
   Duration sum{};
   for (int i = 0; i < 10000; ++i) {
     const Duration gap = schedule.NextGap();
-    CHECK(gap == again.NextGap());
+    CHECK(gap == same_seed.NextGap());
     sum += gap;
   }
   DOUBLES_EQUAL(10.0, std::chrono::duration<double>(sum).count(), 0.5);
 }
 
-TEST(LoadSchedule, Next_TwoSidesTwoKinds_AlternatesAndWeighs) {
+TEST(LoadSchedule, Next_TwoSidesTwoKinds_AlternatesSidesAndWeighsKinds) {
   LoadSchedule schedule(this->options);
   std::array<int, 2> kinds{};
   for (int i = 0; i < 4000; ++i) {
@@ -114,7 +114,7 @@
   DOUBLES_EQUAL(3000, kinds[0], 150);
 }
 
-TEST(LoadSchedule, Key_OfARequestThatMustNotRepeat_CarriesItsBirth) {
+TEST(LoadSchedule, Key_RequestThatMustNotRunTwice_ContainsCreationTime) {
   this->options.weights = {0, 1};
   LoadSchedule schedule(this->options);
   const std::string key = schedule.Next(TimePoint(), this->wall).key;
@@ -129,38 +129,39 @@
                             milliseconds(30),      0};
   LoadAttemptResult broken{LoadVerdict::kCutShort, 0, "", Promise::kUnknown,
                            std::nullopt,           0};
-  LoadResendFacts unkeyed{0, 2, false};
-  LoadResendFacts keyed{0, 2, true};
+  LoadResendState not_repeatable{0, 2, false};
+  LoadResendState repeatable{0, 2, true};
 };
 
-TEST(LoadResend, NotRun_WithRetryAfter_WaitsThatLong) {
-  CHECK(ResendDelay(this->refusal, this->unkeyed) == milliseconds(30));
+TEST(LoadResend, NotRun_WithRetryAfter_ReturnsThatDelay) {
+  CHECK(ResendDelay(this->refusal, this->not_repeatable) == milliseconds(30));
 }
 
-TEST(LoadResend, NotRun_WithoutRetryAfter_IsFinalForBadRequests) {
+TEST(LoadResend, NotRun_BadRequestWithoutRetryAfter_IsFinal) {
   this->refusal.retry_after.reset();
   this->refusal.status = 400;
-  CHECK_FALSE(ResendDelay(this->refusal, this->keyed).has_value());
+  CHECK_FALSE(ResendDelay(this->refusal, this->repeatable).has_value());
 }
 
-TEST(LoadResend, UnknownOrBroken_OnlyRepeatable_IsSentAgain) {
-  // The answer to a confirmation is lost half-way. Without a key the caller
-  // must not send it again; with one it may, and doubles nothing.
+TEST(LoadResend, UnknownOrBroken_OnlyIfRepeatable_IsSentAgain) {
+  // Failure: the response to a request that changes data is lost, and the
+  // caller sends the request again without an idempotency key, so that it runs
+  // twice.
   this->refusal.promise = Promise::kUnknown;
-  CHECK_FALSE(ResendDelay(this->refusal, this->unkeyed).has_value());
-  CHECK_FALSE(ResendDelay(this->broken, this->unkeyed).has_value());
-  CHECK(ResendDelay(this->refusal, this->keyed).has_value());
-  CHECK(ResendDelay(this->broken, this->keyed).has_value());
+  CHECK_FALSE(ResendDelay(this->refusal, this->not_repeatable).has_value());
+  CHECK_FALSE(ResendDelay(this->broken, this->not_repeatable).has_value());
+  CHECK(ResendDelay(this->refusal, this->repeatable).has_value());
+  CHECK(ResendDelay(this->broken, this->repeatable).has_value());
 }
 
-TEST(LoadResend, Allowed_UsedUp_IsFinal) {
-  this->keyed.resends_done = 2;
-  CHECK_FALSE(ResendDelay(this->refusal, this->keyed).has_value());
+TEST(LoadResend, Resends_Exhausted_IsFinal) {
+  this->repeatable.resends_done = 2;
+  CHECK_FALSE(ResendDelay(this->refusal, this->repeatable).has_value());
 }
 
 TEST_GROUP(LoadExecutions){};
 
-TEST(LoadExecutions, Compare_EachDisagreement_IsCounted) {
+TEST(LoadExecutions, Compare_EachContradiction_IsCounted) {
   basilsill::ctl::LoadExecutions executions;
   CHECK(basilsill::ctl::AddExecutions(
             R"({"executions": {"once": 1, "twice": 1, "broken-promise": 1}})",
@@ -209,7 +210,7 @@
   CHECK(IsGood(this->report, {.refusals = true, .broken = true}));
 }
 
-TEST(LoadReport, IsGood_WrongAnswerMendedByAResend_IsStillBad) {
+TEST(LoadReport, IsGood_WrongResponseBeforeSuccessfulResend_IsBad) {
   this->report.sides[0].attempts[this->wrong] = 1;
   CHECK_FALSE(IsGood(this->report, {.refusals = true, .broken = true}));
 }
@@ -221,7 +222,7 @@
 
 TEST_GROUP(LoadProcess){};
 
-TEST(LoadProcess, ParseStat_NameWithSpacesAndBrackets_FindsTheFields) {
+TEST(LoadProcess, ParseStat_NameWithSpacesAndBrackets_FindsFields) {
   const auto sample = basilsill::ctl::ParseProcessStat(
       "12 (a) b (c) S 1 1 1 0 -1 4194560 10 0 0 0 150 50 0 0 20 0 4 0 100 "
       "2000000 25 18446744073709551615 1 1 0\n");
@@ -235,7 +236,7 @@
 
 TEST(LoadMix, Parse_WithComments_ReadsEachKind) {
   const auto mix = basilsill::ctl::ParseLoadMix(R"({
-    // What a recycling division sends.
+    // Requests of a recycling division.
     "requests": [
       {"name": "fill", "weight": 9, "host": "banklevel.rodopa.test",
        "path": "/fill", "headers": {"X-Class": "reading"}},
@@ -249,7 +250,7 @@
   CHECK(mix.value()[1].once);
 }
 
-TEST(LoadMix, Parse_SeveralFaults_ReportsEachWithItsPath) {
+TEST(LoadMix, Parse_SeveralErrors_ReportsEachWithPath) {
   const auto mix = basilsill::ctl::ParseLoadMix(
       R"({"requests": [{"weight": 0}, {"path": 1, "x": 1}, 5], "y": 1})");
   CHECK(mix.has_error());
--- a/packages/ctl/test/load_run_test.cc
+++ b/packages/ctl/test/load_run_test.cc
@@ -1,5 +1,5 @@
-// The load generator against emulated upstreams, over real sockets on ports
-// that the kernel chooses.
+// Tests of the load generator against emulated upstreams, over TCP sockets on
+// ports that the kernel chooses.
 
 #include <memory>
 
@@ -58,7 +58,7 @@
   }
 };
 
-TEST(LoadRun, Run_BothSides_EveryAnswerRightAndCounted) {
+TEST(LoadRun, Run_BothSides_EveryResponseRightAndCounted) {
   this->Start();
   this->load.direct = {this->Endpoint(1)};
   this->load.threads = 2;
@@ -76,7 +76,7 @@
   }
 }
 
-TEST(LoadRun, Run_SpinningClosedLoop_EveryAnswerRight) {
+TEST(LoadRun, Run_SpinningClosedLoop_EveryResponseRight) {
   this->Start();
   this->load.closed_loop = true;
   this->load.spin = true;
@@ -84,7 +84,7 @@
   CHECK_EQUAL(200, this->Finals(this->Run(), LoadVerdict::kRight));
 }
 
-TEST(LoadRun, Run_AnswersCorrupted_IsNoticed) {
+TEST(LoadRun, Run_ResponsesCorrupted_IsDetected) {
   this->upstream_options.behaviour.corrupt_every = 10;
   this->Start();
   const LoadReport report = this->Run();
@@ -94,8 +94,9 @@
 }
 
 TEST(LoadRun, Run_UpstreamCrashesOnRequest_IsReportedBroken) {
-  // One kind of request kills the process that runs it. Its caller sees the
-  // connection close without an answer, and then nobody to connect to.
+  // Failure: a request crashes the upstream that runs it, and the report does
+  // not show it. The first attempt ends with a closed connection, the resend
+  // with a refused one.
   this->upstream_options.behaviour.down_time = std::chrono::hours(1);
   this->Start();
   this->load.mix.front().crash = true;
@@ -110,9 +111,9 @@
   CHECK_EQUAL(1, this->upstreams->CountsOf(0).crashes);
 }
 
-TEST(LoadRun, Run_UpstreamDiesInTheMiddleOfAnAnswer_IsReportedBroken) {
-  // A clerk downloads a long export. The upstream dies while it sends; the
-  // answer must not look whole.
+TEST(LoadRun, Run_UpstreamDiesDuringResponse_IsReportedBroken) {
+  // Failure: an upstream dies while it sends a long response, and the truncated
+  // response counts as complete.
   this->upstream_options.behaviour.cut_after = 500000;
   this->Start();
   this->load.mix.front().path = "/bytes/1000000";
@@ -122,7 +123,7 @@
   CHECK_FALSE(IsGood(report, {.refusals = true}));
 }
 
-TEST(LoadRun, Run_LongAnswers_AreWholeAndRight) {
+TEST(LoadRun, Run_LongResponses_AreCompleteAndRight) {
   this->Start();
   this->load.mix.front().path = "/bytes/1000003";
   this->load.requests = 5;
@@ -131,7 +132,7 @@
   CHECK_EQUAL(5 * 1000003, report.sides[0].bytes);
 }
 
-TEST(LoadRun, Run_UpstreamComesBackAfterCrash_ServesOnItsPort) {
+TEST(LoadRun, Run_UpstreamRestartsAfterCrash_ServesOnSamePort) {
   this->upstream_options.behaviour.down_time = milliseconds(1);
   this->Start();
   this->upstreams->Crash(0);
@@ -154,7 +155,7 @@
   CHECK(IsGood(report, {.refusals = true}));
 }
 
-TEST(LoadRun, Run_CallerGivesUp_CancelsTheWork) {
+TEST(LoadRun, Run_CallerTimesOut_CancelsWork) {
   this->upstream_options.behaviour.service_mean = std::chrono::hours(1);
   this->upstream_options.behaviour.slots = 1;
   this->Start();
@@ -169,9 +170,10 @@
   CHECK_EQUAL(0, this->upstreams->CountsOf(0).running);
 }
 
-TEST(LoadRun, Run_RequestsWaitForAConnection_TheWaitIsLatency) {
-  // A slow upstream holds up the callers behind it. A generator that counts
-  // from the moment it could send at last would show ten short latencies.
+TEST(LoadRun, Run_RequestsWaitForConnection_WaitCountsAsLatency) {
+  // Failure: latency counts from the actual send, so that requests that wait
+  // for a connection behind a slow upstream report ten short latencies
+  // (coordinated omission).
   this->upstream_options.behaviour.service_mean = milliseconds(10);
   this->Start();
   this->load.requests = 10;
@@ -182,7 +184,7 @@
   CHECK(report.sides[0].Total().right.max() >= milliseconds(90));
 }
 
-TEST(LoadRun, Run_DeadlinesShorterThanTheQueue_AreSentAndHonoured) {
+TEST(LoadRun, Run_DeadlinesShorterThanQueue_AreSentAndHonoured) {
   this->upstream_options.behaviour.service_mean = milliseconds(20);
   this->upstream_options.behaviour.slots = 1;
   this->Start();
@@ -190,12 +192,13 @@
   this->load.connections = 5;
   this->load.deadline = milliseconds(30);
   const LoadReport report = this->Run();
-  // The third starts after 40 ms at the earliest.
+  // One slot at 20 ms per request: the third request starts after 40 ms at the
+  // earliest, past its deadline of 30 ms.
   CHECK(this->upstreams->CountsOf(0).expired >= 3);
   CHECK(this->Finals(report, LoadVerdict::kRefused) >= 3);
 }
 
-TEST(LoadRun, Run_UploadsAndKeys_ArriveWholeAndRunOnce) {
+TEST(LoadRun, Run_UploadsWithKeys_ArriveCompleteAndRunOnce) {
   this->Start();
   auto& kind = this->load.mix.front();
   kind.method = "POST";
@@ -217,7 +220,7 @@
   CHECK_EQUAL(200, this->Finals(this->Run(), LoadVerdict::kRight));
 }
 
-TEST(LoadRun, Run_IdleConnections_AreHeldAndLossIsCounted) {
+TEST(LoadRun, Run_IdleConnections_AreHeldAndLossCounted) {
   this->Start();
   this->load.rate = 0;
   this->load.idle_connections = 50;
@@ -230,7 +233,7 @@
   CHECK_FALSE(IsGood(report, {}));
 }
 
-TEST(LoadRun, Run_AddressNotLoopback_IsRefused) {
+TEST(LoadRun, Run_AddressNotLoopback_IsRejected) {
   this->load.targets = {{"192.0.2.1", 80}};
   const auto report = RunLoad(this->load);
   CHECK(report.has_error());
