--- a/packages/ctl/test/fake_node.cc
+++ b/packages/ctl/test/fake_node.cc
@@ -32,7 +32,7 @@
   this->thread.join();
 }
 
-void FakeNode::LoseNextAnswer(std::optional<ServerReply> replacement) {
+void FakeNode::DropNextResponse(std::optional<ServerReply> replacement) {
   const std::lock_guard lock(this->mutex);
   this->drop_next_response = true;
   this->replacement_response = std::move(replacement);
--- a/packages/ctl/test/fake_node.h
+++ b/packages/ctl/test/fake_node.h
@@ -29,7 +29,7 @@
   /// The next PUT or DELETE takes effect, but its response is lost.
   /// @param replacement Response that is sent instead; std::nullopt closes the
   /// connection without a response.
-  void LoseNextAnswer(std::optional<ServerReply> replacement);
+  void DropNextResponse(std::optional<ServerReply> replacement);
 
   /// Answers all requests with `reply`; a reply with status 200 ends this.
   void RefuseAll(ServerReply reply);
--- a/packages/ctl/test/resource_commands_test.cc
+++ b/packages/ctl/test/resource_commands_test.cc
@@ -141,7 +141,7 @@
 // answer, so that the operator does not learn the outcome. The command must
 // retry with the same change id and report the outcome.
 TEST(ResourceCommands, Apply_AnswerLost_SameChangeRetried) {
-  node.LoseNextAnswer(std::nullopt);
+  node.DropNextResponse(std::nullopt);
   CHECK(Apply(kTeam) == ExitStatus::kOk);
   CHECK(OutputContains("created teams/payments version 17"));
   CHECK_EQUAL(3U, node.Calls().size());
@@ -152,7 +152,7 @@
 // must retry the same change.
 TEST(ResourceCommands, Delete_UnresolvedAnswer_SameChangeRetried) {
   Apply(kTeam);
-  node.LoseNextAnswer(kUnresolvedReply);
+  node.DropNextResponse(kUnresolvedReply);
   CHECK(Run(RunDelete, {"team", "payments"}) == ExitStatus::kOk);
 }
 
