--- a/packages/ctl/include/basilsill/ctl/load.h
+++ b/packages/ctl/include/basilsill/ctl/load.h
@@ -23,7 +23,7 @@
 /// Result of one attempt, or of a request after all its attempts.
 enum class LoadVerdict : uint8_t {
   kRight,    ///< The complete response to this request.
-  kRefused,  ///< An error response with a reason and a promise.
+  kRefused,  ///< A refusal with a reason and a promise, or by the upstream.
   // No complete response; the caller can see this.
   kConnectFailed,
   kClosed,     ///< Connection closed before any byte of a response.
--- a/packages/ctl/src/http_server.cc
+++ b/packages/ctl/src/http_server.cc
@@ -146,15 +146,15 @@
   auto state = std::make_shared<State>(io, std::move(handler));
   beast::error_code error;
   const auto address = asio::ip::make_address(endpoint.address, error);
-  const tcp::endpoint local(address, endpoint.port);
+  const tcp::endpoint listen_endpoint(address, endpoint.port);
   if (!error) {
-    state->acceptor.open(local.protocol(), error);
+    state->acceptor.open(listen_endpoint.protocol(), error);
   }
   if (!error) {
     state->acceptor.set_option(tcp::acceptor::reuse_address(true), error);
   }
   if (!error) {
-    state->acceptor.bind(local, error);
+    state->acceptor.bind(listen_endpoint, error);
   }
   if (!error) {
     state->acceptor.listen(asio::socket_base::max_listen_connections, error);
--- a/packages/ctl/src/load_run.cc
+++ b/packages/ctl/src/load_run.cc
@@ -29,7 +29,7 @@
 constexpr size_t kMaxThreads = 64;
 constexpr size_t kMaxUploadBytes = size_t{64} * 1024 * 1024;
 constexpr milliseconds kSampleInterval = milliseconds(100);
-/// How long callers wait for a response after the deadline.
+/// Callers wait for a response at least this long after the deadline.
 constexpr milliseconds kLateGrace = seconds(1);
 
 Failure OutOfRange(std::string path, std::string detail) {
