--- a/cmake/Package.cmake
+++ b/cmake/Package.cmake
@@ -1,8 +1,8 @@
-# Functions that every package of the workspace uses to declare its targets.
+# Functions with which the packages of the workspace declare their targets.
 
 add_library(basilsill_options INTERFACE)
-# gcc 12 takes the paired operators of an inlined asio::awaitable frame for a
-# mismatch of new and delete.
+# gcc 12 reports a false mismatch of operator new and delete for an inlined
+# asio::awaitable frame.
 target_compile_options(basilsill_options INTERFACE
   -Wall -Wextra -Werror -Wno-mismatched-new-delete
   $<$<CONFIG:RelWithDebInfo>:-O2 -g1 -UNDEBUG>
@@ -10,8 +10,8 @@
 target_compile_definitions(basilsill_options INTERFACE
   BOOST_ASIO_NO_DEPRECATED BOOST_ASIO_DISABLE_BOOST_COROUTINE)
 if(BASILSILL_SANITIZE)
-  # Instrumented code makes gcc 12 take an empty boost::optional for one that
-  # is read uninitialized. The release preset keeps the warning.
+  # In instrumented code, gcc 12 falsely reports an empty boost::optional as read
+  # uninitialized. The release preset keeps the warning.
   target_compile_options(basilsill_options INTERFACE
     -fsanitize=${BASILSILL_SANITIZE} -fno-sanitize-recover=all
     -fno-omit-frame-pointer -Wno-error=tsan -Wno-tsan
@@ -21,8 +21,8 @@
 endif()
 
 # basilsill_package(NAME DEPS ...)
-# A static library `basilsill_NAME` with its face in include/ and its
-# internals flat in src/: every .cc there but main.cc.
+# Declares a static library `basilsill_NAME` with its public headers in include/
+# and its sources and private headers in src/: every .cc there except main.cc.
 function(basilsill_package NAME)
   cmake_parse_arguments(ARG "" "" "DEPS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS src/*.cc)
@@ -37,7 +37,7 @@
 endfunction()
 
 # basilsill_test(NAME SOURCES ... DEPS ...)
-# A CppUTest program, run as one ctest test named NAME.
+# Declares a CppUTest program that runs as one ctest test named NAME.
 function(basilsill_test NAME)
   cmake_parse_arguments(ARG "" "" "SOURCES;DEPS" ${ARGN})
   add_executable(${NAME} ${ARG_SOURCES}
--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -21,16 +21,16 @@
 using adapter::test::FakeCaller;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kConnectLimit{1000};
-constexpr milliseconds kPauseBetween{120};
+constexpr milliseconds kConnectTimeout{1000};
+constexpr milliseconds kMeanPause{120};
 constexpr milliseconds kPauseAfterFailure{100};
-constexpr size_t kSeveral = 3;
+constexpr size_t kPipelinedRequests = 3;
 
-constexpr double kSeveralShare = 0.1;
-constexpr double kLeaveShare = 0.05;
+constexpr double kPipelinedShare = 0.1;
+constexpr double kDisconnectShare = 0.05;
 constexpr double kNewConnectionShare = 0.1;
-// Some callers do not wait as they are told.
-constexpr double kAtOnceShare = 0.3;
+// Share of responses with Retry-After that callers ignore and retry at once.
+constexpr double kIgnoreRetryAfterShare = 0.3;
 
 struct RouteKind {
   std::string_view route;
@@ -38,7 +38,7 @@
   size_t service;
   unsigned weight;
 };
-// The last is added and dropped by the operator.
+// The operator adds and removes the last route during the soak.
 constexpr std::array<RouteKind, 4> kRoutes = {{
     {"levels", RequestKind::kSafe, 0, 6},
     {"pickups", RequestKind::kUnsafe, 1, 6},
@@ -59,7 +59,7 @@
                                                     weights.end())(random)];
 }
 
-bool Draw(pcg32& random, double share) {
+bool DrawBool(pcg32& random, double share) {
   return std::bernoulli_distribution(share)(random);
 }
 
@@ -68,8 +68,8 @@
       std::uniform_int_distribution<int64_t>(0, 2 * mean.count())(random));
 }
 
-// One caller in four is of the team that goes beyond its quota, and one of the
-// team whose key comes and goes.
+// One caller in four belongs to the team that exceeds its quota, and one in
+// four to the team whose key is revoked and restored.
 SoakTeam TeamOf(size_t caller) {
   constexpr size_t turn = 4;
   switch (caller % turn) {
@@ -91,34 +91,34 @@
 Callers::Callers(asio::io_context& io,
                  const Fleet& fleet,
                  const CallersOptions& options,
-                 Observations& seen)
-    : io(io), fleet(fleet), options(options), seen(seen) {}
+                 Observations& observations)
+    : io(io), fleet(fleet), options(options), observations(observations) {}
 
 void Callers::Start() {
   for (size_t i = 0; i < this->options.callers; ++i) {
     Caller caller;
     caller.random = pcg32(this->options.seed, i);
     caller.number = i;
-    asio::co_spawn(this->io, this->Live(caller), asio::detached);
+    asio::co_spawn(this->io, this->RunCaller(caller), asio::detached);
   }
 }
 
-asio::awaitable<void> Callers::Live(Caller caller) {
+asio::awaitable<void> Callers::RunCaller(Caller caller) {
   while (!this->stopped) {
-    const std::vector<size_t> nodes = this->fleet.InRotation();
+    const std::vector<size_t> nodes = this->fleet.NodesInRotation();
     const size_t node = nodes[caller.random() % nodes.size()];
     FakeCaller connection(this->io.get_executor());
     const bool open =
-        co_await connection.Open(this->fleet.callers(node), kConnectLimit);
-    bool goes_on = open;
-    while (goes_on && !this->stopped) {
-      co_await Sleep(DrawPause(caller.random, kPauseBetween));
-      if (Draw(caller.random, kSeveralShare)) {
-        goes_on = co_await this->AskSeveral(caller, connection, node);
+        co_await connection.Open(this->fleet.callers(node), kConnectTimeout);
+    bool is_usable = open;
+    while (is_usable && !this->stopped) {
+      co_await Sleep(DrawPause(caller.random, kMeanPause));
+      if (DrawBool(caller.random, kPipelinedShare)) {
+        is_usable = co_await this->SendPipelined(caller, connection, node);
       } else {
-        goes_on = co_await this->AskOnce(caller, connection, node);
+        is_usable = co_await this->SendOne(caller, connection, node);
       }
-      goes_on = goes_on && !Draw(caller.random, kNewConnectionShare);
+      is_usable = is_usable && !DrawBool(caller.random, kNewConnectionShare);
     }
     if (!open) {
       co_await Sleep(kPauseAfterFailure);
@@ -126,9 +126,7 @@
   }
 }
 
-Callers::Sent Callers::MakeRequest(Caller& caller,
-                                   size_t node,
-                                   bool only_safe) {
+Callers::Sent Callers::AddRequest(Caller& caller, size_t node, bool only_safe) {
   const RouteKind& route = DrawRoute(caller.random, only_safe);
   Sent sent;
   sent.request.id =
@@ -136,7 +134,7 @@
   const SoakTeam team = TeamOf(caller.number);
   sent.request.key = KeyOf(team);
   sent.request.path = "/" + std::string(route.route) + "/x";
-  sent.request.deadline = this->options.patience;
+  sent.request.deadline = this->options.deadline;
   if (route.kind == RequestKind::kUnsafe) {
     sent.request.method = "POST";
     sent.request.body = "body of " + sent.request.id;
@@ -149,86 +147,87 @@
   row.team = static_cast<size_t>(team);
   row.node = node;
   row.sent = MonotonicClock::now();
-  sent.row = this->seen.requests.size();
-  this->seen.requests.push_back(std::move(row));
+  sent.row = this->observations.requests.size();
+  this->observations.requests.push_back(std::move(row));
   return sent;
 }
 
-void Callers::Finish(size_t row, Ending ending) {
-  this->seen.requests[row].ending = ending;
-  this->seen.requests[row].ended = MonotonicClock::now();
+void Callers::Finish(size_t row, RequestOutcome outcome) {
+  this->observations.requests[row].outcome = outcome;
+  this->observations.requests[row].ended = MonotonicClock::now();
 }
 
 asio::awaitable<bool> Callers::Send(FakeCaller& connection, const Sent& sent) {
-  const bool whole = co_await connection.Send(sent.request);
-  this->seen.requests[sent.row].sent = MonotonicClock::now();
-  co_return whole;
+  const bool is_sent = co_await connection.Send(sent.request);
+  this->observations.requests[sent.row].sent = MonotonicClock::now();
+  co_return is_sent;
 }
 
-asio::awaitable<bool> Callers::AskOnce(Caller& caller,
+asio::awaitable<bool> Callers::SendOne(Caller& caller,
                                        FakeCaller& connection,
                                        size_t node) {
-  const Sent sent = this->MakeRequest(caller, node, false);
-  const bool whole = co_await this->Send(connection, sent);
-  if (!whole) {
-    this->Finish(sent.row, Ending::kBroken);
+  const Sent sent = this->AddRequest(caller, node, false);
+  const bool is_sent = co_await this->Send(connection, sent);
+  if (!is_sent) {
+    this->Finish(sent.row, RequestOutcome::kBroken);
     co_return false;
   }
-  if (Draw(caller.random, kLeaveShare)) {
-    co_await this->LeaveEarly(caller, connection, sent);
+  if (DrawBool(caller.random, kDisconnectShare)) {
+    co_await this->DisconnectEarly(caller, connection, sent);
     co_return false;
   }
   co_return co_await this->Receive(caller, connection, sent);
 }
 
-asio::awaitable<bool> Callers::AskSeveral(Caller& caller,
-                                          FakeCaller& connection,
-                                          size_t node) {
+asio::awaitable<bool> Callers::SendPipelined(Caller& caller,
+                                             FakeCaller& connection,
+                                             size_t node) {
   std::vector<Sent> all;
-  bool goes_on = true;
-  for (size_t i = 0; i < kSeveral && goes_on; ++i) {
-    all.push_back(this->MakeRequest(caller, node, true));
-    this->seen.requests[all.back().row].behind_another = i > 0;
-    goes_on = co_await this->Send(connection, all.back());
+  bool is_usable = true;
+  for (size_t i = 0; i < kPipelinedRequests && is_usable; ++i) {
+    all.push_back(this->AddRequest(caller, node, true));
+    this->observations.requests[all.back().row].is_pipelined = i > 0;
+    is_usable = co_await this->Send(connection, all.back());
   }
-  goes_on = true;
+  is_usable = true;
   for (const Sent& sent : all) {
-    if (goes_on) {
-      goes_on = co_await this->Receive(caller, connection, sent);
+    if (is_usable) {
+      is_usable = co_await this->Receive(caller, connection, sent);
     } else {
-      this->Finish(sent.row, Ending::kBroken);
+      this->Finish(sent.row, RequestOutcome::kBroken);
     }
   }
-  co_return goes_on;
+  co_return is_usable;
 }
 
 asio::awaitable<bool> Callers::Receive(Caller& caller,
                                        FakeCaller& connection,
                                        const Sent& sent) {
   const CallerAnswer answer =
-      co_await connection.Receive(sent.request, this->options.patience);
+      co_await connection.Receive(sent.request, this->options.deadline);
   if (!answer.is_whole) {
-    this->Finish(sent.row,
-                 answer.timed_out ? Ending::kTimeout : Ending::kBroken);
+    this->Finish(sent.row, answer.timed_out ? RequestOutcome::kTimeout
+                                            : RequestOutcome::kBroken);
     co_return false;
   }
-  this->Finish(sent.row, Ending::kAnswer);
-  RequestRow& row = this->seen.requests[sent.row];
+  this->Finish(sent.row, RequestOutcome::kAnswer);
+  RequestRow& row = this->observations.requests[sent.row];
   row.status = answer.status;
   row.is_own = answer.is_own;
-  if (answer.retry_after > 0 && !Draw(caller.random, kAtOnceShare)) {
+  if (answer.retry_after > 0 &&
+      !DrawBool(caller.random, kIgnoreRetryAfterShare)) {
     co_await Sleep(
         milliseconds(static_cast<int64_t>(answer.retry_after * 1000)));
   }
   co_return !answer.closes;
 }
 
-asio::awaitable<void> Callers::LeaveEarly(Caller& caller,
-                                          FakeCaller& connection,
-                                          const Sent& sent) {
+asio::awaitable<void> Callers::DisconnectEarly(Caller& caller,
+                                               FakeCaller& connection,
+                                               const Sent& sent) {
   co_await Sleep(DrawPause(caller.random, kPauseAfterFailure));
   connection.Close();
-  this->Finish(sent.row, Ending::kCaller);
+  this->Finish(sent.row, RequestOutcome::kCaller);
 }
 
 }  // namespace basilsill::soak
--- a/soak/fleet.cc
+++ b/soak/fleet.cc
@@ -20,22 +20,22 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-// As the platform's balancer does it.
-constexpr milliseconds kAskInterval{1000};
-constexpr milliseconds kAskLimit{500};
-constexpr size_t kMissesOut = 2;
+// Readiness polling of the platform's balancer.
+constexpr milliseconds kPollInterval{1000};
+constexpr milliseconds kPollTimeout{500};
+constexpr size_t kFailedPollsUntilUnready = 2;
 
 constexpr milliseconds kRestartPause{300};
-constexpr milliseconds kWatchInterval{20};
-constexpr milliseconds kEveryoneBack{1000};
-// A connection that is not taken for so long is taken for lost.
-constexpr milliseconds kTakenLimit{3000};
-// More than a node may have.
-constexpr size_t kFlood = 400;
+constexpr milliseconds kExitCheckInterval{20};
+constexpr milliseconds kAllRestartedPause{1000};
+// A probe connection without a response for this long counts as not accepted.
+constexpr milliseconds kProbeTimeout{3000};
+// More connections than a node has file descriptors for.
+constexpr size_t kFloodConnections = 400;
 constexpr char kNoRoute[] = "/no-such-route";
 
-// 127.A.B.N, of which A and B come from the id of this process, so that soaks
-// beside each other do not meet.
+// 127.A.B.N, with A and B derived from the id of this process, so that
+// concurrent soaks on one machine do not share addresses.
 std::string AddressOf(size_t node) {
   const auto id = static_cast<unsigned>(::getpid());
   constexpr unsigned octet = 200;
@@ -47,12 +47,12 @@
 
 Fleet::Fleet(asio::io_context& io,
              const FleetOptions& options,
-             Observations& seen)
-    : io(io), grace(options.bounds.grace), seen(seen) {
+             Observations& observations)
+    : io(io), grace(options.bounds.grace), observations(observations) {
   for (size_t i = 0; i < options.nodes; ++i) {
     auto member = std::make_unique<Member>();
     member->number = i;
-    member->misses = kMissesOut;
+    member->failed_polls = kFailedPollsUntilUnready;
     member->store_link = std::make_unique<Proxy>(io, options.store);
     NodeOptions node;
     node.program = options.program;
@@ -60,7 +60,7 @@
     node.address = AddressOf(i);
     node.directory = options.directory;
     node.store = member->store_link->endpoint();
-    node.has_few_descriptors = i % 2 == 1;
+    node.has_low_descriptor_limit = i % 2 == 1;
     node.repeat_slack = options.bounds.repeat_slack;
     node.drain = options.bounds.drain;
     node.apply = options.bounds.apply;
@@ -73,8 +73,8 @@
 void Fleet::Start() {
   for (const auto& member : this->members) {
     member->process->Start();
-    asio::co_spawn(this->io, this->Ask(*member), asio::detached);
-    asio::co_spawn(this->io, this->Watch(*member), asio::detached);
+    asio::co_spawn(this->io, this->PollReadiness(*member), asio::detached);
+    asio::co_spawn(this->io, this->RestartOnExit(*member), asio::detached);
   }
 }
 
@@ -85,40 +85,42 @@
   }
 }
 
-asio::awaitable<void> Fleet::Ask(Member& member) {
+asio::awaitable<void> Fleet::PollReadiness(Member& member) {
   while (!this->stopped) {
     const bool ready = co_await adapter::test::IsReady(
-        this->io.get_executor(), member.process->readiness(), kAskLimit);
-    member.misses = ready ? 0 : member.misses + 1;
+        this->io.get_executor(), member.process->readiness(), kPollTimeout);
+    member.failed_polls = ready ? 0 : member.failed_polls + 1;
     if (ready) {
-      asio::co_spawn(this->io, this->TryConnection(member), asio::detached);
+      asio::co_spawn(this->io, this->ProbeConnection(member), asio::detached);
     }
-    // One that is not taken yet is asked more often, to begin soon.
-    co_await Sleep(this->IsAnyReady() ? kAskInterval : kRestartPause);
+    // Nodes are polled more often while none is ready, so that traffic starts
+    // early.
+    co_await Sleep(this->IsAnyReady() ? kPollInterval : kRestartPause);
   }
 }
 
-asio::awaitable<void> Fleet::TryConnection(const Member& member) {
-  const size_t row = this->seen.connections.size();
+asio::awaitable<void> Fleet::ProbeConnection(const Member& member) {
+  const size_t row = this->observations.connections.size();
   const TimePoint began = MonotonicClock::now();
-  this->seen.connections.push_back({member.number, began});
+  this->observations.connections.push_back({member.number, began});
   adapter::test::FakeCaller caller(this->io.get_executor());
   const bool open =
-      co_await caller.Open(member.process->callers(), kTakenLimit);
+      co_await caller.Open(member.process->callers(), kProbeTimeout);
   if (!open) {
     co_return;
   }
   adapter::test::CallerRequest request;
   request.path = kNoRoute;
-  request.deadline = kTakenLimit;
+  request.deadline = kProbeTimeout;
   const bool sent = co_await caller.Send(request);
   if (!sent) {
     co_return;
   }
   const adapter::test::CallerAnswer answer =
-      co_await caller.Receive(request, kTakenLimit);
+      co_await caller.Receive(request, kProbeTimeout);
   if (answer.is_whole) {
-    this->seen.connections[row].taken_after = MonotonicClock::now() - began;
+    this->observations.connections[row].answered_after =
+        MonotonicClock::now() - began;
   }
 }
 
@@ -126,35 +128,39 @@
   const Member& member = *this->members[node % this->members.size()];
   std::vector<std::unique_ptr<adapter::test::FakeCaller>> idle;
   const TimePoint until = MonotonicClock::now() + time;
-  for (size_t i = 0; i < kFlood && MonotonicClock::now() < until; ++i) {
+  for (size_t i = 0; i < kFloodConnections && MonotonicClock::now() < until;
+       ++i) {
     idle.push_back(
         std::make_unique<adapter::test::FakeCaller>(this->io.get_executor()));
-    co_await idle.back()->Open(member.process->callers(), kAskLimit);
+    co_await idle.back()->Open(member.process->callers(), kPollTimeout);
   }
   co_await Sleep(until - MonotonicClock::now());
 }
 
-// A node that ends though nobody told it to has crashed.
-asio::awaitable<void> Fleet::Watch(Member& member) {
+// A node that exits without having been signalled has crashed.
+asio::awaitable<void> Fleet::RestartOnExit(Member& member) {
   while (!this->stopped) {
-    co_await Sleep(kWatchInterval);
-    if (!this->stopped && !member.is_busy && !member.process->IsRunning()) {
-      this->seen.unasked_ends.push_back({member.number, MonotonicClock::now()});
+    co_await Sleep(kExitCheckInterval);
+    if (!this->stopped && !member.has_fault && !member.process->IsRunning()) {
+      this->observations.unexpected_exits.push_back(
+          {member.number, MonotonicClock::now()});
       member.process->Start();
     }
   }
 }
 
 bool Fleet::IsAnyReady() const {
-  return std::any_of(
-      this->members.begin(), this->members.end(),
-      [](const auto& member) { return member->misses < kMissesOut; });
+  return std::any_of(this->members.begin(), this->members.end(),
+                     [](const auto& member) {
+                       return member->failed_polls < kFailedPollsUntilUnready;
+                     });
 }
 
-std::vector<size_t> Fleet::InRotation() const {
+std::vector<size_t> Fleet::NodesInRotation() const {
   std::vector<size_t> nodes;
   for (const auto& member : this->members) {
-    if (member->misses < kMissesOut || !this->IsAnyReady()) {
+    if (member->failed_polls < kFailedPollsUntilUnready ||
+        !this->IsAnyReady()) {
       nodes.push_back(member->number);
     }
   }
@@ -167,27 +173,27 @@
   }
 }
 
-asio::awaitable<void> Fleet::Harm(const Step& step) {
+asio::awaitable<void> Fleet::InjectFault(const Step& step) {
   if (step.fault == Fault::kAllKill) {
     co_await this->KillAll();
     co_return;
   }
   Member& member = *this->members[step.target % this->members.size()];
-  if (member.is_busy) {
+  if (member.has_fault) {
     co_return;
   }
-  member.is_busy = true;
-  co_await this->HarmOne(member, step);
-  member.is_busy = false;
+  member.has_fault = true;
+  co_await this->InjectNodeFault(member, step);
+  member.has_fault = false;
 }
 
-asio::awaitable<void> Fleet::HarmOne(Member& member, const Step& step) {
+asio::awaitable<void> Fleet::InjectNodeFault(Member& member, const Step& step) {
   switch (step.fault) {
     case Fault::kNodeKill:
       co_await this->Kill(member);
       break;
     case Fault::kNodeEnd:
-      co_await this->End(member);
+      co_await this->Shutdown(member);
       break;
     case Fault::kNodePause:
       co_await this->Pause(member, step);
@@ -202,80 +208,80 @@
 }
 
 asio::awaitable<void> Fleet::Kill(Member& member) {
-  const size_t row =
-      this->seen.BeginDisturbance(DisturbanceKind::kNode, member.number);
+  const size_t row = this->observations.BeginDisturbance(DisturbanceKind::kNode,
+                                                         member.number);
   member.process->Signal(SIGKILL);
   co_await Sleep(kRestartPause);
-  co_await this->StartAgain(member);
-  this->seen.EndDisturbance(row);
+  co_await this->Restart(member);
+  this->observations.EndDisturbance(row);
 }
 
-// On a busy machine a killed process keeps its ports a little longer than the
-// pause, and the next one would end for want of them.
-asio::awaitable<void> Fleet::StartAgain(Member& member) {
+// On a busy machine a killed process can hold its ports for longer than the
+// restart pause. The next process would then fail to bind them and exit.
+asio::awaitable<void> Fleet::Restart(Member& member) {
   while (!this->stopped && member.process->IsRunning()) {
-    co_await Sleep(kWatchInterval);
+    co_await Sleep(kExitCheckInterval);
   }
   if (!this->stopped) {
     member.process->Start();
   }
 }
 
-asio::awaitable<void> Fleet::End(Member& member) {
-  const size_t row =
-      this->seen.BeginDisturbance(DisturbanceKind::kShutdown, member.number);
+asio::awaitable<void> Fleet::Shutdown(Member& member) {
+  const size_t row = this->observations.BeginDisturbance(
+      DisturbanceKind::kShutdown, member.number);
   const TimePoint until = MonotonicClock::now() + this->grace;
   member.process->Signal(SIGTERM);
   while (member.process->IsRunning() && MonotonicClock::now() < until) {
-    co_await Sleep(kWatchInterval);
+    co_await Sleep(kExitCheckInterval);
   }
   member.process->Signal(SIGKILL);
-  this->seen.EndDisturbance(row);
-  const size_t start =
-      this->seen.BeginDisturbance(DisturbanceKind::kNode, member.number);
+  this->observations.EndDisturbance(row);
+  const size_t start = this->observations.BeginDisturbance(
+      DisturbanceKind::kNode, member.number);
   co_await Sleep(kRestartPause);
-  co_await this->StartAgain(member);
-  this->seen.EndDisturbance(start);
+  co_await this->Restart(member);
+  this->observations.EndDisturbance(start);
 }
 
 asio::awaitable<void> Fleet::Pause(Member& member, const Step& step) {
-  const size_t row =
-      this->seen.BeginDisturbance(DisturbanceKind::kNode, member.number);
+  const size_t row = this->observations.BeginDisturbance(DisturbanceKind::kNode,
+                                                         member.number);
   member.process->Signal(SIGSTOP);
-  co_await Sleep(step.lasts);
+  co_await Sleep(step.duration);
   member.process->Signal(SIGCONT);
-  this->seen.EndDisturbance(row);
+  this->observations.EndDisturbance(row);
 }
 
 asio::awaitable<void> Fleet::CutFromStore(Member& member, const Step& step) {
-  const size_t row =
-      this->seen.BeginDisturbance(DisturbanceKind::kStore, std::nullopt);
+  const size_t row = this->observations.BeginDisturbance(
+      DisturbanceKind::kStore, std::nullopt);
   member.store_link->SetState(LinkState::kRefusing);
   member.store_link->Reset();
-  co_await Sleep(step.lasts);
-  member.store_link->SetState(LinkState::kWell);
-  this->seen.EndDisturbance(row);
+  co_await Sleep(step.duration);
+  member.store_link->SetState(LinkState::kNormal);
+  this->observations.EndDisturbance(row);
 }
 
 asio::awaitable<void> Fleet::KillAll() {
   std::vector<Member*> killed;
   for (const auto& member : this->members) {
-    if (!member->is_busy) {
-      member->is_busy = true;
+    if (!member->has_fault) {
+      member->has_fault = true;
       member->process->Signal(SIGKILL);
       killed.push_back(member.get());
     }
   }
   const size_t row =
-      this->seen.BeginDisturbance(DisturbanceKind::kNode, std::nullopt);
+      this->observations.BeginDisturbance(DisturbanceKind::kNode, std::nullopt);
   co_await Sleep(kRestartPause);
   for (Member* member : killed) {
-    co_await this->StartAgain(*member);
-    member->is_busy = false;
+    co_await this->Restart(*member);
+    member->has_fault = false;
   }
-  co_await Sleep(kEveryoneBack);
-  this->seen.EndDisturbance(row);
-  this->seen.all_back = MonotonicClock::now();
+  co_await Sleep(kAllRestartedPause);
+  this->observations.EndDisturbance(row);
+  this->observations.all_restarted = MonotonicClock::now();
 }
 
 }  // namespace basilsill::soak
--- a/soak/fleet.h
+++ b/soak/fleet.h
@@ -15,8 +15,8 @@
 #include "promises.h"
 #include "proxy.h"
 
-/// The nodes of a soak, each with its own way to the store, and the balancer
-/// before them: callers are sent to nodes that say they are ready.
+/// The nodes of a soak, each connected to the store through its own proxy, and
+/// an emulation of the platform's balancer, which sends callers to ready nodes.
 
 namespace basilsill::soak {
 
@@ -25,27 +25,30 @@
   std::string directory;
   size_t nodes = 0;
   Endpoint store;
-  Bounds bounds;  ///< That the nodes are told.
+  Bounds bounds;  ///< Written to the settings of the nodes.
 };
 
 class Fleet {
  public:
   Fleet(boost::asio::io_context& io,
         const FleetOptions& options,
-        Observations& seen);
+        Observations& observations);
 
-  /// Starts all nodes, and asks them once a second whether they are ready.
+  /// Starts all nodes and polls their readiness once a second.
   void Start();
 
-  /// Opens many connections to a node and leaves them idle for `time`.
+  /// Opens more connections to a node than it can accept and keeps them idle
+  /// for `time`.
   boost::asio::awaitable<void> Flood(size_t node,
                                      std::chrono::milliseconds time);
 
-  /// Carries out a fault of one node, or of all, or of the way to the store.
-  boost::asio::awaitable<void> Harm(const Step& step);
+  /// Injects a fault into one node, all nodes or a node's connection to the
+  /// store. Does nothing if the node already has a fault.
+  boost::asio::awaitable<void> InjectFault(const Step& step);
 
-  /// @returns the nodes that get new connections.
-  std::vector<size_t> InRotation() const;
+  /// @returns the nodes that get new connections: those that are ready, or all
+  /// nodes if none is ready.
+  std::vector<size_t> NodesInRotation() const;
 
   bool IsAnyReady() const;
 
@@ -53,10 +56,10 @@
     return this->members[node]->process->callers();
   }
 
-  /// Sets the way of all nodes to the store.
+  /// Sets the state of the connections between all nodes and the store.
   void SetStoreLinks(LinkState state);
 
-  /// Ends all processes.
+  /// Kills all node processes.
   void Stop();
 
  private:
@@ -64,24 +67,25 @@
     size_t number = 0;
     std::unique_ptr<Proxy> store_link;
     std::unique_ptr<NodeProcess> process;
-    size_t misses = 0;     ///< Questions in a row without a yes.
-    bool is_busy = false;  ///< A fault is being carried out on it.
+    size_t failed_polls = 0;  ///< Consecutive readiness polls that failed.
+    bool has_fault = false;   ///< A fault is in progress on this node.
   };
 
-  boost::asio::awaitable<void> Ask(Member& member);
-  boost::asio::awaitable<void> Watch(Member& member);
-  boost::asio::awaitable<void> TryConnection(const Member& member);
+  boost::asio::awaitable<void> PollReadiness(Member& member);
+  boost::asio::awaitable<void> RestartOnExit(Member& member);
+  boost::asio::awaitable<void> ProbeConnection(const Member& member);
   boost::asio::awaitable<void> Kill(Member& member);
-  boost::asio::awaitable<void> End(Member& member);
+  boost::asio::awaitable<void> Shutdown(Member& member);
   boost::asio::awaitable<void> Pause(Member& member, const Step& step);
   boost::asio::awaitable<void> CutFromStore(Member& member, const Step& step);
-  boost::asio::awaitable<void> HarmOne(Member& member, const Step& step);
+  boost::asio::awaitable<void> InjectNodeFault(Member& member,
+                                               const Step& step);
   boost::asio::awaitable<void> KillAll();
-  boost::asio::awaitable<void> StartAgain(Member& member);
+  boost::asio::awaitable<void> Restart(Member& member);
 
   boost::asio::io_context& io;
   std::chrono::milliseconds grace;
-  Observations& seen;
+  Observations& observations;
   std::vector<std::unique_ptr<Member>> members;
   bool stopped = false;
 };
--- a/soak/main.cc
+++ b/soak/main.cc
@@ -1,4 +1,4 @@
-// basilsill_soak: runs seeds of the fault soak and reports what was broken.
+// basilsill_soak: runs seeds of the fault soak and reports broken promises.
 
 #include <unistd.h>
 
@@ -17,15 +17,15 @@
 
 namespace {
 
-using basilsill::soak::Ending;
 using basilsill::soak::Observations;
 using basilsill::soak::Plan;
+using basilsill::soak::RequestOutcome;
 using basilsill::soak::SoakTeam;
 using basilsill::soak::Violation;
 using std::chrono::milliseconds;
 
-constexpr int kBroken = 1;
-constexpr int kUsage = 2;
+constexpr int kExitBroken = 1;
+constexpr int kExitUsage = 2;
 constexpr size_t kShownIds = 8;
 
 struct Arguments {
@@ -35,8 +35,8 @@
   uint64_t seeds = 1;
   size_t nodes = 4;
   size_t callers = 16;
-  milliseconds lasts{12000};
-  milliseconds gap = basilsill::soak::kUsualGap;
+  milliseconds duration{12000};
+  milliseconds gap = basilsill::soak::kDefaultGap;
   bool keep_logs = false;
   bool loose = false;
 };
@@ -58,8 +58,8 @@
   TCLAP::ValueArg<int64_t> seconds("t", "seconds", "Traffic of a seed", false,
                                    12, "S", line);
   TCLAP::ValueArg<int64_t> gap("g", "gap", "Between two faults, on average",
-                               false, basilsill::soak::kUsualGap.count(), "MS",
-                               line);
+                               false, basilsill::soak::kDefaultGap.count(),
+                               "MS", line);
   TCLAP::SwitchArg keep("k", "keep-logs", "Also those of good seeds", line);
   TCLAP::SwitchArg loose(
       "l", "loose",
@@ -82,8 +82,9 @@
   return std::chrono::duration<double>(at - start).count();
 }
 
-basilsill::TimePoint StartOf(const Observations& seen) {
-  return seen.requests.empty() ? seen.ended : seen.requests.front().sent;
+basilsill::TimePoint StartOf(const Observations& observations) {
+  return observations.requests.empty() ? observations.ended
+                                       : observations.requests.front().sent;
 }
 
 void PrintPlan(const Plan& plan) {
@@ -91,41 +92,47 @@
     std::printf("  %6.2f s %s for %.2f s, target %u\n",
                 std::chrono::duration<double>(step.at).count(),
                 std::string(NameOf(step.fault)).c_str(),
-                std::chrono::duration<double>(step.lasts).count(),
+                std::chrono::duration<double>(step.duration).count(),
                 step.target % 1000);
   }
 }
 
-void PrintCounts(const Plan& plan, const Observations& seen, size_t broken) {
+void PrintCounts(const Plan& plan,
+                 const Observations& observations,
+                 size_t broken) {
   std::map<unsigned, size_t> statuses;
   size_t cut = 0;
-  for (const auto& row : seen.requests) {
-    ++statuses[row.ending == Ending::kAnswer ? row.status : 0];
-    cut += row.ending == Ending::kBroken ? 1 : 0;
+  for (const auto& row : observations.requests) {
+    ++statuses[row.outcome == RequestOutcome::kAnswer ? row.status : 0];
+    cut += row.outcome == RequestOutcome::kBroken ? 1 : 0;
   }
   std::printf("seed %lu: %zu broken; %zu requests, %zu runs, %zu steps, ",
-              plan.seed, broken, seen.requests.size(), seen.runs.size(),
-              plan.steps.size());
-  std::printf("%zu broken off, lag %.0f ms; answers", cut,
-              std::chrono::duration<double, std::milli>(seen.lag).count());
+              plan.seed, broken, observations.requests.size(),
+              observations.runs.size(), plan.steps.size());
+  std::printf(
+      "%zu broken off, lag %.0f ms; answers", cut,
+      std::chrono::duration<double, std::milli>(observations.lag).count());
   for (const auto& [status, count] : statuses) {
     std::printf(" %u:%zu", status, count);
   }
   std::printf("\n");
 }
 
-void PrintViolation(const Violation& violation, const Observations& seen) {
-  std::printf(
-      "  %s at %.2f s: %s;", std::string(NameOf(violation.promise)).c_str(),
-      SecondsSince(StartOf(seen), violation.at), violation.detail.c_str());
+void PrintViolation(const Violation& violation,
+                    const Observations& observations) {
+  std::printf("  %s at %.2f s: %s;",
+              std::string(NameOf(violation.promise)).c_str(),
+              SecondsSince(StartOf(observations), violation.at),
+              violation.detail.c_str());
   for (size_t i = 0; i < violation.ids.size() && i < kShownIds; ++i) {
     std::printf(" %s", violation.ids[i].c_str());
   }
   std::printf("\n");
 }
 
-// A deliberate fault for the promises that have a bound.
-void Loosen(basilsill::soak::Bounds& bounds) {
+// Gives the nodes looser bounds than those they are checked against, to verify
+// that the soak detects violations of the bounds.
+void LoosenBounds(basilsill::soak::Bounds& bounds) {
   constexpr int times = 8;
   bounds.drain *= times;
   bounds.apply *= times;
@@ -135,9 +142,9 @@
   bounds.quota_rate *= times;
 }
 
-/// @returns true if what the nodes wrote to `directory` has the API key of a
-/// team.
-bool HoldsKey(const std::filesystem::path& directory) {
+/// @returns true if a file that the nodes wrote to `directory` contains an API
+/// key of a team.
+bool ContainsKey(const std::filesystem::path& directory) {
   const std::string key = basilsill::soak::KeyOf(SoakTeam::kPlain);
   const std::string begins = key.substr(0, key.size() - 1);
   for (const auto& entry : std::filesystem::directory_iterator(directory)) {
@@ -159,32 +166,33 @@
       ("basilsill-soak-" + std::to_string(::getpid()) + "-" +
        std::to_string(seed));
   std::filesystem::create_directories(directory);
-  const Plan plan = basilsill::soak::MakePlan(seed, arguments.nodes,
-                                              arguments.lasts, arguments.gap);
+  const Plan plan = basilsill::soak::MakePlan(
+      seed, arguments.nodes, arguments.duration, arguments.gap);
   basilsill::soak::RigOptions options;
   options.program = arguments.program;
   options.directory = directory.string();
   options.callers = arguments.callers;
   if (arguments.loose) {
-    Loosen(options.bounds);
+    LoosenBounds(options.bounds);
   }
-  const Observations seen = basilsill::soak::RunPlan(plan, options);
-  const auto broken = basilsill::soak::Judge(seen, basilsill::soak::Bounds());
-  // A soak without service would keep every promise.
-  const bool served = !seen.runs.empty();
-  PrintCounts(plan, seen, broken.size());
+  const Observations observations = basilsill::soak::RunPlan(plan, options);
+  const auto broken =
+      basilsill::soak::FindViolations(observations, basilsill::soak::Bounds());
+  // If no request were executed, no promise could be broken.
+  const bool served = !observations.runs.empty();
+  PrintCounts(plan, observations, broken.size());
   for (const Violation& violation : broken) {
-    PrintViolation(violation, seen);
+    PrintViolation(violation, observations);
   }
-  const bool good = broken.empty() && served && !HoldsKey(directory);
-  if (!good || arguments.keep_logs) {
+  const bool is_good = broken.empty() && served && !ContainsKey(directory);
+  if (!is_good || arguments.keep_logs) {
     PrintPlan(plan);
     std::printf("  logs in %s\n", directory.c_str());
   } else {
     std::filesystem::remove_all(directory);
   }
   std::fflush(stdout);
-  return good;
+  return is_good;
 }
 
 }  // namespace
@@ -192,13 +200,13 @@
 int main(int argc, char** argv) {
   try {
     const Arguments arguments = ReadArguments(argc, argv);
-    bool good = true;
+    bool is_good = true;
     for (uint64_t i = 0; i < arguments.seeds; ++i) {
-      good = RunSeed(arguments.first_seed + i, arguments) && good;
+      is_good = RunSeed(arguments.first_seed + i, arguments) && is_good;
     }
-    return good ? 0 : kBroken;
+    return is_good ? 0 : kExitBroken;
   } catch (const std::exception& failure) {
     std::cerr << "basilsill_soak: " << failure.what() << '\n';
-    return kUsage;
+    return kExitUsage;
   }
 }
--- a/soak/node_process.cc
+++ b/soak/node_process.cc
@@ -25,20 +25,21 @@
 
 namespace process = boost::process;
 
-// Each node has an address of its own, so ports need not differ. They lie
-// below those that the kernel hands out.
+// Every node has its own address, so all nodes use the same ports. The ports
+// are below the kernel's ephemeral range.
 constexpr uint16_t kCallersPort = 8641;
 constexpr uint16_t kReadyPort = 8640;
 constexpr char kLinkPorts[] = "7620,7635";
 
-// What a node may open. It is told more: the platform keeps some for files.
-constexpr rlim_t kDescriptors = 300;
-constexpr uint32_t kToldDescriptors = 500;
-// Some can open fewer than they are told.
-constexpr rlim_t kFewDescriptors = 200;
+// The process limit of file descriptors is below the number in the settings, as
+// the platform reserves some of that number for files.
+constexpr rlim_t kDescriptorLimit = 300;
+constexpr uint32_t kConfiguredDescriptors = 500;
+// Limit of the nodes with has_low_descriptor_limit.
+constexpr rlim_t kLowDescriptorLimit = 200;
 
-// In the child, before the node's program begins. However the soak ends, its
-// nodes end with it.
+// Runs in the child before exec. The death signal kills the nodes when the soak
+// exits for any reason.
 void PrepareChild(rlim_t descriptors) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   const rlimit limit{descriptors, descriptors};
@@ -75,7 +76,7 @@
   text.callers_port = kCallersPort;
   text.ready_port = kReadyPort;
   text.link_ports = kLinkPorts;
-  text.descriptors = kToldDescriptors;
+  text.descriptors = kConfiguredDescriptors;
   text.repeat_slack = this->options.repeat_slack;
   text.drain = this->options.drain;
   text.apply = this->options.apply;
@@ -103,8 +104,9 @@
   if (log == nullptr) {
     throw std::runtime_error("can't write " + base + ".log");
   }
-  const rlim_t descriptors =
-      this->options.has_few_descriptors ? kFewDescriptors : kDescriptors;
+  const rlim_t descriptors = this->options.has_low_descriptor_limit
+                                 ? kLowDescriptorLimit
+                                 : kDescriptorLimit;
   this->process = std::make_unique<Process>(
       this->options.program, base + ".conf", descriptors, log.get());
 }
--- a/soak/node_process.h
+++ b/soak/node_process.h
@@ -7,18 +7,19 @@
 
 #include "basilsill/base/endpoint.h"
 
-/// One node of the installation under test, as a process of its own. Only
-/// processes that were started here are ever signalled, by their ids.
+/// One node of the installation under test, run as a separate process. Signals
+/// go only to processes started here, by process id.
 
 namespace basilsill::soak {
 
 struct NodeOptions {
   std::string program;
   std::string name;
-  std::string address;    ///< On loopback, its own.
-  std::string directory;  ///< For its settings and its log.
+  std::string address;    ///< On loopback, unique to the node.
+  std::string directory;  ///< Of its settings file and its log.
   Endpoint store;
-  bool has_few_descriptors = false;  ///< Fewer than it is told.
+  bool has_low_descriptor_limit =
+      false;  ///< The process limit is below the configured number.
   double repeat_slack = 0;
   std::chrono::milliseconds drain{0};
   std::chrono::milliseconds apply{0};
@@ -27,17 +28,19 @@
 
 class NodeProcess {
  public:
-  /// @throws std::exception if its files can't be written.
+  /// @throws std::exception if the settings file can't be written.
   explicit NodeProcess(NodeOptions options);
   ~NodeProcess();
 
-  /// Starts it, or starts it again. Its log goes on in the same file.
+  /// Starts or restarts the process. A restart appends to the same log file.
+  /// @throws std::exception if the log can't be opened or the process can't be
+  /// started.
   void Start();
 
-  /// Sends a signal, if it runs.
+  /// Sends a signal if the process is running.
   void Signal(int number);
 
-  /// @returns false once the process has ended.
+  /// @returns false if the process was not started or has exited.
   bool IsRunning();
 
   Endpoint callers() const;
--- a/soak/observations.h
+++ b/soak/observations.h
@@ -9,46 +9,47 @@
 
 #include "basilsill/base/time.h"
 
-/// What callers, upstreams and the operator of a soak saw, in tables. Nothing
-/// here comes from the nodes under test but what they sent to these three.
+/// Tables of what the callers, the upstreams and the operator of a soak
+/// observed. The nodes under test contribute only what they sent to these
+/// three.
 
 namespace basilsill::soak {
 
 enum class RequestKind : uint8_t {
   kSafe,
-  kUnsafe,  ///< Must run at most once.
+  kUnsafe,  ///< Must be executed at most once.
   kDownload,
   kCount
 };
 
-/// How a request ended at its caller.
-enum class Ending : uint8_t {
-  kOpen,     ///< It has not.
-  kAnswer,   ///< A whole answer came.
-  kBroken,   ///< Sent whole; the connection ended without a whole answer.
-  kCaller,   ///< The caller left before an answer.
-  kTimeout,  ///< No answer within the caller's patience.
+/// How a request ended from the point of view of its caller.
+enum class RequestOutcome : uint8_t {
+  kOpen,     ///< Has not ended.
+  kAnswer,   ///< The caller received a complete response.
+  kBroken,   ///< The connection ended without a complete response.
+  kCaller,   ///< The caller disconnected before a response.
+  kTimeout,  ///< No response within the caller's deadline.
   kCount
 };
 
-/// One attempt of a caller, with an id of its own.
+/// One request of a caller, with a unique id.
 struct RequestRow {
   std::string id;
   RequestKind kind = RequestKind::kSafe;
   std::string route;
   size_t service = 0;
-  size_t team = 0;  ///< Whose key it carries, of TeamNames().
+  size_t team = 0;  ///< SoakTeam whose API key the request carries.
   size_t node = 0;
-  TimePoint sent{};  ///< Its last octet was written.
+  TimePoint sent{};  ///< When the last byte of the request was written.
   TimePoint ended{};
-  Ending ending = Ending::kOpen;
+  RequestOutcome outcome = RequestOutcome::kOpen;
   unsigned status = 0;
-  /// The answer is the whole one that an upstream gave to this very request.
+  /// The response is the complete one that an upstream sent to this request.
   bool is_own = false;
-  bool behind_another = false;  ///< Pipelined: others before it were open.
+  bool is_pipelined = false;  ///< Sent while earlier requests were open.
 };
 
-/// An upstream began to work on a request.
+/// An upstream started to execute a request.
 struct RunRow {
   std::string id;
   size_t upstream = 0;
@@ -56,7 +57,7 @@
   TimePoint began{};
 };
 
-/// The platform accepted that an upstream leaves.
+/// The store accepted the entry that declares an upstream as draining.
 struct LeavingRow {
   size_t upstream = 0;
   TimePoint accepted{};
@@ -70,22 +71,22 @@
   TimePoint at{};
 };
 
-/// The platform accepted that a data centre is drained, and the operator then
-/// took it back.
+/// The store accepted the drain of a data centre, and the operator later lifted
+/// the drain.
 struct DrainRow {
   size_t data_centre = 0;
   TimePoint accepted{};
-  TimePoint taken_back = TimePoint::max();
+  TimePoint lifted = TimePoint::max();
 };
 
-/// An upstream was cold.
+/// An upstream reported itself as cold.
 struct ColdRow {
   size_t upstream = 0;
   TimePoint from{};
   TimePoint to{};
 };
 
-/// An upstream named a rate limit.
+/// An upstream advertised a rate limit.
 struct LimitRow {
   size_t upstream = 0;
   double requests_per_second = 0;
@@ -93,15 +94,15 @@
   TimePoint to{};
 };
 
-/// The platform accepted that a team's key is taken away, and the operator then
-/// gave it back.
+/// The store accepted a configuration that revokes a team's API key, and the
+/// operator later restored the key.
 struct KeyRow {
   size_t team = 0;
   TimePoint accepted{};
-  TimePoint given_back = TimePoint::max();
+  TimePoint restored = TimePoint::max();
 };
 
-/// The platform accepted a configuration that adds or drops a route.
+/// The store accepted a configuration that adds or removes a route.
 struct RouteRow {
   std::string route;
   bool is_added = false;
@@ -110,42 +111,44 @@
 };
 
 enum class DisturbanceKind : uint8_t {
-  kNode,      ///< A node was killed, paused, or cut from others.
-  kShutdown,  ///< A node was told to end: planned.
+  kNode,      ///< A node was killed, restarted or paused.
+  kShutdown,  ///< A node was asked to shut down.
   kStore,
-  kUpstream,  ///< Upstreams, and connections to them.
+  kUpstream,  ///< Upstreams or the connections to them.
   kCount
 };
 
-/// A time in which something was done from outside.
+/// A period with an injected fault.
 struct Disturbance {
   DisturbanceKind kind = DisturbanceKind::kNode;
-  std::optional<size_t> node;  ///< Absent: all of them.
+  std::optional<size_t> node;  ///< Absent: all nodes.
   TimePoint from{};
   TimePoint to{};
 };
 
-/// A node said that it is ready, and a new connection was opened to it at once.
+/// A node reported that it is ready, and a probe opened a new connection to it
+/// immediately.
 struct ConnectionRow {
   size_t node = 0;
-  TimePoint at{};  ///< Of its word.
-  /// Until a request on the connection was answered; the longest there is if it
-  /// was not.
-  Duration taken_after = Duration::max();
+  TimePoint at{};  ///< When the node reported ready.
+  /// Time until the node answered a request on the connection;
+  /// Duration::max() if it did not.
+  Duration answered_after = Duration::max();
 };
 
-/// A node ended without having been told to.
-struct UnaskedEnd {
+/// A node process exited without having been signalled.
+struct UnexpectedExit {
   size_t node = 0;
   TimePoint at{};
 };
 
-/// The teams of a soak. One has a key that is taken away and given back, one a
-/// quota that its callers go beyond, and one neither.
+/// The teams of a soak. The key of kRevoked is revoked and restored, kLimited
+/// has a quota that its callers exceed, and kPlain has neither.
 enum class SoakTeam : uint8_t { kPlain, kRevoked, kLimited, kCount };
 
 struct Observations {
-  /// @returns the row of a disturbance that begins now, and is open.
+  /// Adds a disturbance that starts now and has no end yet.
+  /// @returns its index, for EndDisturbance().
   size_t BeginDisturbance(DisturbanceKind kind, std::optional<size_t> node) {
     this->disturbances.push_back(
         {kind, node, MonotonicClock::now(), TimePoint::max()});
@@ -158,20 +161,20 @@
   std::vector<RequestRow> requests;
   std::vector<RunRow> runs;
   std::vector<ArrivalRow> arrivals;
-  std::vector<ArrivalRow> questions;  ///< For their health; without ids.
+  std::vector<ArrivalRow> health_checks;  ///< Health checks; without ids.
   std::vector<LeavingRow> leaving;
   std::vector<DrainRow> drains;
-  std::vector<ColdRow> colds;
+  std::vector<ColdRow> cold_periods;
   std::vector<LimitRow> limits;
   std::vector<KeyRow> keys;
   std::vector<RouteRow> routes;
   std::vector<Disturbance> disturbances;
-  std::vector<UnaskedEnd> unasked_ends;
+  std::vector<UnexpectedExit> unexpected_exits;
   std::vector<ConnectionRow> connections;
-  /// Nodes were all back after the last time that all were killed.
-  std::optional<TimePoint> all_back;
+  /// When all nodes were restarted after the latest kill of the whole fleet.
+  std::optional<TimePoint> all_restarted;
   TimePoint ended{};
-  /// The latest that a timer of the soak itself came: the machine is busy.
+  /// Largest delay of the soak's own timers: how busy the machine was.
   Duration lag{0};
 };
 
--- a/soak/plan.cc
+++ b/soak/plan.cc
@@ -21,20 +21,21 @@
         "link-slow",     "link-reset",     "link-one-way",   "link-silent",
         "route-change",  "drain",          "upstream-cold",  "upstream-limit"};
 
-constexpr milliseconds kShortest{200};
-constexpr milliseconds kLongest{3000};
-// Traffic runs undisturbed first, so that what is new is told from what is old.
-constexpr milliseconds kQuietStart{1500};
-// After all nodes were killed, until recovery has been judged.
+constexpr milliseconds kMinDuration{200};
+constexpr milliseconds kMaxDuration{3000};
+// Traffic first runs without faults, so that effects of faults can be told from
+// those of the start.
+constexpr milliseconds kFaultFreeStart{1500};
+// Traffic after all nodes were killed, long enough to check recovery.
 constexpr milliseconds kRecoveryTime{14000};
-// Faults often come in series of one kind.
-constexpr double kRepeatShare = 0.25;
-
-// A seed has few kinds of faults. Promises that hold for nodes in touch alone
-// could hardly ever be judged if all kinds came in all seeds.
-constexpr uint32_t kMostKinds = 7;
-// What is to be in force in time comes in all of them.
-constexpr std::array<Fault, 5> kAlways = {
+// Probability that a fault repeats the kind of the previous one.
+constexpr double kRepeatProbability = 0.25;
+
+// A seed has only a few kinds of faults. If every seed had all kinds, the
+// promises that hold only for undisturbed nodes could rarely be checked.
+constexpr uint32_t kMaxKinds = 7;
+// These occur in every seed, as they exercise the promises with a time bound.
+constexpr std::array<Fault, 5> kCommonFaults = {
     Fault::kRouteChange, Fault::kUpstreamLeave, Fault::kDataCentreDrain,
     Fault::kUpstreamCold, Fault::kUpstreamLimit};
 
@@ -52,32 +53,33 @@
   return kinds[Draw(random, static_cast<uint32_t>(kinds.size()))];
 }
 
-// Those that a seed has beside the ones that come in all of them.
+// Draws the kinds of a seed in addition to the common ones.
 std::vector<Fault> DrawKinds(pcg32& random) {
   std::vector<Fault> others;
   for (uint32_t i = 0; i < static_cast<uint32_t>(Fault::kCount); ++i) {
     const auto kind = static_cast<Fault>(i);
-    if (std::find(kAlways.begin(), kAlways.end(), kind) == kAlways.end()) {
+    if (std::find(kCommonFaults.begin(), kCommonFaults.end(), kind) ==
+        kCommonFaults.end()) {
       others.push_back(kind);
     }
   }
   std::vector<Fault> kinds;
-  for (uint32_t left = Draw(random, kMostKinds + 1); left > 0; --left) {
+  for (uint32_t left = Draw(random, kMaxKinds + 1); left > 0; --left) {
     kinds.push_back(DrawFrom(random, others));
   }
   return kinds;
 }
 
-// As many of the seed's own kinds as of those that come in all of them.
+// Draws the seed's own kinds and the common kinds with equal probability.
 Step DrawStep(pcg32& random, const std::vector<Fault>& own, milliseconds at) {
   const bool is_own = Draw(random, 2) == 0 && !own.empty();
   Step step;
-  step.fault = is_own ? DrawFrom(random, own) : DrawFrom(random, kAlways);
+  step.fault = is_own ? DrawFrom(random, own) : DrawFrom(random, kCommonFaults);
   step.at = at;
-  step.lasts =
-      kShortest +
-      milliseconds(
-          Draw(random, static_cast<uint32_t>((kLongest - kShortest).count())));
+  step.duration =
+      kMinDuration +
+      milliseconds(Draw(random, static_cast<uint32_t>(
+                                    (kMaxDuration - kMinDuration).count())));
   step.target = random();
   return step;
 }
@@ -90,17 +92,17 @@
 
 Plan MakePlan(uint64_t seed,
               size_t nodes,
-              milliseconds lasts,
+              milliseconds duration,
               milliseconds gap) {
   Plan plan;
   plan.seed = seed;
   plan.nodes = nodes;
-  plan.lasts = lasts;
+  plan.duration = duration;
   pcg32 random(seed);
   const std::vector<Fault> kinds = DrawKinds(random);
-  std::bernoulli_distribution repeats(kRepeatShare);
-  milliseconds at = kQuietStart + DrawGap(random, gap);
-  while (at < lasts) {
+  std::bernoulli_distribution repeats(kRepeatProbability);
+  milliseconds at = kFaultFreeStart + DrawGap(random, gap);
+  while (at < duration) {
     Step step = DrawStep(random, kinds, at);
     if (!plan.steps.empty() && repeats(random)) {
       step.fault = plan.steps.back().fault;
@@ -110,7 +112,7 @@
   }
   for (const Step& step : plan.steps) {
     if (step.fault == Fault::kAllKill) {
-      plan.lasts = std::max(plan.lasts, step.at + kRecoveryTime);
+      plan.duration = std::max(plan.duration, step.at + kRecoveryTime);
     }
   }
   return plan;
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -6,35 +6,35 @@
 #include <string_view>
 #include <vector>
 
-/// What is done in one soak, and when: drawn from a seed alone.
+/// The schedule of faults of one soak, determined by its seed and options.
 
 namespace basilsill::soak {
 
 enum class Fault : uint8_t {
   kNodeKill,
-  kNodeEnd,    ///< Told to end, then started again.
-  kNodePause,  ///< Stopped for a while.
+  kNodeEnd,    ///< Asked to shut down, then restarted.
+  kNodePause,  ///< Suspended for the duration.
   kNodeReload,
   kAllKill,
   kStoreDown,
   kStoreBusy,
-  kStoreSilent,  ///< Takes calls, answers none.
+  kStoreSilent,  ///< Accepts calls and answers none.
   kStoreSlow,
   kStoreRefusesSome,
   kUpstreamCrash,
-  kUpstreamLeave,  ///< Says so, ends, and another takes its place.
+  kUpstreamLeave,  ///< Drains, stops, and is replaced.
   kUpstreamSlow,
-  kUpstreamFails,  ///< Some of its answers are failures.
-  kAnswersLost,    ///< It runs requests, and closes in place of an answer.
+  kUpstreamFails,  ///< Some of its responses are errors.
+  kAnswersLost,    ///< Executes requests and closes the connection unanswered.
   kAnswersCut,
   kLinkSlow,
   kLinkReset,
-  kLinkOneWay,  ///< Nothing comes back.
-  kLinkSilent,  ///< Open, and nothing goes either way.
+  kLinkOneWay,  ///< The upstream's bytes do not arrive.
+  kLinkSilent,  ///< Stays open and carries no bytes.
   kRouteChange,
-  kDataCentreDrain,  ///< Drained, and taken back.
-  kUpstreamCold,     ///< Cold for a while, without a new start.
-  kUpstreamLimit,    ///< Names a rate limit for a while.
+  kDataCentreDrain,  ///< Drained for the duration.
+  kUpstreamCold,     ///< Cold for the duration, without a restart.
+  kUpstreamLimit,    ///< Advertises a rate limit for a while.
   kCount
 };
 
@@ -42,29 +42,29 @@
 
 struct Step {
   Fault fault = Fault::kCount;
-  std::chrono::milliseconds at{0};     ///< From the start of traffic.
-  std::chrono::milliseconds lasts{0};  ///< For those that last.
-  uint32_t target = 0;  ///< Which one, modulo how many there are.
+  std::chrono::milliseconds at{0};        ///< Since the start of traffic.
+  std::chrono::milliseconds duration{0};  ///< Ignored by faults without one.
+  uint32_t target = 0;  ///< Index of the target, modulo their number.
 };
 
 struct Plan {
   uint64_t seed = 0;
   size_t nodes = 4;
-  std::chrono::milliseconds lasts{0};
-  std::vector<Step> steps;  ///< In the order of their times.
+  std::chrono::milliseconds duration{0};
+  std::vector<Step> steps;  ///< In order of time.
 };
 
-/// One fault in this time on average, so that some overlap: most of them last
-/// up to three seconds.
-inline constexpr std::chrono::milliseconds kUsualGap{1300};
+/// Average time between two faults. Most faults last up to three seconds, so
+/// that some of them overlap.
+inline constexpr std::chrono::milliseconds kDefaultGap{1300};
 
-/// @param lasts For how long there is traffic. Where all nodes are killed it
-/// goes on until their recovery can be judged.
-/// @param gap Between two faults, on average.
+/// @param duration Duration of the traffic. A plan that kills all nodes extends
+/// it until their recovery can be checked.
+/// @param gap Average time between two faults.
 Plan MakePlan(uint64_t seed,
               size_t nodes,
-              std::chrono::milliseconds lasts,
-              std::chrono::milliseconds gap = kUsualGap);
+              std::chrono::milliseconds duration,
+              std::chrono::milliseconds gap = kDefaultGap);
 
 }  // namespace basilsill::soak
 
--- a/soak/promises.cc
+++ b/soak/promises.cc
@@ -22,60 +22,62 @@
               "drained",     "cold",       "rate-limit",
               "key-revoked", "team-quota", "ready-takes-connections"};
 
-// Promises with a bound in time allow for single requests that fell between
-// two moments of observation.
-constexpr size_t kFewRequests = 3;
-constexpr size_t kMissedInARow = 2;
+// Number of late requests that kCallerGone and kTimeout tolerate, as single
+// requests can fall between two observations.
+constexpr size_t kToleratedRequests = 3;
+constexpr size_t kMaxConsecutiveMisses = 2;
 
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kSuccessFirst = 200;
 constexpr unsigned kSuccessEnd = 300;
-// Statuses that say that the request has not run and never will.
+// Statuses that state that the request has not been executed and will not be.
 constexpr std::array<unsigned, 4> kNotRunStatuses = {408, 421, 429, 503};
 
 bool IsSuccess(const RequestRow& row) {
-  return row.ending == Ending::kAnswer && row.status >= kSuccessFirst &&
-         row.status < kSuccessEnd;
+  return row.outcome == RequestOutcome::kAnswer &&
+         row.status >= kSuccessFirst && row.status < kSuccessEnd;
 }
 
-// The system ended it without an upstream's answer, and does not know whether
-// it ran.
-bool IsGivenUp(const RequestRow& row) {
-  return row.ending == Ending::kBroken ||
-         (row.ending == Ending::kAnswer && row.status == kBadGateway);
+// The system ended the request without a response of an upstream and without
+// stating whether an upstream executed it.
+bool IsOutcomeUnknown(const RequestRow& row) {
+  return row.outcome == RequestOutcome::kBroken ||
+         (row.outcome == RequestOutcome::kAnswer && row.status == kBadGateway);
 }
 
-bool SaysNotRun(const RequestRow& row) {
-  return row.ending == Ending::kAnswer &&
+bool IsRefusedAsNotRun(const RequestRow& row) {
+  return row.outcome == RequestOutcome::kAnswer &&
          std::find(kNotRunStatuses.begin(), kNotRunStatuses.end(),
                    row.status) != kNotRunStatuses.end();
 }
 
-class Judgement {
+class PromiseChecker {
  public:
-  Judgement(const Observations& seen, const Bounds& bounds)
-      : seen(seen), bounds(bounds), slack(bounds.tolerance + seen.lag) {
-    for (const RunRow& run : seen.runs) {
+  PromiseChecker(const Observations& observations, const Bounds& bounds)
+      : observations(observations),
+        bounds(bounds),
+        slack(bounds.tolerance + observations.lag) {
+    for (const RunRow& run : observations.runs) {
       this->runs[run.id].push_back(&run);
     }
-    for (const RequestRow& row : seen.requests) {
+    for (const RequestRow& row : observations.requests) {
       this->requests[row.id] = &row;
     }
   }
 
   std::vector<Violation> Run() {
-    using Check = void (Judgement::*)();
+    using Check = void (PromiseChecker::*)();
     constexpr std::array<Check, static_cast<size_t>(Promise::kCount)> checks = {
-        &Judgement::CheckOwnAnswer, &Judgement::CheckOnce,
-        &Judgement::CheckNotRun,    &Judgement::CheckLeaving,
-        &Judgement::CheckShutdown,  &Judgement::CheckConfiguration,
-        &Judgement::CheckNoReturn,  &Judgement::CheckRepeats,
-        &Judgement::CheckRecovery,  &Judgement::CheckCallerGone,
-        &Judgement::CheckTimeout,   &Judgement::CheckStaysUp,
-        &Judgement::CheckDrained,   &Judgement::CheckCold,
-        &Judgement::CheckRateLimit, &Judgement::CheckKeyRevoked,
-        &Judgement::CheckTeamQuota, &Judgement::CheckReadyTakes};
+        &PromiseChecker::CheckOwnAnswer, &PromiseChecker::CheckOnce,
+        &PromiseChecker::CheckNotRun,    &PromiseChecker::CheckLeaving,
+        &PromiseChecker::CheckShutdown,  &PromiseChecker::CheckConfiguration,
+        &PromiseChecker::CheckNoReturn,  &PromiseChecker::CheckRepeats,
+        &PromiseChecker::CheckRecovery,  &PromiseChecker::CheckCallerGone,
+        &PromiseChecker::CheckTimeout,   &PromiseChecker::CheckStaysUp,
+        &PromiseChecker::CheckDrained,   &PromiseChecker::CheckCold,
+        &PromiseChecker::CheckRateLimit, &PromiseChecker::CheckKeyRevoked,
+        &PromiseChecker::CheckTeamQuota, &PromiseChecker::CheckReadyTakes};
     for (const Check check : checks) {
       (this->*check)();
     }
@@ -92,36 +94,40 @@
 
   const std::vector<const RunRow*>& RunsOf(const std::string& id) const {
     static const std::vector<const RunRow*> none;
-    const auto place = this->runs.find(id);
-    return place == this->runs.end() ? none : place->second;
+    const auto entry = this->runs.find(id);
+    return entry == this->runs.end() ? none : entry->second;
   }
 
-  /// @returns true if nothing of `kinds` touched `node` from `from` to `to`,
-  /// nor the stability window before.
-  bool IsCalm(std::initializer_list<DisturbanceKind> kinds,
-              std::optional<size_t> node,
-              TimePoint from,
-              TimePoint to) const {
+  /// @returns true if no disturbance of `kinds` affected `node` (absent: any
+  /// node) between `from` and `to` or within the stability window before
+  /// `from`.
+  bool IsUndisturbed(std::initializer_list<DisturbanceKind> kinds,
+                     std::optional<size_t> node,
+                     TimePoint from,
+                     TimePoint to) const {
     const TimePoint since = from - this->bounds.stability - this->slack;
     return std::none_of(
-        this->seen.disturbances.begin(), this->seen.disturbances.end(),
-        [&](const Disturbance& row) {
-          const bool counts =
+        this->observations.disturbances.begin(),
+        this->observations.disturbances.end(), [&](const Disturbance& row) {
+          const bool is_relevant =
               std::find(kinds.begin(), kinds.end(), row.kind) != kinds.end();
-          const bool touches = !node || !row.node || *row.node == *node;
-          return counts && touches && row.to >= since && row.from <= to;
+          const bool is_affected = !node || !row.node || *row.node == *node;
+          return is_relevant && is_affected && row.to >= since &&
+                 row.from <= to;
         });
   }
 
-  // A node in touch, with the store as it should be.
-  bool IsInTouch(size_t node, TimePoint from, TimePoint to) const {
-    return this->IsCalm({DisturbanceKind::kNode, DisturbanceKind::kShutdown},
-                        node, from, to) &&
-           this->IsCalm({DisturbanceKind::kStore}, std::nullopt, from, to);
+  // Neither the node nor the store was disturbed.
+  bool IsNodeUndisturbed(size_t node, TimePoint from, TimePoint to) const {
+    return this->IsUndisturbed(
+               {DisturbanceKind::kNode, DisturbanceKind::kShutdown}, node, from,
+               to) &&
+           this->IsUndisturbed({DisturbanceKind::kStore}, std::nullopt, from,
+                               to);
   }
 
   void CheckOwnAnswer() {
-    for (const RequestRow& row : this->seen.requests) {
+    for (const RequestRow& row : this->observations.requests) {
       if (IsSuccess(row) && !row.is_own) {
         this->Add(Promise::kOwnAnswer, {row.id}, row.ended,
                   "status " + std::to_string(row.status));
@@ -130,7 +136,7 @@
   }
 
   void CheckOnce() {
-    for (const RequestRow& row : this->seen.requests) {
+    for (const RequestRow& row : this->observations.requests) {
       const size_t count = this->RunsOf(row.id).size();
       if (row.kind == RequestKind::kUnsafe && count > 1) {
         this->Add(Promise::kOnce, {row.id}, row.ended,
@@ -140,8 +146,8 @@
   }
 
   void CheckNotRun() {
-    for (const RequestRow& row : this->seen.requests) {
-      if (row.kind == RequestKind::kUnsafe && SaysNotRun(row) &&
+    for (const RequestRow& row : this->observations.requests) {
+      if (row.kind == RequestKind::kUnsafe && IsRefusedAsNotRun(row) &&
           !this->RunsOf(row.id).empty()) {
         this->Add(Promise::kNotRun, {row.id}, row.ended,
                   "status " + std::to_string(row.status));
@@ -150,16 +156,17 @@
   }
 
   void CheckLeaving() {
-    for (const LeavingRow& row : this->seen.leaving) {
+    for (const LeavingRow& row : this->observations.leaving) {
       const TimePoint bound = row.accepted + this->bounds.drain + this->slack;
-      for (const RunRow& run : this->seen.runs) {
+      for (const RunRow& run : this->observations.runs) {
         const auto request = this->requests.find(run.id);
-        // The node that the request came to need not be the one that sent it
-        // on, so all must be in touch.
-        const bool counts = run.upstream == row.upstream && run.began > bound &&
-                            request != this->requests.end() &&
-                            this->AreAllInTouch(row.accepted, run.began);
-        if (counts) {
+        // The node that received the request need not be the one that
+        // dispatched it, so all nodes must be undisturbed.
+        const bool is_relevant =
+            run.upstream == row.upstream && run.began > bound &&
+            request != this->requests.end() &&
+            this->AreAllNodesUndisturbed(row.accepted, run.began);
+        if (is_relevant) {
           this->Add(Promise::kLeaving, {run.id}, run.began,
                     "upstream " + std::to_string(run.upstream));
         }
@@ -167,31 +174,34 @@
     }
   }
 
-  bool AreAllInTouch(TimePoint from, TimePoint to) const {
-    return this->IsCalm({DisturbanceKind::kNode, DisturbanceKind::kShutdown,
-                         DisturbanceKind::kStore},
-                        std::nullopt, from, to);
+  bool AreAllNodesUndisturbed(TimePoint from, TimePoint to) const {
+    return this->IsUndisturbed(
+        {DisturbanceKind::kNode, DisturbanceKind::kShutdown,
+         DisturbanceKind::kStore},
+        std::nullopt, from, to);
   }
 
-  // A node ends on request, with nothing else amiss. What it has read whole it
-  // answers whole; what it has not, it must close on at once.
+  // Applies to planned shutdowns without other faults. The node must answer
+  // every request that it has read completely, and close immediately on the
+  // others.
   void CheckShutdown() {
-    for (const Disturbance& end : this->seen.disturbances) {
+    for (const Disturbance& end : this->observations.disturbances) {
       if (end.kind == DisturbanceKind::kShutdown) {
         this->CheckShutdown(end);
       }
     }
   }
 
-  // A node that ends may work for others, so their requests count as well.
+  // A node that shuts down may dispatch for other nodes, so requests received
+  // by those count as well.
   void CheckShutdown(const Disturbance& end) {
-    for (const RequestRow& row : this->seen.requests) {
+    for (const RequestRow& row : this->observations.requests) {
       const bool during = row.ended >= end.from && row.sent <= end.to;
-      if (!during || !this->IsCalmButForEnds(row.sent, row.ended)) {
+      if (!during || !this->IsUndisturbedExceptShutdowns(row.sent, row.ended)) {
         continue;
       }
       const bool ran = !this->RunsOf(row.id).empty();
-      if (ran && IsGivenUp(row)) {
+      if (ran && IsOutcomeUnknown(row)) {
         this->Add(Promise::kShutdown, {row.id}, row.ended,
                   "an upstream had it");
       } else if (end.node == row.node && this->IsClosedLate(row)) {
@@ -200,41 +210,44 @@
     }
   }
 
-  // What was sent behind another and not passed on may be closed at any time.
+  // A pipelined request that was not forwarded may be closed at any time.
   bool IsClosedLate(const RequestRow& row) const {
-    return row.ending == Ending::kBroken && !row.behind_another &&
+    return row.outcome == RequestOutcome::kBroken && !row.is_pipelined &&
            row.ended - row.sent > this->bounds.loss_slack + this->slack;
   }
 
-  bool IsCalmButForEnds(TimePoint from, TimePoint to) const {
-    return this->IsCalm({DisturbanceKind::kNode, DisturbanceKind::kStore,
-                         DisturbanceKind::kUpstream},
-                        std::nullopt, from, to);
+  bool IsUndisturbedExceptShutdowns(TimePoint from, TimePoint to) const {
+    return this->IsUndisturbed({DisturbanceKind::kNode, DisturbanceKind::kStore,
+                                DisturbanceKind::kUpstream},
+                               std::nullopt, from, to);
   }
 
-  /// @returns the next change of `route` after change `place`, or the end.
-  TimePoint NextChange(size_t place) const {
-    for (size_t i = place + 1; i < this->seen.routes.size(); ++i) {
-      if (this->seen.routes[i].route == this->seen.routes[place].route) {
-        return this->seen.routes[i].sent;
+  /// @returns when the next change of the same route after change `index` was
+  /// sent; TimePoint::max() if there is none.
+  TimePoint NextChange(size_t index) const {
+    for (size_t i = index + 1; i < this->observations.routes.size(); ++i) {
+      if (this->observations.routes[i].route ==
+          this->observations.routes[index].route) {
+        return this->observations.routes[i].sent;
       }
     }
     return TimePoint::max();
   }
 
-  // Until the next change only this one is in force, a bound after it was
-  // accepted.
+  // From the bound after its acceptance until the next change of the route,
+  // every node must have applied this change.
   void CheckConfiguration() {
-    for (size_t i = 0; i < this->seen.routes.size(); ++i) {
-      const RouteRow& change = this->seen.routes[i];
+    for (size_t i = 0; i < this->observations.routes.size(); ++i) {
+      const RouteRow& change = this->observations.routes[i];
       const TimePoint from = change.accepted + this->bounds.apply + this->slack;
       const TimePoint until = this->NextChange(i);
-      for (const RequestRow& row : this->seen.requests) {
-        const bool counts = row.route == change.route && row.sent > from &&
-                            row.ending == Ending::kAnswer && row.ended < until;
+      for (const RequestRow& row : this->observations.requests) {
+        const bool is_relevant = row.route == change.route && row.sent > from &&
+                                 row.outcome == RequestOutcome::kAnswer &&
+                                 row.ended < until;
         const bool found = row.status != kNotFound;
-        if (counts && found != change.is_added &&
-            this->IsInTouch(row.node, change.accepted, row.ended)) {
+        if (is_relevant && found != change.is_added &&
+            this->IsNodeUndisturbed(row.node, change.accepted, row.ended)) {
           this->Add(Promise::kConfiguration, {row.id}, row.ended,
                     "status " + std::to_string(row.status) + " from node " +
                         std::to_string(row.node));
@@ -243,18 +256,19 @@
     }
   }
 
-  // Each answer on a route could be by any configuration sent before it that
-  // has the route, or has it not. Going through a node's answers in order, each
-  // is taken as the oldest that the ones before it allow; where there is none,
-  // the node has gone back to an older one. What ends after another is sent
-  // says nothing of their order.
+  // A response on a route is consistent with every configuration sent before
+  // the response that has the route (success) or lacks it (404). Each response
+  // of a node, in order, is matched to the oldest such configuration that is
+  // not older than those matched to earlier responses. If there is none, the
+  // node went back to an older configuration. Requests that overlap in time
+  // have no order.
   void CheckNoReturn() {
     std::map<std::pair<size_t, std::string>, std::vector<const RequestRow*>>
         answers;
-    for (const RequestRow& row : this->seen.requests) {
-      const bool tells = row.ending == Ending::kAnswer &&
-                         (IsSuccess(row) || row.status == kNotFound);
-      if (tells && this->HasChanges(row.route)) {
+    for (const RequestRow& row : this->observations.requests) {
+      const bool shows_route = row.outcome == RequestOutcome::kAnswer &&
+                               (IsSuccess(row) || row.status == kNotFound);
+      if (shows_route && this->IsRouteChanged(row.route)) {
         answers[{row.node, row.route}].push_back(&row);
       }
     }
@@ -267,24 +281,25 @@
     }
   }
 
-  struct Shown {
+  struct MatchedAnswer {
     const RequestRow* row;
-    size_t change;  ///< The oldest that the answer can be by.
+    size_t change;  ///< Oldest change consistent with it.
   };
 
   void CheckNoReturn(const std::vector<const RequestRow*>& rows) {
-    std::vector<Shown> shown;
+    std::vector<MatchedAnswer> matched;
     for (const RequestRow* row : rows) {
       size_t oldest = 0;
-      for (const Shown& before : shown) {
-        const bool counts =
+      for (const MatchedAnswer& before : matched) {
+        const bool is_relevant =
             before.row->ended + this->slack < row->sent &&
             this->IsSameProcess(row->node, before.row->ended, row->ended);
-        oldest = counts ? std::max(oldest, before.change) : oldest;
+        oldest = is_relevant ? std::max(oldest, before.change) : oldest;
       }
-      const std::optional<size_t> change = this->FindChange(*row, oldest);
+      const std::optional<size_t> change =
+          this->FindConsistentChange(*row, oldest);
       if (change) {
-        shown.push_back({row, *change});
+        matched.push_back({row, *change});
       } else {
         this->Add(Promise::kNoReturn, {row->id}, row->ended,
                   "node " + std::to_string(row->node));
@@ -292,16 +307,18 @@
     }
   }
 
-  bool HasChanges(const std::string& route) const {
+  bool IsRouteChanged(const std::string& route) const {
     return std::any_of(
-        this->seen.routes.begin(), this->seen.routes.end(),
+        this->observations.routes.begin(), this->observations.routes.end(),
         [&route](const RouteRow& change) { return change.route == route; });
   }
 
-  /// @returns the oldest change, from `oldest` on, that `row` can be by.
-  std::optional<size_t> FindChange(const RequestRow& row, size_t oldest) const {
-    for (size_t i = oldest; i < this->seen.routes.size(); ++i) {
-      const RouteRow& change = this->seen.routes[i];
+  /// @returns the first change from index `oldest` on that is consistent with
+  /// the response in `row`.
+  std::optional<size_t> FindConsistentChange(const RequestRow& row,
+                                             size_t oldest) const {
+    for (size_t i = oldest; i < this->observations.routes.size(); ++i) {
+      const RouteRow& change = this->observations.routes[i];
       if (change.route == row.route && change.sent <= row.ended &&
           change.is_added == (row.status != kNotFound)) {
         return i;
@@ -311,16 +328,16 @@
   }
 
   bool IsSameProcess(size_t node, TimePoint from, TimePoint to) const {
-    return this->IsCalm({DisturbanceKind::kNode, DisturbanceKind::kShutdown},
-                        node, from, to);
+    return this->IsUndisturbed(
+        {DisturbanceKind::kNode, DisturbanceKind::kShutdown}, node, from, to);
   }
 
-  // The requests that a window's repeats are measured by may have come in the
-  // window before.
+  // The requests that the budget of a window is computed from may have arrived
+  // in the previous window.
   void CheckRepeats() {
     std::map<size_t, std::vector<TimePoint>> repeats;  // By service.
     std::set<std::string> first;
-    for (const RunRow& run : this->seen.runs) {
+    for (const RunRow& run : this->observations.runs) {
       if (!first.insert(run.id).second) {
         repeats[run.service].push_back(run.began);
       }
@@ -339,67 +356,68 @@
     const auto spent = static_cast<double>(std::count_if(
         times.begin(), times.end(),
         [&](TimePoint at) { return at > end - window && at <= end; }));
-    const size_t asked =
+    const size_t requested =
         std::max(this->CountRequests(service, end - window, end),
                  this->CountRequests(service, end - 2 * window, end - window));
     const double allowed =
-        this->bounds.repeat_ratio * static_cast<double>(asked) +
+        this->bounds.repeat_ratio * static_cast<double>(requested) +
         this->bounds.repeat_slack;
     if (spent > allowed) {
       this->Add(Promise::kRepeats, {}, end,
                 std::to_string(static_cast<size_t>(spent)) +
-                    " repeats in a window, " + std::to_string(asked) +
+                    " repeats in a window, " + std::to_string(requested) +
                     " requests");
     }
   }
 
   size_t CountRequests(size_t service, TimePoint from, TimePoint to) const {
     return static_cast<size_t>(std::count_if(
-        this->seen.requests.begin(), this->seen.requests.end(),
+        this->observations.requests.begin(), this->observations.requests.end(),
         [&](const RequestRow& row) {
           return row.service == service && row.sent > from && row.sent <= to;
         }));
   }
 
   void CheckRecovery() {
-    if (!this->seen.all_back) {
+    if (!this->observations.all_restarted) {
       return;
     }
-    const TimePoint from = *this->seen.all_back + this->bounds.recover;
-    size_t asked = 0;
+    const TimePoint from =
+        *this->observations.all_restarted + this->bounds.recover;
+    size_t requested = 0;
     size_t served = 0;
-    for (const RequestRow& row : this->seen.requests) {
-      const bool counts = row.sent > from && row.ending != Ending::kCaller &&
-                          row.ending != Ending::kOpen &&
-                          row.status != kNotFound;
-      asked += counts ? 1 : 0;
-      served += counts && IsSuccess(row) ? 1 : 0;
+    for (const RequestRow& row : this->observations.requests) {
+      const bool is_relevant =
+          row.sent > from && row.outcome != RequestOutcome::kCaller &&
+          row.outcome != RequestOutcome::kOpen && row.status != kNotFound;
+      requested += is_relevant ? 1 : 0;
+      served += is_relevant && IsSuccess(row) ? 1 : 0;
     }
-    if (served * 4 < asked) {
-      this->Add(
-          Promise::kRecovery, {}, from,
-          std::to_string(served) + " of " + std::to_string(asked) + " served");
+    if (served * 4 < requested) {
+      this->Add(Promise::kRecovery, {}, from,
+                std::to_string(served) + " of " + std::to_string(requested) +
+                    " served");
     }
   }
 
   void CheckCallerGone() {
     std::vector<std::string> ids;
-    for (const RequestRow& row : this->seen.requests) {
-      if (row.ending != Ending::kCaller) {
+    for (const RequestRow& row : this->observations.requests) {
+      if (row.outcome != RequestOutcome::kCaller) {
         continue;
       }
       const TimePoint bound =
           row.ended + this->bounds.caller_gone + this->slack;
       for (const RunRow* run : this->RunsOf(row.id)) {
         if (run->began > bound &&
-            this->IsCalm({DisturbanceKind::kNode}, std::nullopt, row.sent,
-                         run->began)) {
+            this->IsUndisturbed({DisturbanceKind::kNode}, std::nullopt,
+                                row.sent, run->began)) {
           ids.push_back(row.id);
         }
       }
     }
-    if (ids.size() > kFewRequests) {
-      this->Add(Promise::kCallerGone, ids, this->seen.ended,
+    if (ids.size() > kToleratedRequests) {
+      this->Add(Promise::kCallerGone, ids, this->observations.ended,
                 "begun after their callers had left");
     }
   }
@@ -407,41 +425,45 @@
   void CheckTimeout() {
     size_t open = 0;
     std::vector<std::string> late;
-    for (const RequestRow& row : this->seen.requests) {
+    for (const RequestRow& row : this->observations.requests) {
       const TimePoint due = row.sent + this->bounds.timeout;
-      const bool counts =
-          (row.ending == Ending::kAnswer || row.ending == Ending::kTimeout) &&
-          row.ended > due && !row.behind_another &&
-          this->IsInTouch(row.node, row.sent, row.ended);
-      open += counts ? 1 : 0;
-      if (counts &&
+      const bool is_relevant =
+          (row.outcome == RequestOutcome::kAnswer ||
+           row.outcome == RequestOutcome::kTimeout) &&
+          row.ended > due && !row.is_pipelined &&
+          this->IsNodeUndisturbed(row.node, row.sent, row.ended);
+      open += is_relevant ? 1 : 0;
+      if (is_relevant &&
           row.ended > due + this->bounds.timeout_slack + this->slack) {
         late.push_back(row.id);
       }
     }
-    if (late.size() > kFewRequests && late.size() * 2 > open) {
-      this->Add(Promise::kTimeout, late, this->seen.ended,
+    if (late.size() > kToleratedRequests && late.size() * 2 > open) {
+      this->Add(Promise::kTimeout, late, this->observations.ended,
                 "of " + std::to_string(open) + " that reached it");
     }
   }
 
   void CheckStaysUp() {
-    for (const UnaskedEnd& end : this->seen.unasked_ends) {
+    for (const UnexpectedExit& end : this->observations.unexpected_exits) {
       this->Add(Promise::kStaysUp, {}, end.at,
                 "node " + std::to_string(end.node));
     }
   }
 
   void CheckReadyTakes() {
-    std::map<size_t, size_t> missed;  // In a row, by node.
-    for (const ConnectionRow& row : this->seen.connections) {
-      const bool is_taken = row.taken_after <= this->bounds.taken + this->slack;
-      const bool counts =
-          row.at + this->bounds.taken + this->slack < this->seen.ended &&
-          this->IsCalm({DisturbanceKind::kNode, DisturbanceKind::kShutdown},
-                       row.node, row.at, row.at + this->bounds.taken);
-      missed[row.node] = is_taken || !counts ? 0 : missed[row.node] + 1;
-      if (missed[row.node] == kMissedInARow) {
+    std::map<size_t, size_t> missed;  // Consecutive misses, by node.
+    for (const ConnectionRow& row : this->observations.connections) {
+      const bool is_answered = row.answered_after <=
+                               this->bounds.new_connection_answer + this->slack;
+      const bool is_relevant =
+          row.at + this->bounds.new_connection_answer + this->slack <
+              this->observations.ended &&
+          this->IsUndisturbed(
+              {DisturbanceKind::kNode, DisturbanceKind::kShutdown}, row.node,
+              row.at, row.at + this->bounds.new_connection_answer);
+      missed[row.node] = is_answered || !is_relevant ? 0 : missed[row.node] + 1;
+      if (missed[row.node] == kMaxConsecutiveMisses) {
         this->Add(Promise::kReadyTakes, {}, row.at,
                   "node " + std::to_string(row.node));
       }
@@ -449,14 +471,15 @@
   }
 
   void CheckDrained() {
-    for (const DrainRow& drain : this->seen.drains) {
+    for (const DrainRow& drain : this->observations.drains) {
       const TimePoint bound =
           drain.accepted + this->bounds.drained + this->slack;
-      for (const ArrivalRow& row : this->seen.arrivals) {
-        const bool counts = row.data_centre == drain.data_centre &&
-                            row.at > bound && row.at < drain.taken_back &&
-                            this->AreAllInTouch(drain.accepted, row.at);
-        if (counts) {
+      for (const ArrivalRow& row : this->observations.arrivals) {
+        const bool is_relevant =
+            row.data_centre == drain.data_centre && row.at > bound &&
+            row.at < drain.lifted &&
+            this->AreAllNodesUndisturbed(drain.accepted, row.at);
+        if (is_relevant) {
           this->Add(Promise::kDrained, {row.id}, row.at,
                     "data centre " + std::to_string(row.data_centre));
         }
@@ -464,11 +487,12 @@
     }
   }
 
-  // Connections that were held up hand over at once what was sent in seconds.
+  // Periods with disturbed links are skipped: a link that recovers delivers at
+  // once what was sent over several seconds.
   void CheckCold() {
-    for (const ColdRow& cold : this->seen.colds) {
+    for (const ColdRow& cold : this->observations.cold_periods) {
       std::vector<TimePoint> recent;
-      for (const ArrivalRow& row : this->seen.arrivals) {
+      for (const ArrivalRow& row : this->observations.arrivals) {
         if (row.upstream != cold.upstream || row.at < cold.from ||
             row.at >= cold.to) {
           continue;
@@ -478,8 +502,8 @@
           return row.at - at >= std::chrono::seconds(1);
         });
         if (recent.size() > this->bounds.cold_requests &&
-            this->IsCalm({DisturbanceKind::kUpstream}, std::nullopt,
-                         recent.front(), row.at)) {
+            this->IsUndisturbed({DisturbanceKind::kUpstream}, std::nullopt,
+                                recent.front(), row.at)) {
           this->Add(Promise::kCold, {row.id}, row.at,
                     "upstream " + std::to_string(row.upstream) + ", " +
                         std::to_string(recent.size()) + " in a second");
@@ -488,18 +512,17 @@
     }
   }
 
-  // Questions for its health count as well.
-  // Whatever was done to nodes and the store meanwhile.
+  // Holds regardless of faults of nodes and the store.
   void CheckKeyRevoked() {
-    for (const KeyRow& key : this->seen.keys) {
+    for (const KeyRow& key : this->observations.keys) {
       const TimePoint from = key.accepted + this->bounds.revoke + this->slack;
-      for (const RunRow& run : this->seen.runs) {
+      for (const RunRow& run : this->observations.runs) {
         const auto found = this->requests.find(run.id);
         if (found == this->requests.end() || found->second->team != key.team) {
           continue;
         }
-        // What waits in a paused node until the key is given back may run then.
-        if (found->second->sent >= from && run.began < key.given_back) {
+        // A request held in a paused node may run once the key is restored.
+        if (found->second->sent >= from && run.began < key.restored) {
           this->Add(Promise::kKeyRevoked, {run.id}, run.began,
                     "sent with a key that was taken away");
         }
@@ -507,7 +530,7 @@
     }
   }
 
-  // Counted is what is both sent and begun in a window.
+  // Counts the requests that are both sent and started within a window.
   void CheckTeamQuota() {
     struct Span {
       TimePoint sent;
@@ -541,13 +564,14 @@
     }
   }
 
+  // Health checks count towards the rate limit as well.
   void CheckRateLimit() {
-    std::vector<ArrivalRow> sends = this->seen.arrivals;
-    sends.insert(sends.end(), this->seen.questions.begin(),
-                 this->seen.questions.end());
+    std::vector<ArrivalRow> sends = this->observations.arrivals;
+    sends.insert(sends.end(), this->observations.health_checks.begin(),
+                 this->observations.health_checks.end());
     std::sort(sends.begin(), sends.end(),
               [](const auto& a, const auto& b) { return a.at < b.at; });
-    for (const LimitRow& limit : this->seen.limits) {
+    for (const LimitRow& limit : this->observations.limits) {
       this->CheckRateLimit(limit, sends);
     }
   }
@@ -560,7 +584,7 @@
                              limit.requests_per_second *
                              std::chrono::duration<double>(window).count();
     const TimePoint from =
-        limit.from + this->bounds.rate_limit_heard + this->slack;
+        limit.from + this->bounds.rate_limit_delay + this->slack;
     std::deque<TimePoint> recent;
     for (const ArrivalRow& row : sends) {
       if (row.upstream != limit.upstream || row.at < from ||
@@ -572,8 +596,9 @@
         recent.pop_front();
       }
       if (static_cast<double>(recent.size()) > bound &&
-          this->IsCalm({DisturbanceKind::kUpstream, DisturbanceKind::kNode},
-                       std::nullopt, recent.front(), row.at)) {
+          this->IsUndisturbed(
+              {DisturbanceKind::kUpstream, DisturbanceKind::kNode},
+              std::nullopt, recent.front(), row.at)) {
         this->Add(Promise::kRateLimit, {row.id}, row.at,
                   "upstream " + std::to_string(row.upstream) + ", " +
                       std::to_string(recent.size()) + ", bound " +
@@ -583,7 +608,7 @@
     }
   }
 
-  const Observations& seen;
+  const Observations& observations;
   const Bounds& bounds;
   const Duration slack;
   std::unordered_map<std::string, std::vector<const RunRow*>> runs;
@@ -597,8 +622,9 @@
   return kNames.at(static_cast<size_t>(promise));
 }
 
-std::vector<Violation> Judge(const Observations& seen, const Bounds& bounds) {
-  return Judgement(seen, bounds).Run();
+std::vector<Violation> FindViolations(const Observations& observations,
+                                      const Bounds& bounds) {
+  return PromiseChecker(observations, bounds).Run();
 }
 
 }  // namespace basilsill::soak
--- a/soak/proxy.cc
+++ b/soak/proxy.cc
@@ -21,9 +21,9 @@
 
 constexpr auto kNoThrow = asio::as_tuple(asio::use_awaitable);
 constexpr size_t kBufferBytes = 16 * 1024;
-constexpr milliseconds kSlowness{250};
-// How often a held octet looks whether it may go on.
-constexpr milliseconds kLook{10};
+constexpr milliseconds kAddedDelay{250};
+// Interval at which held bytes check whether they may be forwarded.
+constexpr milliseconds kHoldPollInterval{10};
 
 tcp::endpoint ToTcp(const Endpoint& endpoint) {
   return {asio::ip::make_address(endpoint.address), endpoint.port};
@@ -31,9 +31,10 @@
 
 enum class Direction : uint8_t { kToTarget, kFromTarget };
 
-/// Both sides of one connection.
-struct Pair {
-  explicit Pair(tcp::socket accepted)
+/// Both sockets of one proxied connection: `near` to the client, `far` to the
+/// target.
+struct SocketPair {
+  explicit SocketPair(tcp::socket accepted)
       : near(std::move(accepted)), far(this->near.get_executor()) {}
 
   void Reset() {
@@ -56,10 +57,11 @@
         target(std::move(target)) {}
 
   asio::awaitable<void> Accept();
-  asio::awaitable<void> Connect(std::shared_ptr<Pair> pair);
-  asio::awaitable<void> Pump(std::shared_ptr<Pair> pair, Direction direction);
-  asio::awaitable<void> Hold(Direction direction);
-  bool Holds(Direction direction) const {
+  asio::awaitable<void> Connect(std::shared_ptr<SocketPair> pair);
+  asio::awaitable<void> Forward(std::shared_ptr<SocketPair> pair,
+                                Direction direction);
+  asio::awaitable<void> Delay(Direction direction);
+  bool IsHeld(Direction direction) const {
     return this->link == LinkState::kSilent ||
            (this->link == LinkState::kOneWay &&
             direction == Direction::kFromTarget);
@@ -67,8 +69,8 @@
 
   tcp::acceptor acceptor;
   Endpoint target;
-  LinkState link = LinkState::kWell;
-  std::set<std::shared_ptr<Pair>> pairs;
+  LinkState link = LinkState::kNormal;
+  std::set<std::shared_ptr<SocketPair>> pairs;
   bool stopped = false;
 };
 
@@ -80,7 +82,7 @@
     if (error) {
       co_return;
     }
-    auto pair = std::make_shared<Pair>(std::move(socket));
+    auto pair = std::make_shared<SocketPair>(std::move(socket));
     if (this->link == LinkState::kRefusing) {
       pair->Reset();
     } else {
@@ -90,7 +92,7 @@
   }
 }
 
-asio::awaitable<void> Proxy::State::Connect(std::shared_ptr<Pair> pair) {
+asio::awaitable<void> Proxy::State::Connect(std::shared_ptr<SocketPair> pair) {
   const auto self = this->shared_from_this();
   const auto [error] =
       co_await pair->far.async_connect(ToTcp(this->target), kNoThrow);
@@ -103,32 +105,32 @@
   pair->far.set_option(tcp::no_delay(true), ignored);
   this->pairs.insert(pair);
   const auto executor = this->acceptor.get_executor();
-  asio::co_spawn(executor, this->Pump(pair, Direction::kToTarget),
+  asio::co_spawn(executor, this->Forward(pair, Direction::kToTarget),
                  asio::detached);
-  co_await this->Pump(pair, Direction::kFromTarget);
+  co_await this->Forward(pair, Direction::kFromTarget);
   this->pairs.erase(pair);
 }
 
-asio::awaitable<void> Proxy::State::Pump(std::shared_ptr<Pair> pair,
-                                         Direction direction) {
+asio::awaitable<void> Proxy::State::Forward(std::shared_ptr<SocketPair> pair,
+                                            Direction direction) {
   const auto self = this->shared_from_this();
-  const bool there = direction == Direction::kToTarget;
-  tcp::socket& from = there ? pair->near : pair->far;
-  tcp::socket& to = there ? pair->far : pair->near;
+  const bool is_to_target = direction == Direction::kToTarget;
+  tcp::socket& from = is_to_target ? pair->near : pair->far;
+  tcp::socket& to = is_to_target ? pair->far : pair->near;
   std::array<char, kBufferBytes> buffer{};
   boost::system::error_code failed;
   while (!failed) {
     const auto [error, size] =
         co_await from.async_read_some(asio::buffer(buffer), kNoThrow);
     failed = error;
-    co_await this->Hold(direction);
+    co_await this->Delay(direction);
     if (!failed) {
       const auto [unwritten, written] =
           co_await asio::async_write(to, asio::buffer(buffer, size), kNoThrow);
       failed = unwritten;
     }
   }
-  // An end is passed on as what it was: in order, or as a reset.
+  // Forwards an orderly end as a half-close and any other end as a reset.
   if (failed != asio::error::eof) {
     pair->Reset();
     co_return;
@@ -137,14 +139,14 @@
   to.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-asio::awaitable<void> Proxy::State::Hold(Direction direction) {
+asio::awaitable<void> Proxy::State::Delay(Direction direction) {
   asio::steady_timer timer(this->acceptor.get_executor());
   if (this->link == LinkState::kSlow) {
-    timer.expires_after(kSlowness);
+    timer.expires_after(kAddedDelay);
     co_await timer.async_wait(kNoThrow);
   }
-  while (this->Holds(direction) && !this->stopped) {
-    timer.expires_after(kLook);
+  while (this->IsHeld(direction) && !this->stopped) {
+    timer.expires_after(kHoldPollInterval);
     co_await timer.async_wait(kNoThrow);
   }
 }
--- a/soak/proxy.h
+++ b/soak/proxy.h
@@ -8,21 +8,21 @@
 
 #include "basilsill/base/endpoint.h"
 
-/// A TCP proxy on loopback that stands in for the network between two parts
-/// of an installation, and harms it on demand.
+/// A TCP proxy on loopback that emulates the network between two parts of an
+/// installation and injects network faults.
 
 namespace basilsill::soak {
 
 enum class LinkState : uint8_t {
-  kWell,
-  kSlow,      ///< All octets come later.
-  kOneWay,    ///< Nothing comes back from the target.
-  kSilent,    ///< Connections stay open, and nothing goes either way.
+  kNormal,
+  kSlow,      ///< All bytes are delayed.
+  kOneWay,    ///< Bytes from the target are held.
+  kSilent,    ///< Connections stay open; bytes are held both ways.
   kRefusing,  ///< New connections are reset.
   kCount
 };
 
-/// Runs on the thread of its io_context.
+/// Not thread-safe: call it on the thread of its io_context.
 class Proxy {
  public:
   Proxy(boost::asio::io_context& io, Endpoint target);
@@ -30,14 +30,14 @@
 
   Endpoint endpoint() const;
 
-  /// Where new connections go.
+  /// Sets the target of new connections.
   void SetTarget(Endpoint target);
 
-  /// Also for connections that are open. What a silent connection has held is
-  /// passed on when it is well again.
+  /// Applies to open connections too. Bytes held in kSilent or kOneWay are
+  /// delivered once the state no longer holds them.
   void SetState(LinkState next);
 
-  /// Resets all connections.
+  /// Resets all open connections.
   void Reset();
 
  private:
--- a/soak/rig.cc
+++ b/soak/rig.cc
@@ -29,18 +29,19 @@
 using adapter::test::TeamText;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kStartLimit{15000};
-constexpr milliseconds kStartLook{50};
-constexpr milliseconds kMeterInterval{20};
-// What is open when traffic ends has this long to be answered.
-constexpr milliseconds kLastAnswers{3000};
-// With the settings' factor and slack, sixteen requests in any second.
+constexpr milliseconds kStartTimeout{15000};
+constexpr milliseconds kStartPollInterval{50};
+constexpr milliseconds kLagInterval{20};
+// Time that requests open at the end of the traffic have to be answered.
+constexpr milliseconds kFinalAnswersTime{3000};
+// With the factor and slack of the settings, the bound for a cold upstream is
+// sixteen requests in any second.
 constexpr double kColdRate = 5.6;
-constexpr char kMovingRoute[] = "extra";
-// When a team's key is taken away, and for how long beyond the bound.
+constexpr char kToggledRoute[] = "extra";
+// When the team's key is revoked, and for how long beyond the revocation bound.
 constexpr milliseconds kRevokedAfter{2000};
 constexpr milliseconds kRevokedFor{4000};
-// When idle connections fill a node, and for how long.
+// When idle connections use up the descriptors of a node, and for how long.
 constexpr milliseconds kFloodedAfter{3500};
 constexpr milliseconds kFloodedFor{3500};
 
@@ -49,18 +50,20 @@
   Rig(const Plan& plan, const RigOptions& options)
       : plan(plan),
         options(options),
-        upstreams(this->io, this->store, this->seen, plan.seed),
-        fleet(this->io, this->MakeFleetOptions(), this->seen),
-        callers(this->io, this->fleet, this->MakeCallersOptions(), this->seen) {
-  }
+        upstreams(this->io, this->store, this->observations, plan.seed),
+        fleet(this->io, this->MakeFleetOptions(), this->observations),
+        callers(this->io,
+                this->fleet,
+                this->MakeCallersOptions(),
+                this->observations) {}
 
   Observations Run() {
-    this->Configure();
+    this->PublishConfiguration();
     this->fleet.Start();
-    asio::co_spawn(this->io, this->Carry(), asio::detached);
-    asio::co_spawn(this->io, this->Meter(), asio::detached);
+    asio::co_spawn(this->io, this->RunTraffic(), asio::detached);
+    asio::co_spawn(this->io, this->MeasureLag(), asio::detached);
     this->io.run();
-    return std::move(this->seen);
+    return std::move(this->observations);
   }
 
  private:
@@ -81,8 +84,8 @@
     return callers;
   }
 
-  // The operator's configuration, with the moving route or without it.
-  void Configure() {
+  // Publishes the operator's configuration, with or without the toggled route.
+  void PublishConfiguration() {
     const auto make = [this](const char* name, const char* kind,
                              size_t service) {
       return ToText(RouteText{name, kind, ServiceNames()[service],
@@ -91,8 +94,8 @@
     std::vector<std::string> routes = {make("levels", "safe", 0),
                                        make("pickups", "unsafe", 1),
                                        make("files", "download", 0)};
-    if (this->has_moving_route) {
-      routes.push_back(make(kMovingRoute, "safe", 0));
+    if (this->has_toggled_route) {
+      routes.push_back(make(kToggledRoute, "safe", 0));
     }
     const TimePoint sent = MonotonicClock::now();
     this->store.Put(
@@ -103,8 +106,8 @@
                                                  routes, ServiceNames()),
                 kColdRate),
             this->MakeTeams()));
-    this->seen.routes.push_back(
-        {kMovingRoute, this->has_moving_route, sent, MonotonicClock::now()});
+    this->observations.routes.push_back(
+        {kToggledRoute, this->has_toggled_route, sent, MonotonicClock::now()});
   }
 
   std::vector<TeamText> MakeTeams() const {
@@ -118,29 +121,29 @@
     return {{"plain", {KeyOf(SoakTeam::kPlain)}}, limited, revoked};
   }
 
-  // Beside the plan, so that a seed's plan stays what it was.
-  asio::awaitable<void> Revoke() {
+  // Not a step of the plan, so that the plan of each seed stays the same.
+  asio::awaitable<void> RevokeKey() {
     co_await Sleep(kRevokedAfter);
     this->is_key_revoked = true;
-    this->Configure();
-    const size_t row = this->seen.keys.size();
-    this->seen.keys.push_back(
+    this->PublishConfiguration();
+    const size_t row = this->observations.keys.size();
+    this->observations.keys.push_back(
         {static_cast<size_t>(SoakTeam::kRevoked), MonotonicClock::now()});
     co_await Sleep(this->options.bounds.revoke + kRevokedFor);
-    if (!this->over) {
-      this->seen.keys[row].given_back = MonotonicClock::now();
+    if (!this->is_finished) {
+      this->observations.keys[row].restored = MonotonicClock::now();
       this->is_key_revoked = false;
-      this->Configure();
+      this->PublishConfiguration();
     }
   }
 
-  // Beside the plan as well.
+  // Not a step of the plan either.
   asio::awaitable<void> Flood() {
     co_await Sleep(kFloodedAfter);
     co_await this->fleet.Flood(this->plan.seed, kFloodedFor);
   }
 
-  // Eight hexadecimal digits; versions grow in steps.
+  // Eight hexadecimal digits; versions increase by more than one.
   static std::string VersionText(uint64_t version) {
     constexpr uint64_t base = 0x10000000;
     constexpr uint64_t step = 3;
@@ -150,59 +153,61 @@
     return {text.data(), end};
   }
 
-  // How late timers come tells how busy the machine is.
-  asio::awaitable<void> Meter() {
-    while (!this->over) {
-      const TimePoint due = MonotonicClock::now() + kMeterInterval;
-      co_await Sleep(kMeterInterval);
-      this->seen.lag = std::max(this->seen.lag, MonotonicClock::now() - due);
+  // The delay of timers shows how busy the machine is.
+  asio::awaitable<void> MeasureLag() {
+    while (!this->is_finished) {
+      const TimePoint due = MonotonicClock::now() + kLagInterval;
+      co_await Sleep(kLagInterval);
+      this->observations.lag =
+          std::max(this->observations.lag, MonotonicClock::now() - due);
     }
   }
 
-  asio::awaitable<void> Carry() {
-    const TimePoint limit = MonotonicClock::now() + kStartLimit;
+  asio::awaitable<void> RunTraffic() {
+    const TimePoint limit = MonotonicClock::now() + kStartTimeout;
     while (!this->fleet.IsAnyReady() && MonotonicClock::now() < limit) {
-      co_await Sleep(kStartLook);
+      co_await Sleep(kStartPollInterval);
     }
     this->callers.Start();
-    asio::co_spawn(this->io, this->Revoke(), asio::detached);
+    asio::co_spawn(this->io, this->RevokeKey(), asio::detached);
     asio::co_spawn(this->io, this->Flood(), asio::detached);
     const TimePoint start = MonotonicClock::now();
     for (const Step& step : this->plan.steps) {
       co_await Sleep(start + step.at - MonotonicClock::now());
-      asio::co_spawn(this->io, this->Harm(step), asio::detached);
+      asio::co_spawn(this->io, this->InjectFault(step), asio::detached);
     }
-    co_await Sleep(start + this->plan.lasts - MonotonicClock::now());
+    co_await Sleep(start + this->plan.duration - MonotonicClock::now());
     this->callers.Stop();
-    co_await Sleep(kLastAnswers);
+    co_await Sleep(kFinalAnswersTime);
     this->Finish();
   }
 
   void Finish() {
-    this->over = true;
-    this->seen.ended = MonotonicClock::now();
+    this->is_finished = true;
+    this->observations.ended = MonotonicClock::now();
     this->fleet.Stop();
     this->upstreams.Stop();
     this->io.stop();
   }
 
-  asio::awaitable<void> Harm(Step step) {
+  asio::awaitable<void> InjectFault(Step step) {
     if (step.fault <= Fault::kAllKill ||
         step.fault == Fault::kStoreRefusesSome) {
-      co_await this->fleet.Harm(step);
+      co_await this->fleet.InjectFault(step);
     } else if (step.fault < Fault::kStoreRefusesSome) {
-      co_await this->HarmStore(step);
+      co_await this->InjectStoreFault(step);
     } else if (step.fault == Fault::kRouteChange) {
-      this->has_moving_route = !this->has_moving_route;
-      this->Configure();
+      this->has_toggled_route = !this->has_toggled_route;
+      this->PublishConfiguration();
     } else if (step.fault == Fault::kDataCentreDrain) {
       co_await this->Drain(step);
     } else {
-      co_await this->upstreams.Harm(step);
+      co_await this->upstreams.InjectFault(step);
     }
   }
 
-  // Several may overlap; one that is drained already is left alone.
+  // Drains of different data centres may overlap. A data centre that is already
+  // drained is skipped.
   asio::awaitable<void> Drain(Step step) {
     const size_t data_centre = step.target % DataCentreNames().size();
     if (!this->drained.insert(data_centre).second) {
@@ -211,32 +216,32 @@
     const std::string key =
         adapter::test::DrainKey(DataCentreNames()[data_centre]);
     this->store.Put(adapter::test::kOperatorTopic, key, "{}");
-    const size_t row = this->seen.drains.size();
-    this->seen.drains.push_back({data_centre, MonotonicClock::now()});
-    co_await Sleep(step.lasts);
-    if (!this->over) {
-      this->seen.drains[row].taken_back = MonotonicClock::now();
+    const size_t row = this->observations.drains.size();
+    this->observations.drains.push_back({data_centre, MonotonicClock::now()});
+    co_await Sleep(step.duration);
+    if (!this->is_finished) {
+      this->observations.drains[row].lifted = MonotonicClock::now();
       this->store.Remove(adapter::test::kOperatorTopic, key);
       this->drained.erase(data_centre);
     }
   }
 
-  asio::awaitable<void> HarmStore(const Step& step) {
-    if (this->store_is_harmed) {
+  asio::awaitable<void> InjectStoreFault(const Step& step) {
+    if (this->has_store_fault) {
       co_return;
     }
-    this->store_is_harmed = true;
-    const size_t row =
-        this->seen.BeginDisturbance(DisturbanceKind::kStore, std::nullopt);
-    this->SetStore(step.fault);
-    co_await Sleep(step.lasts);
+    this->has_store_fault = true;
+    const size_t row = this->observations.BeginDisturbance(
+        DisturbanceKind::kStore, std::nullopt);
+    this->ApplyStoreFault(step.fault);
+    co_await Sleep(step.duration);
     this->store.SetMode(StoreMode::kWell);
-    this->fleet.SetStoreLinks(LinkState::kWell);
-    this->seen.EndDisturbance(row);
-    this->store_is_harmed = false;
+    this->fleet.SetStoreLinks(LinkState::kNormal);
+    this->observations.EndDisturbance(row);
+    this->has_store_fault = false;
   }
 
-  void SetStore(Fault fault) {
+  void ApplyStoreFault(Fault fault) {
     switch (fault) {
       case Fault::kStoreDown:
         this->store.SetMode(StoreMode::kRefusing);
@@ -255,18 +260,18 @@
 
   Plan plan;
   RigOptions options;
-  Observations seen;
+  Observations observations;
   FakeStore store;
   asio::io_context io;
   Upstreams upstreams;
   Fleet fleet;
   Callers callers;
   uint64_t version = 0;
-  bool has_moving_route = true;
+  bool has_toggled_route = true;
   bool is_key_revoked = false;
-  std::set<size_t> drained;  ///< Data centres, now.
-  bool store_is_harmed = false;
-  bool over = false;
+  std::set<size_t> drained;  ///< Data centres drained at present.
+  bool has_store_fault = false;
+  bool is_finished = false;
 };
 
 }  // namespace
--- a/soak/rig.h
+++ b/soak/rig.h
@@ -7,19 +7,20 @@
 #include "plan.h"
 #include "promises.h"
 
-/// One soak: starts nodes as processes, with a platform, upstreams, callers
-/// and an operator of its own, carries out a plan, and tells what was seen.
+/// Runs one soak: starts nodes as processes with an emulated platform,
+/// upstreams, callers and operator, executes a plan, and returns the
+/// observations.
 
 namespace basilsill::soak {
 
 struct RigOptions {
-  std::string program;    ///< The node's.
+  std::string program;    ///< Path of the node executable.
   std::string directory;  ///< For settings and logs; must exist.
   size_t callers = 16;
-  Bounds bounds;  ///< That the nodes are told.
+  Bounds bounds;  ///< Written to the settings of the nodes.
 };
 
-/// Blocks until the plan is done and all processes have ended.
+/// Blocks until the plan is finished and all processes have exited.
 /// @throws std::exception if a process or a listener can't be started.
 Observations RunPlan(const Plan& plan, const RigOptions& options);
 
--- a/soak/sleep.h
+++ b/soak/sleep.h
@@ -11,7 +11,8 @@
 
 namespace basilsill::soak {
 
-/// Waits in a coroutine, on its own executor; a time that has passed is none.
+/// Suspends the calling coroutine for `time`, on its own executor. A negative
+/// time does not wait.
 inline boost::asio::awaitable<void> Sleep(
     std::chrono::steady_clock::duration time) {
   boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor,
--- a/soak/test/promises_test.cc
+++ b/soak/test/promises_test.cc
@@ -1,5 +1,5 @@
-// Tests of the soak's judgement: for each promise, tables in which it was
-// broken on purpose, and those in which what looks alike is allowed.
+// Tests of the promise checks of the soak: for each promise, observations that
+// break it and similar observations that are allowed.
 
 #include "promises.h"
 
@@ -23,26 +23,26 @@
 }  // namespace
 
 TEST_GROUP(Promises) {
-  Observations seen;
+  Observations observations;
   Bounds bounds;
 
   void setup() override {
-    this->seen.ended = kStart + 60s;
+    this->observations.ended = kStart + 60s;
   }
 
-  /// A safe request that was served as it should be.
+  /// Adds a safe request that was served correctly.
   RequestRow& AddServed(const std::string& id, Duration at) {
     RequestRow row;
     row.id = id;
     row.route = "levels";
     row.sent = kStart + at;
     row.ended = row.sent + 40ms;
-    row.ending = Ending::kAnswer;
+    row.outcome = RequestOutcome::kAnswer;
     row.status = 200;
     row.is_own = true;
-    this->seen.requests.push_back(row);
+    this->observations.requests.push_back(row);
     this->AddRun(id, at, 0);
-    return this->seen.requests.back();
+    return this->observations.requests.back();
   }
 
   RequestRow& AddUnsafe(const std::string& id, Duration at) {
@@ -51,79 +51,81 @@
     return row;
   }
 
-  void AddOfTeam(const std::string& id, size_t team, Duration at) {
+  void AddForTeam(const std::string& id, size_t team, Duration at) {
     this->AddServed(id, at).team = team;
   }
 
   void AddRun(const std::string& id, Duration at, size_t upstream) {
-    this->seen.runs.push_back({id, upstream, 0, kStart + at});
+    this->observations.runs.push_back({id, upstream, 0, kStart + at});
   }
 
   void AddArrival(const std::string& id, Duration at) {
-    this->seen.arrivals.push_back({id, 0, 1, kStart + at});
+    this->observations.arrivals.push_back({id, 0, 1, kStart + at});
   }
 
   void Disturb(DisturbanceKind kind, Duration from, Duration to) {
-    this->seen.disturbances.push_back({kind, 0, kStart + from, kStart + to});
+    this->observations.disturbances.push_back(
+        {kind, 0, kStart + from, kStart + to});
   }
 
   bool IsBroken(Promise promise) {
-    const auto found = Judge(this->seen, this->bounds);
+    const auto found = FindViolations(this->observations, this->bounds);
     return std::any_of(found.begin(), found.end(), [promise](const auto& row) {
       return row.promise == promise;
     });
   }
 };
 
-TEST(Promises, Nothing_WasBroken_NothingFound) {
+TEST(Promises, AllPromises_NothingBroken_NothingFound) {
   this->AddServed("a", 1s);
   this->AddUnsafe("b", 1s);
-  CHECK(Judge(this->seen, this->bounds).empty());
+  CHECK(FindViolations(this->observations, this->bounds).empty());
 }
 
-TEST(Promises, OwnAnswer_AnothersBody_Found) {
+TEST(Promises, OwnAnswer_ResponseOfOtherRequest_Found) {
   this->AddServed("a", 1s).is_own = false;
   CHECK(this->IsBroken(Promise::kOwnAnswer));
 }
 
-TEST(Promises, OwnAnswer_AFailureOfTheNode_Allowed) {
+TEST(Promises, OwnAnswer_NodeReturns502_Allowed) {
   RequestRow& row = this->AddServed("a", 1s);
   row.is_own = false;
   row.status = 502;
   CHECK_FALSE(this->IsBroken(Promise::kOwnAnswer));
 }
 
-TEST(Promises, Once_RanOnTwoUpstreams_Found) {
+TEST(Promises, Once_UnsafeRequestRunTwice_Found) {
   this->AddUnsafe("a", 1s);
   this->AddRun("a", 1100ms, 1);
   CHECK(this->IsBroken(Promise::kOnce));
 }
 
-TEST(Promises, Once_ASafeRequestRanTwice_Allowed) {
+TEST(Promises, Once_SafeRequestRunTwice_Allowed) {
   this->AddServed("a", 1s);
   this->AddRun("a", 1100ms, 1);
   CHECK_FALSE(this->IsBroken(Promise::kOnce));
 }
 
-// Refused as not run, and run later by an upstream that had it in its queue.
-TEST(Promises, NotRun_RefusedAndRanLater_Found) {
+// Failure: a request is refused as not executed, and an upstream that had
+// queued it executes it later.
+TEST(Promises, NotRun_RefusedRequestRunLater_Found) {
   this->AddUnsafe("a", 1s).status = 503;
   CHECK(this->IsBroken(Promise::kNotRun));
 }
 
-TEST(Promises, NotRun_FailedWithoutSuchAWord_Allowed) {
+TEST(Promises, NotRun_StatusWithoutGuarantee_Allowed) {
   this->AddUnsafe("a", 1s).status = 504;
   CHECK_FALSE(this->IsBroken(Promise::kNotRun));
 }
 
-TEST(Promises, Leaving_NewWorkAfterTheBound_Found) {
-  this->seen.leaving.push_back({0, kStart + 5s});
+TEST(Promises, Leaving_NewRequestAfterBound_Found) {
+  this->observations.leaving.push_back({0, kStart + 5s});
   this->AddServed("a", 8s);
   CHECK(this->IsBroken(Promise::kLeaving));
 }
 
-TEST(Promises, Leaving_WithinTheBoundOrWhileTheStoreIsDown_Allowed) {
-  this->seen.leaving.push_back({0, kStart + 5s});
+TEST(Promises, Leaving_WithinBoundOrStoreDown_Allowed) {
+  this->observations.leaving.push_back({0, kStart + 5s});
   this->AddServed("a", 6s);
   CHECK_FALSE(this->IsBroken(Promise::kLeaving));
   this->AddServed("b", 8s);
@@ -131,20 +133,20 @@
   CHECK_FALSE(this->IsBroken(Promise::kLeaving));
 }
 
-TEST(Promises, Shutdown_CutsWhatAnUpstreamHad_Found) {
+TEST(Promises, Shutdown_RunningRequestCutOff_Found) {
   this->Disturb(DisturbanceKind::kShutdown, 5s, 8s);
-  this->AddServed("a", 6s).ending = Ending::kBroken;
+  this->AddServed("a", 6s).outcome = RequestOutcome::kBroken;
   CHECK(this->IsBroken(Promise::kShutdown));
 }
 
-TEST(Promises, Shutdown_ClosesOnWhatItDidNotTake_Allowed) {
+TEST(Promises, Shutdown_ConnectionOfUnreadRequestClosed_Allowed) {
   this->Disturb(DisturbanceKind::kShutdown, 5s, 8s);
-  this->AddServed("a", 6s).ending = Ending::kBroken;
-  this->seen.runs.clear();
+  this->AddServed("a", 6s).outcome = RequestOutcome::kBroken;
+  this->observations.runs.clear();
   CHECK_FALSE(this->IsBroken(Promise::kShutdown));
 }
 
-TEST(Promises, Shutdown_OtherNodeGivesUpWhatAnUpstreamHad_Found) {
+TEST(Promises, Shutdown_OtherNodeAborts_Found) {
   this->Disturb(DisturbanceKind::kShutdown, 5s, 8s);
   RequestRow& row = this->AddServed("a", 6s);
   row.node = 1;
@@ -152,49 +154,56 @@
   CHECK(this->IsBroken(Promise::kShutdown));
 }
 
-TEST(Promises, Shutdown_ClosesOnWhatWasPassedOnBehindAnother_Found) {
+TEST(Promises, Shutdown_ForwardedPipelinedRequestCutOff_Found) {
   this->Disturb(DisturbanceKind::kShutdown, 5s, 8s);
   RequestRow& row = this->AddServed("a", 6s);
-  row.ending = Ending::kBroken;
-  row.behind_another = true;
+  row.outcome = RequestOutcome::kBroken;
+  row.is_pipelined = true;
   CHECK(this->IsBroken(Promise::kShutdown));
 }
 
-TEST(Promises, Configuration_DroppedRouteServedTooLong_Found) {
-  this->seen.routes.push_back({"levels", false, kStart + 5s, kStart + 5s});
+TEST(Promises, Configuration_RemovedRouteServedAfterBound_Found) {
+  this->observations.routes.push_back(
+      {"levels", false, kStart + 5s, kStart + 5s});
   this->AddServed("a", 7500ms);
   CHECK(this->IsBroken(Promise::kConfiguration));
 }
 
-TEST(Promises, Configuration_NewRouteUnknownTooLong_Found) {
-  this->seen.routes.push_back({"levels", true, kStart + 5s, kStart + 5s});
+TEST(Promises, Configuration_AddedRouteUnknownAfterBound_Found) {
+  this->observations.routes.push_back(
+      {"levels", true, kStart + 5s, kStart + 5s});
   this->AddServed("a", 7500ms).status = 404;
   CHECK(this->IsBroken(Promise::kConfiguration));
 }
 
-TEST(Promises, Configuration_ChangedAgainMeanwhile_Allowed) {
-  this->seen.routes.push_back({"levels", false, kStart + 5s, kStart + 5s});
-  this->seen.routes.push_back({"levels", true, kStart + 7s, kStart + 7s});
+TEST(Promises, Configuration_ChangedAgainBeforeResponse_Allowed) {
+  this->observations.routes.push_back(
+      {"levels", false, kStart + 5s, kStart + 5s});
+  this->observations.routes.push_back(
+      {"levels", true, kStart + 7s, kStart + 7s});
   this->AddServed("a", 7500ms);
   CHECK_FALSE(this->IsBroken(Promise::kConfiguration));
 }
 
-TEST(Promises, NoReturn_ServedAfterItWasGone_Found) {
-  this->seen.routes.push_back({"levels", true, kStart, kStart});
-  this->seen.routes.push_back({"levels", false, kStart + 5s, kStart + 5s});
+TEST(Promises, NoReturn_ServedAfterNotFound_Found) {
+  this->observations.routes.push_back({"levels", true, kStart, kStart});
+  this->observations.routes.push_back(
+      {"levels", false, kStart + 5s, kStart + 5s});
   this->AddServed("a", 5500ms).status = 404;
   this->AddServed("b", 6500ms);
   CHECK(this->IsBroken(Promise::kNoReturn));
 }
 
-// The route comes, goes, comes and goes, and a node hears of each change late:
-// it says that the route is gone by the first drop, then serves it by what came
-// after that.
-TEST(Promises, NoReturn_LateByTwoChanges_Allowed) {
-  this->seen.routes.push_back({"levels", true, kStart, kStart});
-  this->seen.routes.push_back({"levels", false, kStart + 2s, kStart + 2s});
-  this->seen.routes.push_back({"levels", true, kStart + 5s, kStart + 5s});
-  this->seen.routes.push_back(
+// A route is added, removed, added and removed, and a node applies each change
+// late: its 404 is due to the first removal, and it then serves the route by
+// the second addition. A success after the second removal is a violation.
+TEST(Promises, NoReturn_TwoChangesBehind_Allowed) {
+  this->observations.routes.push_back({"levels", true, kStart, kStart});
+  this->observations.routes.push_back(
+      {"levels", false, kStart + 2s, kStart + 2s});
+  this->observations.routes.push_back(
+      {"levels", true, kStart + 5s, kStart + 5s});
+  this->observations.routes.push_back(
       {"levels", false, kStart + 5300ms, kStart + 5300ms});
   this->AddServed("a", 5400ms).status = 404;
   this->AddServed("b", 6500ms);
@@ -204,16 +213,17 @@
   CHECK(this->IsBroken(Promise::kNoReturn));
 }
 
-TEST(Promises, NoReturn_AnotherProcessOfTheNode_Allowed) {
-  this->seen.routes.push_back({"levels", true, kStart, kStart});
-  this->seen.routes.push_back({"levels", false, kStart + 5s, kStart + 5s});
+TEST(Promises, NoReturn_NodeRestarted_Allowed) {
+  this->observations.routes.push_back({"levels", true, kStart, kStart});
+  this->observations.routes.push_back(
+      {"levels", false, kStart + 5s, kStart + 5s});
   this->AddServed("a", 5500ms).status = 404;
   this->Disturb(DisturbanceKind::kNode, 5600ms, 5900ms);
   this->AddServed("b", 6500ms);
   CHECK_FALSE(this->IsBroken(Promise::kNoReturn));
 }
 
-TEST(Promises, Repeats_MoreThanTheBudget_Found) {
+TEST(Promises, Repeats_AboveBudget_Found) {
   for (int i = 0; i < 30; ++i) {
     const std::string id = std::to_string(i);
     this->AddServed(id, 1s);
@@ -222,7 +232,7 @@
   CHECK(this->IsBroken(Promise::kRepeats));
 }
 
-TEST(Promises, Repeats_WithinTheBudget_Allowed) {
+TEST(Promises, Repeats_WithinBudget_Allowed) {
   for (int i = 0; i < 30; ++i) {
     const std::string id = std::to_string(i);
     this->AddServed(id, 1s);
@@ -233,25 +243,25 @@
   CHECK_FALSE(this->IsBroken(Promise::kRepeats));
 }
 
-TEST(Promises, Recovery_LittleServedLongAfter_Found) {
-  this->seen.all_back = kStart + 5s;
+TEST(Promises, Recovery_FewServedAfterBound_Found) {
+  this->observations.all_restarted = kStart + 5s;
   for (int i = 0; i < 10; ++i) {
     this->AddServed(std::to_string(i), 20s).status = i == 0 ? 200 : 503;
   }
   CHECK(this->IsBroken(Promise::kRecovery));
 }
 
-TEST(Promises, CallerGone_BegunLongAfter_Found) {
+TEST(Promises, CallerGone_StartedAfterBound_Found) {
   for (int i = 0; i < 4; ++i) {
     RequestRow& row = this->AddServed(std::to_string(i), 1s);
-    row.ending = Ending::kCaller;
+    row.outcome = RequestOutcome::kCaller;
     row.ended = row.sent;
-    this->seen.runs.back().began = kStart + 2s;
+    this->observations.runs.back().began = kStart + 2s;
   }
   CHECK(this->IsBroken(Promise::kCallerGone));
 }
 
-TEST(Promises, Timeout_HeldMuchLonger_Found) {
+TEST(Promises, Timeout_AnsweredLongAfterTimeout_Found) {
   for (int i = 0; i < 4; ++i) {
     RequestRow& row = this->AddServed(std::to_string(i), 1s);
     row.ended = row.sent + 2400ms;
@@ -259,14 +269,14 @@
   CHECK(this->IsBroken(Promise::kTimeout));
 }
 
-TEST(Promises, StaysUp_EndedByItself_Found) {
-  this->seen.unasked_ends.push_back({2, kStart + 5s});
+TEST(Promises, StaysUp_UnexpectedExit_Found) {
+  this->observations.unexpected_exits.push_back({2, kStart + 5s});
   CHECK(this->IsBroken(Promise::kStaysUp));
 }
 
 TEST_GROUP(SoakPlan){};
 
-TEST(SoakPlan, Seed_TheSame_GivesTheSamePlan) {
+TEST(SoakPlan, Plan_SameSeed_IsEqual) {
   const Plan a = MakePlan(7, 4, 12s);
   const Plan b = MakePlan(7, 4, 12s);
   CHECK_EQUAL(a.steps.size(), b.steps.size());
@@ -276,7 +286,7 @@
   }
 }
 
-TEST(SoakPlan, Seeds_Many_HaveEveryFault) {
+TEST(SoakPlan, Plan_ManySeeds_HaveEveryFault) {
   std::vector<size_t> counts(static_cast<size_t>(Fault::kCount));
   for (uint64_t seed = 1; seed <= 50; ++seed) {
     for (const Step& step : MakePlan(seed, 4, 12s).steps) {
@@ -286,136 +296,140 @@
   CHECK(std::find(counts.begin(), counts.end(), 0U) == counts.end());
 }
 
-// The operator drains a data centre, and a request reaches an upstream there a
-// second later.
-TEST(Promises, Drained_ArrivalAfterTheBound_Broken) {
-  this->seen.drains.push_back({1, kStart + 10s, kStart + 13s});
+// Failure: a request reaches an upstream in a data centre one second after the
+// drain of that data centre was accepted.
+TEST(Promises, Drained_ArrivalAfterBound_Found) {
+  this->observations.drains.push_back({1, kStart + 10s, kStart + 13s});
   this->AddArrival("in-time", 10100ms);
   this->AddArrival("late", 11s);
   this->AddArrival("back", 13100ms);
-  const auto broken = Judge(this->seen, this->bounds);
+  const auto broken = FindViolations(this->observations, this->bounds);
   CHECK_EQUAL(1, broken.size());
   CHECK(Promise::kDrained == broken[0].promise);
   STRCMP_EQUAL("late", broken[0].ids[0].c_str());
 }
 
-TEST(Promises, Drained_NodePausedMeanwhile_NotJudged) {
-  this->seen.drains.push_back({1, kStart + 10s, kStart + 13s});
+TEST(Promises, Drained_NodePausedDuringDrain_NotChecked) {
+  this->observations.drains.push_back({1, kStart + 10s, kStart + 13s});
   this->AddArrival("late", 11s);
   this->Disturb(DisturbanceKind::kNode, 10s, 11s);
-  CHECK(Judge(this->seen, this->bounds).empty());
+  CHECK(FindViolations(this->observations, this->bounds).empty());
 }
 
-// A node that has heard of nothing for long serves a key that was taken away.
-TEST(Promises, KeyRevoked_ServedAfterTheBound_BrokenWhateverWasDone) {
-  this->seen.keys.push_back({1, kStart + 4s, kStart + 12s});
-  this->AddOfTeam("in-time", 1, 6s);
-  this->AddOfTeam("late", 1, 9s);
-  this->AddOfTeam("other", 0, 9s);
-  this->AddOfTeam("given-back", 1, 13s);
+// Failure: a node that has received no updates for long still serves a revoked
+// key.
+TEST(Promises, KeyRevoked_ServedAfterBoundDespiteFaults_Found) {
+  this->observations.keys.push_back({1, kStart + 4s, kStart + 12s});
+  this->AddForTeam("in-time", 1, 6s);
+  this->AddForTeam("late", 1, 9s);
+  this->AddForTeam("other", 0, 9s);
+  this->AddForTeam("given-back", 1, 13s);
   this->Disturb(DisturbanceKind::kNode, 2s, 12s);
-  const auto broken = Judge(this->seen, this->bounds);
+  const auto broken = FindViolations(this->observations, this->bounds);
   CHECK_EQUAL(1, broken.size());
   CHECK(Promise::kKeyRevoked == broken[0].promise);
   STRCMP_EQUAL("late", broken[0].ids.front().c_str());
 }
 
-// A request waits in a node that stands still until its key is valid again.
-TEST(Promises, KeyRevoked_RunsOnceGivenBack_Kept) {
-  this->seen.keys.push_back({1, kStart + 4s, kStart + 12s});
-  this->AddOfTeam("waited", 1, 11s);
-  this->seen.runs.back().began = kStart + 12s + 1ms;
+// A paused node holds a request until its key is restored.
+TEST(Promises, KeyRevoked_RunAfterRestoration_Allowed) {
+  this->observations.keys.push_back({1, kStart + 4s, kStart + 12s});
+  this->AddForTeam("waited", 1, 11s);
+  this->observations.runs.back().began = kStart + 12s + 1ms;
   CHECK_FALSE(this->IsBroken(Promise::kKeyRevoked));
 }
 
-TEST(Promises, KeyRevoked_RunsJustBeforeItIsGivenBack_Broken) {
-  this->seen.keys.push_back({1, kStart + 4s, kStart + 12s});
-  this->AddOfTeam("early", 1, 11s);
-  this->seen.runs.back().began = kStart + 12s - 1ms;
+TEST(Promises, KeyRevoked_RunJustBeforeRestoration_Found) {
+  this->observations.keys.push_back({1, kStart + 4s, kStart + 12s});
+  this->AddForTeam("early", 1, 11s);
+  this->observations.runs.back().began = kStart + 12s - 1ms;
   CHECK(this->IsBroken(Promise::kKeyRevoked));
 }
 
-// Nodes that can't see each other each serve the whole quota of a team.
-TEST(Promises, TeamQuota_MoreThanTheBound_Broken) {
+// Failure: nodes that are cut off from each other each serve the whole quota of
+// a team.
+TEST(Promises, TeamQuota_AboveBound_Found) {
   for (int i = 0; i < 60; ++i) {
-    this->AddOfTeam("l" + std::to_string(i), 2, 6s + i * 50ms);
+    this->AddForTeam("l" + std::to_string(i), 2, 6s + i * 50ms);
   }
-  const auto broken = Judge(this->seen, this->bounds);
+  const auto broken = FindViolations(this->observations, this->bounds);
   CHECK_EQUAL(1, broken.size());
   CHECK(Promise::kTeamQuota == broken[0].promise);
 }
 
-TEST(Promises, TeamQuota_AsManyAsItMayRun_Kept) {
+TEST(Promises, TeamQuota_AtBound_Allowed) {
   for (int i = 0; i < 59; ++i) {
-    this->AddOfTeam("l" + std::to_string(i), 2, 6s + i * 50ms);
+    this->AddForTeam("l" + std::to_string(i), 2, 6s + i * 50ms);
   }
-  CHECK(Judge(this->seen, this->bounds).empty());
+  CHECK(FindViolations(this->observations, this->bounds).empty());
 }
 
-// A cold upstream gets a request more in a second than it may.
-TEST(Promises, Cold_OneMoreThanTheBound_Broken) {
-  this->seen.colds.push_back({0, kStart + 10s, kStart + 12s});
+// Failure: a cold upstream gets 17 requests in a second; the bound is 16.
+TEST(Promises, Cold_OneAboveBound_Found) {
+  this->observations.cold_periods.push_back({0, kStart + 10s, kStart + 12s});
   for (int i = 0; i < 17; ++i) {
     this->AddArrival(std::to_string(i), 10s + i * 50ms);
   }
-  const auto broken = Judge(this->seen, this->bounds);
+  const auto broken = FindViolations(this->observations, this->bounds);
   CHECK_EQUAL(1, broken.size());
   CHECK(Promise::kCold == broken[0].promise);
 }
 
-TEST(Promises, Cold_AsManyAsItMayGet_Kept) {
-  this->seen.colds.push_back({0, kStart + 10s, kStart + 12s});
+TEST(Promises, Cold_AtBound_Allowed) {
+  this->observations.cold_periods.push_back({0, kStart + 10s, kStart + 12s});
   for (int i = 0; i < 32; ++i) {
     this->AddArrival(std::to_string(i), 10s + i * 63ms);
   }
-  CHECK(Judge(this->seen, this->bounds).empty());
+  CHECK(FindViolations(this->observations, this->bounds).empty());
 }
 
-// An upstream that names a rate limit gets more requests and questions in four
-// seconds than one and a half times that, and five.
-TEST(Promises, RateLimit_OneMoreThanTheBound_Broken) {
-  this->seen.limits.push_back({0, 1, kStart + 10s, kStart + 16s});
+// Failure: an upstream that advertises a rate limit gets more requests and
+// health checks in four seconds than one and a half times the limit plus five.
+TEST(Promises, RateLimit_OneAboveBound_Found) {
+  this->observations.limits.push_back({0, 1, kStart + 10s, kStart + 16s});
   for (int i = 0; i < 6; ++i) {
     this->AddArrival(std::to_string(i), 12s + i * 100ms);
-    this->seen.questions.push_back({"", 0, 1, kStart + 12050ms + i * 100ms});
+    this->observations.health_checks.push_back(
+        {"", 0, 1, kStart + 12050ms + i * 100ms});
   }
-  const auto broken = Judge(this->seen, this->bounds);
+  const auto broken = FindViolations(this->observations, this->bounds);
   CHECK_EQUAL(1, broken.size());
   CHECK(Promise::kRateLimit == broken[0].promise);
 }
 
-TEST(Promises, RateLimit_AsManyAsItMayGet_Kept) {
-  this->seen.limits.push_back({0, 1, kStart + 10s, kStart + 16s});
+TEST(Promises, RateLimit_AtBound_Allowed) {
+  this->observations.limits.push_back({0, 1, kStart + 10s, kStart + 16s});
   for (int i = 0; i < 11; ++i) {
     this->AddArrival(std::to_string(i), 12s + i * 100ms);
   }
-  CHECK(Judge(this->seen, this->bounds).empty());
+  CHECK(FindViolations(this->observations, this->bounds).empty());
 }
 
-// It has not said it yet, or not for long enough to be heard.
-TEST(Promises, RateLimit_BeforeItWasHeard_Kept) {
-  this->seen.limits.push_back({0, 1, kStart + 10s, kStart + 16s});
+// The upstream has not advertised the limit yet, or not for long enough for the
+// nodes to apply it.
+TEST(Promises, RateLimit_BeforeNodesApplyIt_Allowed) {
+  this->observations.limits.push_back({0, 1, kStart + 10s, kStart + 16s});
   for (int i = 0; i < 30; ++i) {
     this->AddArrival(std::to_string(i), 9700ms + i * 20ms);
   }
-  CHECK(Judge(this->seen, this->bounds).empty());
+  CHECK(FindViolations(this->observations, this->bounds).empty());
 }
 
-// Failure: a node goes on saying that it is ready and takes no connection.
-TEST(Promises, ReadyTakes_TwoInARowNotTaken_Broken) {
-  this->seen.connections = {
+// Failure: a node keeps reporting ready and accepts no connection.
+TEST(Promises, ReadyTakes_TwoConsecutiveMisses_Found) {
+  this->observations.connections = {
       {0, kStart, 5ms}, {0, kStart + 1s}, {0, kStart + 2s}};
   CHECK(this->IsBroken(Promise::kReadyTakes));
 }
 
-TEST(Promises, ReadyTakes_OneNotTaken_Kept) {
-  this->seen.connections = {
+TEST(Promises, ReadyTakes_SingleMiss_Allowed) {
+  this->observations.connections = {
       {0, kStart}, {0, kStart + 1s, 5ms}, {0, kStart + 2s}};
   CHECK_FALSE(this->IsBroken(Promise::kReadyTakes));
 }
 
-TEST(Promises, ReadyTakes_WhileTheNodeIsPaused_Kept) {
-  this->seen.connections = {{0, kStart + 1s}, {0, kStart + 2s}};
+TEST(Promises, ReadyTakes_NodePaused_Allowed) {
+  this->observations.connections = {{0, kStart + 1s}, {0, kStart + 2s}};
   this->Disturb(DisturbanceKind::kNode, 500ms, 3s);
   CHECK_FALSE(this->IsBroken(Promise::kReadyTakes));
 }
--- a/soak/upstreams.cc
+++ b/soak/upstreams.cc
@@ -17,19 +17,20 @@
 
 using std::chrono::milliseconds;
 
-// Instances of each service: more than the load needs, so that some can fail.
-constexpr size_t kInstances = 4;
-
-// A leaving instance serves on for the bound, and a little longer.
-constexpr milliseconds kServesOn{3000};
-constexpr milliseconds kPauseBetween{500};
-// The platform takes an entry away after three silent intervals.
-constexpr milliseconds kEntryLapses{4500};
+// Instances of each service. More than the load needs, so that some can fail.
+constexpr size_t kInstancesPerService = 4;
+
+// A draining instance keeps serving for a little longer than the drain bound.
+constexpr milliseconds kDrainTime{3000};
+constexpr milliseconds kRestartPause{500};
+// The platform removes an entry after three missed heartbeat intervals.
+constexpr milliseconds kEntryExpiry{4500};
 constexpr milliseconds kSlowWork{200};
 constexpr double kFaultyShare = 0.5;
 constexpr std::array<double, 4> kLimits = {0, 0.5, 1.7, 6};
-// Beyond the fault's own time: the bound is one of four seconds.
-constexpr milliseconds kLimitLasts{4000};
+// Added to the duration of the fault, as the rate limit bound is checked over a
+// window of four seconds.
+constexpr milliseconds kExtraLimitTime{4000};
 
 }  // namespace
 
@@ -45,163 +46,166 @@
 
 Upstreams::Upstreams(boost::asio::io_context& io,
                      adapter::test::FakeStore& store,
-                     Observations& seen,
+                     Observations& observations,
                      uint64_t seed)
-    : io(io), store(store), seen(seen), seed(seed) {
+    : io(io), store(store), observations(observations), seed(seed) {
   for (size_t service = 0; service < ServiceNames().size(); ++service) {
-    for (size_t i = 0; i < kInstances; ++i) {
-      this->places.push_back(std::make_unique<Place>());
-      Place& place = *this->places.back();
-      place.service = service;
-      place.data_centre = i % DataCentreNames().size();
-      place.proxy = std::make_unique<Proxy>(io, Endpoint{});
-      this->StartInstance(place);
+    for (size_t i = 0; i < kInstancesPerService; ++i) {
+      this->hosts.push_back(std::make_unique<Host>());
+      Host& host = *this->hosts.back();
+      host.service = service;
+      host.data_centre = i % DataCentreNames().size();
+      host.proxy = std::make_unique<Proxy>(io, Endpoint{});
+      this->StartInstance(host);
     }
   }
 }
 
 void Upstreams::Stop() {
   this->stopped = true;
-  this->places.clear();
+  this->hosts.clear();
 }
 
-void Upstreams::StartInstance(Place& place) {
+void Upstreams::StartInstance(Host& host) {
   const size_t number = this->started++;
-  place.number = number;
-  const size_t service = place.service;
-  const size_t data_centre = place.data_centre;
+  host.number = number;
+  const size_t service = host.service;
+  const size_t data_centre = host.data_centre;
   adapter::test::UpstreamHooks hooks;
   hooks.on_arrival = [this, number, data_centre](const std::string& id) {
-    this->seen.arrivals.push_back(
+    this->observations.arrivals.push_back(
         {id, number, data_centre, MonotonicClock::now()});
   };
   hooks.on_run = [this, number, service](const std::string& id) {
-    this->seen.runs.push_back({id, number, service, MonotonicClock::now()});
+    this->observations.runs.push_back(
+        {id, number, service, MonotonicClock::now()});
   };
   hooks.on_health_check = [this, number, data_centre] {
-    this->seen.questions.push_back(
+    this->observations.health_checks.push_back(
         {"", number, data_centre, MonotonicClock::now()});
   };
-  place.instance = std::make_unique<adapter::test::FakeUpstream>(
+  host.instance = std::make_unique<adapter::test::FakeUpstream>(
       this->io, "i-" + std::to_string(number), this->seed + number,
       std::move(hooks));
-  place.proxy->SetTarget(place.instance->endpoint());
-  this->Write(place, "ready");
+  host.proxy->SetTarget(host.instance->endpoint());
+  this->PublishEntry(host, "ready");
 }
 
-void Upstreams::Write(const Place& place, const std::string& state) {
+void Upstreams::PublishEntry(const Host& host, const std::string& state) {
   adapter::test::EntryText entry;
-  entry.address = ToString(place.proxy->endpoint());
-  entry.service = ServiceNames()[place.service];
-  entry.data_centre = DataCentreNames()[place.data_centre];
+  entry.address = ToString(host.proxy->endpoint());
+  entry.service = ServiceNames()[host.service];
+  entry.data_centre = DataCentreNames()[host.data_centre];
   entry.state = state;
-  this->store.Put(adapter::test::kUpstreamTopic, place.instance->id(),
+  this->store.Put(adapter::test::kUpstreamTopic, host.instance->id(),
                   ToText(entry));
 }
 
-boost::asio::awaitable<void> Upstreams::Harm(const Step& step) {
-  Place& place = *this->places[step.target % this->places.size()];
-  if (place.is_busy) {
+boost::asio::awaitable<void> Upstreams::InjectFault(const Step& step) {
+  Host& host = *this->hosts[step.target % this->hosts.size()];
+  if (host.has_fault) {
     co_return;
   }
-  place.is_busy = true;
-  // One that leaves as it should, is cold, or names a rate limit is no
-  // disturbance.
+  host.has_fault = true;
+  // An orderly drain, a cold period and an advertised rate limit are normal
+  // operation, not disturbances.
   std::optional<size_t> row;
   if (step.fault != Fault::kUpstreamLeave &&
       step.fault != Fault::kUpstreamCold &&
       step.fault != Fault::kUpstreamLimit) {
-    row = this->seen.BeginDisturbance(DisturbanceKind::kUpstream, std::nullopt);
+    row = this->observations.BeginDisturbance(DisturbanceKind::kUpstream,
+                                              std::nullopt);
   }
   switch (step.fault) {
     case Fault::kUpstreamCrash:
-      co_await this->Crash(place, step);
+      co_await this->Crash(host, step);
       break;
     case Fault::kUpstreamLeave:
-      co_await this->Leave(place);
+      co_await this->Drain(host);
       break;
     case Fault::kUpstreamCold:
-      co_await this->BeCold(place, step);
+      co_await this->TurnCold(host, step);
       break;
     case Fault::kUpstreamLimit:
-      co_await this->NameLimit(place, step);
+      co_await this->AdvertiseLimit(host, step);
       break;
     case Fault::kLinkSlow:
     case Fault::kLinkReset:
     case Fault::kLinkOneWay:
     case Fault::kLinkSilent:
-      co_await this->HarmLink(place, step);
+      co_await this->InjectLinkFault(host, step);
       break;
     default:
-      co_await this->Misbehave(place, step);
+      co_await this->InjectResponseFault(host, step);
       break;
   }
   if (this->stopped) {
     co_return;
   }
   if (row) {
-    this->seen.EndDisturbance(*row);
+    this->observations.EndDisturbance(*row);
   }
-  place.is_busy = false;
+  host.has_fault = false;
 }
 
-boost::asio::awaitable<void> Upstreams::Crash(Place& place, const Step& step) {
-  const std::string id = place.instance->id();
-  place.instance->Stop();
-  place.proxy->Reset();
-  co_await Sleep(step.lasts);
+boost::asio::awaitable<void> Upstreams::Crash(Host& host, const Step& step) {
+  const std::string id = host.instance->id();
+  host.instance->Stop();
+  host.proxy->Reset();
+  co_await Sleep(step.duration);
   if (this->stopped) {
     co_return;
   }
-  this->StartInstance(place);
-  const size_t number = place.number;
-  co_await Sleep(std::max(milliseconds(0), kEntryLapses - step.lasts));
-  if (!this->stopped && place.number == number) {
+  this->StartInstance(host);
+  const size_t number = host.number;
+  co_await Sleep(std::max(milliseconds(0), kEntryExpiry - step.duration));
+  if (!this->stopped && host.number == number) {
     this->store.Remove(adapter::test::kUpstreamTopic, id);
   }
 }
 
-boost::asio::awaitable<void> Upstreams::Leave(Place& place) {
-  this->Write(place, "draining");
-  this->seen.leaving.push_back({place.number, MonotonicClock::now()});
-  place.instance->behaviour().leaving = true;
-  co_await Sleep(kServesOn);
+boost::asio::awaitable<void> Upstreams::Drain(Host& host) {
+  this->PublishEntry(host, "draining");
+  this->observations.leaving.push_back({host.number, MonotonicClock::now()});
+  host.instance->behaviour().leaving = true;
+  co_await Sleep(kDrainTime);
   if (this->stopped) {
     co_return;
   }
-  this->store.Remove(adapter::test::kUpstreamTopic, place.instance->id());
-  place.instance->Stop();
-  co_await Sleep(kPauseBetween);
+  this->store.Remove(adapter::test::kUpstreamTopic, host.instance->id());
+  host.instance->Stop();
+  co_await Sleep(kRestartPause);
   if (!this->stopped) {
-    this->StartInstance(place);
+    this->StartInstance(host);
   }
 }
 
-// Its entry says nothing of it, only its answer when it is asked.
-boost::asio::awaitable<void> Upstreams::BeCold(Place& place, const Step& step) {
+// The cold state is not in the store entry. The instance reports it only in its
+// health check responses.
+boost::asio::awaitable<void> Upstreams::TurnCold(Host& host, const Step& step) {
   const TimePoint from = MonotonicClock::now();
-  const TimePoint to = from + step.lasts;
-  place.instance->behaviour().cold_until = to;
-  this->seen.colds.push_back({place.number, from, to});
-  co_await Sleep(step.lasts);
+  const TimePoint to = from + step.duration;
+  host.instance->behaviour().cold_until = to;
+  this->observations.cold_periods.push_back({host.number, from, to});
+  co_await Sleep(step.duration);
 }
 
-boost::asio::awaitable<void> Upstreams::NameLimit(Place& place,
-                                                  const Step& step) {
+boost::asio::awaitable<void> Upstreams::AdvertiseLimit(Host& host,
+                                                       const Step& step) {
   const double limit =
-      kLimits.at(step.target / this->places.size() % kLimits.size());
+      kLimits.at(step.target / this->hosts.size() % kLimits.size());
   const TimePoint from = MonotonicClock::now();
-  const TimePoint to = from + step.lasts + kLimitLasts;
-  place.instance->behaviour().rate_limit = limit;
-  this->seen.limits.push_back({place.number, limit, from, to});
+  const TimePoint to = from + step.duration + kExtraLimitTime;
+  host.instance->behaviour().rate_limit = limit;
+  this->observations.limits.push_back({host.number, limit, from, to});
   co_await Sleep(to - from);
   if (!this->stopped) {
-    place.instance->behaviour().rate_limit = std::nullopt;
+    host.instance->behaviour().rate_limit = std::nullopt;
   }
 }
 
-boost::asio::awaitable<void> Upstreams::Misbehave(Place& place,
-                                                  const Step& step) {
+boost::asio::awaitable<void> Upstreams::InjectResponseFault(Host& host,
+                                                            const Step& step) {
   adapter::test::FakeUpstreamBehaviour faulty;
   switch (step.fault) {
     case Fault::kUpstreamSlow:
@@ -217,27 +221,27 @@
       faulty.cutting = kFaultyShare;
       break;
   }
-  place.instance->behaviour() = faulty;
-  co_await Sleep(step.lasts);
+  host.instance->behaviour() = faulty;
+  co_await Sleep(step.duration);
   if (!this->stopped) {
-    place.instance->behaviour() = {};
+    host.instance->behaviour() = {};
   }
 }
 
-boost::asio::awaitable<void> Upstreams::HarmLink(Place& place,
-                                                 const Step& step) {
+boost::asio::awaitable<void> Upstreams::InjectLinkFault(Host& host,
+                                                        const Step& step) {
   static const std::map<Fault, LinkState> states = {
       {Fault::kLinkSlow, LinkState::kSlow},
-      {Fault::kLinkReset, LinkState::kWell},
+      {Fault::kLinkReset, LinkState::kNormal},
       {Fault::kLinkOneWay, LinkState::kOneWay},
       {Fault::kLinkSilent, LinkState::kSilent}};
   if (step.fault == Fault::kLinkReset) {
-    place.proxy->Reset();
+    host.proxy->Reset();
   }
-  place.proxy->SetState(states.at(step.fault));
-  co_await Sleep(step.lasts);
+  host.proxy->SetState(states.at(step.fault));
+  co_await Sleep(step.duration);
   if (!this->stopped) {
-    place.proxy->SetState(LinkState::kWell);
+    host.proxy->SetState(LinkState::kNormal);
   }
 }
 
--- a/soak/upstreams.h
+++ b/soak/upstreams.h
@@ -15,55 +15,57 @@
 #include "plan.h"
 #include "proxy.h"
 
-/// The upstreams of a soak: their entries in the store, their ends and new
-/// starts, and the network before each.
+/// The emulated upstreams of a soak: their entries in the store, their stops
+/// and restarts, and the proxy in front of each.
 
 namespace basilsill::soak {
 
-/// Services by number, as observations have them.
+/// Names of the services, indexed as in Observations.
 const std::vector<std::string>& ServiceNames();
 
-/// The same of data centres.
+/// Names of the data centres, indexed as in Observations.
 const std::vector<std::string>& DataCentreNames();
 
 class Upstreams {
  public:
   Upstreams(boost::asio::io_context& io,
             adapter::test::FakeStore& store,
-            Observations& seen,
+            Observations& observations,
             uint64_t seed);
 
-  /// Carries out a fault of an upstream or of the way to it.
-  boost::asio::awaitable<void> Harm(const Step& step);
+  /// Injects a fault into an upstream or its proxy. Does nothing if the target
+  /// already has a fault.
+  boost::asio::awaitable<void> InjectFault(const Step& step);
 
   void Stop();
 
  private:
-  /// A place that one instance after the other stands at, behind one proxy.
-  struct Place {
+  /// A host that runs one upstream instance at a time, behind one proxy.
+  struct Host {
     size_t service = 0;
     size_t data_centre = 0;
-    size_t number = 0;  ///< Of the instance that stands there now.
+    size_t number = 0;  ///< Of the current instance.
     std::unique_ptr<adapter::test::FakeUpstream> instance;
     std::unique_ptr<Proxy> proxy;
-    bool is_busy = false;  ///< Between two instances.
+    bool has_fault = false;  ///< A fault is in progress on this host.
   };
 
-  void StartInstance(Place& place);
-  void Write(const Place& place, const std::string& state);
-  boost::asio::awaitable<void> Crash(Place& place, const Step& step);
-  boost::asio::awaitable<void> Leave(Place& place);
-  boost::asio::awaitable<void> Misbehave(Place& place, const Step& step);
-  boost::asio::awaitable<void> HarmLink(Place& place, const Step& step);
-  boost::asio::awaitable<void> BeCold(Place& place, const Step& step);
-  boost::asio::awaitable<void> NameLimit(Place& place, const Step& step);
+  void StartInstance(Host& host);
+  void PublishEntry(const Host& host, const std::string& state);
+  boost::asio::awaitable<void> Crash(Host& host, const Step& step);
+  boost::asio::awaitable<void> Drain(Host& host);
+  boost::asio::awaitable<void> InjectResponseFault(Host& host,
+                                                   const Step& step);
+  boost::asio::awaitable<void> InjectLinkFault(Host& host, const Step& step);
+  boost::asio::awaitable<void> TurnCold(Host& host, const Step& step);
+  boost::asio::awaitable<void> AdvertiseLimit(Host& host, const Step& step);
 
   boost::asio::io_context& io;
   adapter::test::FakeStore& store;
-  Observations& seen;
+  Observations& observations;
   uint64_t seed;
   size_t started = 0;
-  std::vector<std::unique_ptr<Place>> places;
+  std::vector<std::unique_ptr<Host>> hosts;
   bool stopped = false;
 };
 
