--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -134,7 +134,7 @@
   const SoakTeam team = TeamOf(caller.number);
   sent.request.key = KeyOf(team);
   sent.request.path = "/" + std::string(route.route) + "/x";
-  sent.request.deadline = this->options.deadline;
+  sent.request.deadline = this->options.request_deadline;
   if (route.kind == RequestKind::kUnsafe) {
     sent.request.method = "POST";
     sent.request.body = "body of " + sent.request.id;
@@ -204,7 +204,7 @@
                                        FakeCaller& connection,
                                        const Sent& sent) {
   const CallerAnswer answer =
-      co_await connection.Receive(sent.request, this->options.deadline);
+      co_await connection.Receive(sent.request, this->options.request_deadline);
   if (!answer.is_whole) {
     this->Finish(sent.row, answer.timed_out ? RequestOutcome::kTimeout
                                             : RequestOutcome::kBroken);
@@ -227,7 +227,7 @@
                                                const Sent& sent) {
   co_await Sleep(DrawPause(caller.random, kPauseAfterFailure));
   connection.Close();
-  this->Finish(sent.row, RequestOutcome::kCaller);
+  this->Finish(sent.row, RequestOutcome::kCallerLeft);
 }
 
 }  // namespace basilsill::soak
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -25,7 +25,7 @@
 struct CallersOptions {
   size_t callers = 0;
   uint64_t seed = 0;
-  std::chrono::milliseconds deadline{2500};  ///< Of every request.
+  std::chrono::milliseconds request_deadline{2500};  ///< Of every request.
 };
 
 class Callers {
--- a/soak/node_process.h
+++ b/soak/node_process.h
@@ -18,8 +18,8 @@
   std::string address;    ///< On loopback, unique to the node.
   std::string directory;  ///< Of its settings file and its log.
   Endpoint store;
-  bool has_low_descriptor_limit =
-      false;  ///< The process limit is below the configured number.
+  /// The process can open fewer file descriptors than its settings allow for.
+  bool has_low_descriptor_limit = false;
   double repeat_slack = 0;
   std::chrono::milliseconds drain{0};
   std::chrono::milliseconds apply{0};
--- a/soak/observations.h
+++ b/soak/observations.h
@@ -24,11 +24,11 @@
 
 /// How a request ended from the point of view of its caller.
 enum class RequestOutcome : uint8_t {
-  kOpen,     ///< Has not ended.
-  kAnswer,   ///< The caller received a complete response.
-  kBroken,   ///< The connection ended without a complete response.
-  kCaller,   ///< The caller disconnected before a response.
-  kTimeout,  ///< No response within the caller's deadline.
+  kOpen,        ///< Has not ended.
+  kAnswer,      ///< The caller received a complete response.
+  kBroken,      ///< The connection ended without a complete response.
+  kCallerLeft,  ///< The caller disconnected before a response.
+  kTimeout,     ///< No response within the caller's deadline.
   kCount
 };
 
@@ -161,7 +161,7 @@
   std::vector<RequestRow> requests;
   std::vector<RunRow> runs;
   std::vector<ArrivalRow> arrivals;
-  std::vector<ArrivalRow> health_checks;  ///< Health checks; without ids.
+  std::vector<ArrivalRow> health_checks;  ///< Without ids.
   std::vector<LeavingRow> leaving;
   std::vector<DrainRow> drains;
   std::vector<ColdRow> cold_periods;
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -20,7 +20,7 @@
   kStoreBusy,
   kStoreSilent,  ///< Accepts calls and answers none.
   kStoreSlow,
-  kStoreRefusesSome,
+  kStoreRefusesSome,  ///< Refuses the connections of one node.
   kUpstreamCrash,
   kUpstreamLeave,  ///< Drains, stops, and is replaced.
   kUpstreamSlow,
@@ -29,7 +29,7 @@
   kAnswersCut,
   kLinkSlow,
   kLinkReset,
-  kLinkOneWay,  ///< The upstream's bytes do not arrive.
+  kLinkOneWay,  ///< Bytes from the upstream are held.
   kLinkSilent,  ///< Stays open and carries no bytes.
   kRouteChange,
   kDataCentreDrain,  ///< Drained for the duration.
@@ -43,7 +43,7 @@
 struct Step {
   Fault fault = Fault::kCount;
   std::chrono::milliseconds at{0};        ///< Since the start of traffic.
-  std::chrono::milliseconds duration{0};  ///< Ignored by faults without one.
+  std::chrono::milliseconds duration{0};  ///< Ignored by instantaneous faults.
   uint32_t target = 0;  ///< Index of the target, modulo their number.
 };
 
--- a/soak/promises.cc
+++ b/soak/promises.cc
@@ -25,7 +25,7 @@
 // Number of late requests that kCallerGone and kTimeout tolerate, as single
 // requests can fall between two observations.
 constexpr size_t kToleratedRequests = 3;
-constexpr size_t kMaxConsecutiveMisses = 2;
+constexpr size_t kMissesUntilViolation = 2;
 
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kBadGateway = 502;
@@ -283,7 +283,7 @@
 
   struct MatchedAnswer {
     const RequestRow* row;
-    size_t change;  ///< Oldest change consistent with it.
+    size_t change;  ///< Oldest change consistent with the response.
   };
 
   void CheckNoReturn(const std::vector<const RequestRow*>& rows) {
@@ -388,7 +388,7 @@
     size_t served = 0;
     for (const RequestRow& row : this->observations.requests) {
       const bool is_relevant =
-          row.sent > from && row.outcome != RequestOutcome::kCaller &&
+          row.sent > from && row.outcome != RequestOutcome::kCallerLeft &&
           row.outcome != RequestOutcome::kOpen && row.status != kNotFound;
       requested += is_relevant ? 1 : 0;
       served += is_relevant && IsSuccess(row) ? 1 : 0;
@@ -403,7 +403,7 @@
   void CheckCallerGone() {
     std::vector<std::string> ids;
     for (const RequestRow& row : this->observations.requests) {
-      if (row.outcome != RequestOutcome::kCaller) {
+      if (row.outcome != RequestOutcome::kCallerLeft) {
         continue;
       }
       const TimePoint bound =
@@ -463,7 +463,7 @@
               {DisturbanceKind::kNode, DisturbanceKind::kShutdown}, row.node,
               row.at, row.at + this->bounds.new_connection_answer);
       missed[row.node] = is_answered || !is_relevant ? 0 : missed[row.node] + 1;
-      if (missed[row.node] == kMaxConsecutiveMisses) {
+      if (missed[row.node] == kMissesUntilViolation) {
         this->Add(Promise::kReadyTakes, {}, row.at,
                   "node " + std::to_string(row.node));
       }
@@ -487,7 +487,7 @@
     }
   }
 
-  // Periods with disturbed links are skipped: a link that recovers delivers at
+  // Disturbed periods are skipped: a link that recovers delivers at
   // once what was sent over several seconds.
   void CheckCold() {
     for (const ColdRow& cold : this->observations.cold_periods) {
--- a/soak/test/promises_test.cc
+++ b/soak/test/promises_test.cc
@@ -254,7 +254,7 @@
 TEST(Promises, CallerGone_StartedAfterBound_Found) {
   for (int i = 0; i < 4; ++i) {
     RequestRow& row = this->AddServed(std::to_string(i), 1s);
-    row.outcome = RequestOutcome::kCaller;
+    row.outcome = RequestOutcome::kCallerLeft;
     row.ended = row.sent;
     this->observations.runs.back().began = kStart + 2s;
   }
