--- a/bench/ablation.cc
+++ b/bench/ablation.cc
@@ -16,8 +16,9 @@
 constexpr double kLostNoise = 0.0005;
 
 StrategySpec Make(const std::string& name, const PolicyFeatures& features) {
-  return {name,
-          [features](World& world) { return MakeFleet(world, features); }};
+  return {name, [features](SimulatedCluster& cluster) {
+            return MakeFleetStrategy(cluster, features);
+          }};
 }
 
 std::string ShortPercent(double share) {
@@ -26,16 +27,18 @@
   return out.str();
 }
 
-void WriteRow(std::ostream& out, const Figures& without, const Figures& whole) {
-  out << "| " << without.strategy << " | " << whole.case_name << " | "
-      << whole.deployment << std::fixed << std::setprecision(1) << " | "
-      << whole.measured.latency.p99 << " -> " << without.measured.latency.p99
-      << " | " << whole.measured.latency.p999 << " -> "
+void WriteRow(std::ostream& out,
+              const Figures& without,
+              const Figures& complete) {
+  out << "| " << without.strategy << " | " << complete.case_name << " | "
+      << complete.deployment << std::fixed << std::setprecision(1) << " | "
+      << complete.measured.latency.p99 << " -> " << without.measured.latency.p99
+      << " | " << complete.measured.latency.p999 << " -> "
       << without.measured.latency.p999 << " | "
-      << ShortPercent(1 - whole.measured.answered) << " -> "
+      << ShortPercent(1 - complete.measured.answered) << " -> "
       << ShortPercent(1 - without.measured.answered) << std::setprecision(3)
-      << " | " << whole.attempts << " -> " << without.attempts << " | "
-      << whole.goodput << " -> " << without.goodput << " |\n";
+      << " | " << complete.attempts << " -> " << without.attempts << " | "
+      << complete.goodput << " -> " << without.goodput << " |\n";
 }
 
 bool Differs(double a, double b, double scale) {
@@ -66,13 +69,13 @@
   out << "\n| without | case | deployment | p99 | p99.9 | no answer | attempts"
          " | goodput |\n|---|---|---|---|---|---|---|---|\n";
   for (const StrategySpec& strategy : AblatedStrategies()) {
-    const Figures* whole = nullptr;
+    const Figures* complete = nullptr;
     size_t differing = 0;
     for (const Figures& row : results) {
-      whole = row.strategy == kOwnStrategy ? &row : whole;
-      if (row.strategy == strategy.name && &row != whole &&
-          Differs(row, *whole)) {
-        WriteRow(out, row, *whole);
+      complete = row.strategy == kOwnStrategy ? &row : complete;
+      if (row.strategy == strategy.name && &row != complete &&
+          Differs(row, *complete)) {
+        WriteRow(out, row, *complete);
         ++differing;
       }
     }
--- a/bench/bounds.cc
+++ b/bench/bounds.cc
@@ -20,11 +20,11 @@
 
 // Bulk and background requests wait by design, and by how much swings with
 // every change.
-constexpr double kPatientMargin = 0.25;
+constexpr double kBackgroundMargin = 0.25;
 
 // Room of figures whose last measured value is next to nothing.
-constexpr double kAttemptsRoom = 0.05;
-constexpr double kLateRoom = 0.1;
+constexpr double kMinAttemptsMargin = 0.05;
+constexpr double kMinLateMargin = 0.1;
 
 // Bars of all cases together.
 constexpr double kBaselineBar = 1.0;
@@ -63,7 +63,7 @@
     }
     if (checked.attempts != kNoBar) {
       this->Add(own, "attempts_per_request", own.attempts, checked.attempts)
-          .room = kAttemptsRoom;
+          .min_margin = kMinAttemptsMargin;
     }
     if (checked.deaths != kNoBar) {
       this->Add(own, "deaths", static_cast<double>(own.deaths), checked.deaths);
@@ -71,7 +71,7 @@
     if (checked.last_late_seconds != kNoBar) {
       this->Add(own, "last_late_submission_s",
                 InSeconds(own.last_late_submission), checked.last_late_seconds)
-          .room = kLateRoom;
+          .min_margin = kMinLateMargin;
     }
   }
 
@@ -81,12 +81,12 @@
       return;
     }
     this->Add(own, "p99_to_oracle", WorstRatio(own, *oracle, true), bar);
-    const double others = WorstRatio(own, *oracle, false);
-    if (others > 0) {
-      this->Add(own, "bulk_and_background_p99_to_oracle", others).margin =
-          kPatientMargin;
+    const double unmeasured = WorstRatio(own, *oracle, false);
+    if (unmeasured > 0) {
+      this->Add(own, "bulk_and_background_p99_to_oracle", unmeasured).margin =
+          kBackgroundMargin;
       this->Add(own, "bulk_and_background_without_answer", WorstLoss(own))
-          .margin = kPatientMargin;
+          .margin = kBackgroundMargin;
     }
   }
 
@@ -116,9 +116,9 @@
   void AddBaselines(const Figures& own) {
     double best = std::numeric_limits<double>::max();
     for (const Figures& other : this->results) {
-      const bool beside = other.case_name == own.case_name &&
-                          other.deployment == own.deployment;
-      if (beside && other.strategy != kOwnStrategy &&
+      const bool same_case = other.case_name == own.case_name &&
+                             other.deployment == own.deployment;
+      if (same_case && other.strategy != kOwnStrategy &&
           other.strategy != kOracle) {
         best = std::min(best, other.measured.latency.p99);
       }
@@ -252,7 +252,8 @@
 
 void SetBounds(std::vector<Check>& checks) {
   for (Check& check : checks) {
-    const double margin = std::max(check.value * check.margin, check.room);
+    const double margin =
+        std::max(check.value * check.margin, check.min_margin);
     check.bound = check.at_least ? check.value - margin : check.value + margin;
     if (check.bar == kNoBar || check.MissesBar()) {
       continue;
@@ -302,7 +303,7 @@
   }
 }
 
-size_t WriteVerdict(std::ostream& out, const std::vector<Check>& checks) {
+size_t WriteCheckResults(std::ostream& out, const std::vector<Check>& checks) {
   size_t missed = 0;
   size_t broken = 0;
   out << std::setprecision(4)
--- a/bench/bounds.h
+++ b/bench/bounds.h
@@ -25,7 +25,7 @@
   /// so much. The figures are the same on every run; the room is for changes
   /// of the code that are no regression.
   double margin = 0.05;
-  double room = 0.001;
+  double min_margin = 0.001;
 
   bool MissesBar() const;
   bool BreaksBound() const;
@@ -52,7 +52,7 @@
 
 /// Writes a table of all checks, then the bars missed and bounds broken.
 /// @returns the number of broken bounds.
-size_t WriteVerdict(std::ostream& out, const std::vector<Check>& checks);
+size_t WriteCheckResults(std::ostream& out, const std::vector<Check>& checks);
 
 }  // namespace basilsill::bench
 
--- a/bench/capacity_bench.cc
+++ b/bench/capacity_bench.cc
@@ -49,24 +49,25 @@
     value_sum += point.value;
   }
   const auto count = static_cast<double>(points.size());
-  const double middle = size_sum / count;
-  const double mean = value_sum / count;
+  const double size_mean = size_sum / count;
+  const double value_mean = value_sum / count;
   double covariance = 0;
   double variance = 0;
-  double spread = 0;
+  double total_variance = 0;
   for (const Point& point : points) {
-    covariance += (point.size - middle) * (point.value - mean);
-    variance += (point.size - middle) * (point.size - middle);
-    spread += (point.value - mean) * (point.value - mean);
+    covariance += (point.size - size_mean) * (point.value - value_mean);
+    variance += (point.size - size_mean) * (point.size - size_mean);
+    total_variance += (point.value - value_mean) * (point.value - value_mean);
   }
   const double slope = covariance / variance;
-  const double explained = spread > 0 ? slope * covariance / spread : 1;
+  const double r_squared =
+      total_variance > 0 ? slope * covariance / total_variance : 1;
   std::printf("| %-34s | %-5s |", name, unit);
   for (const Point& point : points) {
     std::printf(" %.4g |", point.value);
   }
-  std::printf(" %.4g + %.4g n | %.3f |\n", mean - slope * middle, slope,
-              explained);
+  std::printf(" %.4g + %.4g n | %.3f |\n", value_mean - slope * size_mean,
+              slope, r_squared);
 }
 
 void PrintHeader(const char* axis, std::span<const size_t> sizes) {
@@ -125,12 +126,12 @@
   return static_cast<double>(AllocationsSoFar().live_bytes - before);
 }
 
-Size SizeOf(size_t instances) {
+InstallationSize SizeOf(size_t instances) {
   return {instances, std::max<size_t>(instances / kInstancesPerService, 1)};
 }
 
 template <typename Load>
-std::unique_ptr<Load> Warmed(const RoutingViewPtr& view) {
+std::unique_ptr<Load> MakeWarmedUp(const RoutingViewPtr& view) {
   auto load = std::make_unique<Load>(view);
   for (int i = 0; i < kSteps; ++i) {
     load->Step();
@@ -140,14 +141,14 @@
 
 template <typename Load>
 double StepMicros(size_t instances) {
-  const auto load = Warmed<Load>(MakeSizedView(SizeOf(instances)));
+  const auto load = MakeWarmedUp<Load>(MakeSizedView(SizeOf(instances)));
   return MicrosOf(kSteps, [&load] { load->Step(); });
 }
 
 template <typename Load>
 double StateBytes(size_t instances) {
   const RoutingViewPtr view = MakeSizedView(SizeOf(instances));
-  return BytesOf([&view] { return Warmed<Load>(view); });
+  return BytesOf([&view] { return MakeWarmedUp<Load>(view); });
 }
 
 /// The configuration and the VMs of a whole installation: for each service a
@@ -165,7 +166,7 @@
       row.data_centre = this->data_centres[i % kDataCentres].handle;
       this->vms.push_back(row);
     }
-    const Size size = SizeOf(instances);
+    const InstallationSize size = SizeOf(instances);
     for (size_t i = 0; i < size.services; ++i) {
       this->AddService("service-" + std::to_string(i),
                        size.instances / size.services);
@@ -212,16 +213,19 @@
     this->Put(test::TeamOf("team-" + name));
     this->Put(test::ServiceOf(name, "team-" + name));
     this->Put(test::RuleOf(name, name, "/" + name));
-    for (size_t place = 0; place < kDataCentres; ++place) {
-      UpstreamSetSpec spec{name, this->data_centres[place].name, {}};
-      for (size_t i = place; i < instances; i += kDataCentres) {
+    for (size_t data_centre_index = 0; data_centre_index < kDataCentres;
+         ++data_centre_index) {
+      UpstreamSetSpec spec{
+          name, this->data_centres[data_centre_index].name, {}};
+      for (size_t i = data_centre_index; i < instances; i += kDataCentres) {
         ++this->addresses;
         spec.instances.push_back(
             {{"10.0." + std::to_string(this->addresses / 250) + "." +
                   std::to_string(this->addresses % 250),
               80}});
       }
-      this->Put({name + "-" + std::to_string(place), std::move(spec)});
+      this->Put(
+          {name + "-" + std::to_string(data_centre_index), std::move(spec)});
     }
   }
 
@@ -235,7 +239,7 @@
   return std::max<size_t>(instances / kInstancesPerVm, kDataCentres);
 }
 
-double FoldMicros(size_t instances) {
+double ApplyChangeMicros(size_t instances) {
   Installation installation(instances, VmsFor(instances));
   return MicrosOf(1000, [&] { installation.ChangeOneSet(); });
 }
@@ -243,15 +247,16 @@
 /// Processor time of a view after one change, without that of the change.
 double ViewMicros(size_t instances) {
   Installation installation(instances, VmsFor(instances));
-  const double fold = MicrosOf(1000, [&] { installation.ChangeOneSet(); });
+  const double apply_only =
+      MicrosOf(1000, [&] { installation.ChangeOneSet(); });
   const double both = MicrosOf(20, [&] {
     installation.ChangeOneSet();
     installation.Build();
   });
-  return both - fold;
+  return both - apply_only;
 }
 
-double RankMicros(size_t instances, size_t vms) {
+double VmChangeMicros(size_t instances, size_t vms) {
   Installation installation(instances, vms);
   return MicrosOf(5, [&] {
     installation.ChangeOneVm();
@@ -296,8 +301,8 @@
 }
 
 /// A VM's membership after it read a list of `vms`.
-struct Fleet {
-  Fleet(size_t vms, size_t self) {
+struct FleetMembership {
+  FleetMembership(size_t vms, size_t self) {
     std::vector<ListedVm> listed;
     for (size_t i = 0; i < vms; ++i) {
       listed.push_back({"vm-" + std::to_string(i),
@@ -337,7 +342,7 @@
 double LinksPerVm(size_t vms) {
   std::set<std::pair<std::string, std::string>> pairs;
   for (size_t self = 0; self < vms; ++self) {
-    const Fleet fleet(vms, self);
+    const FleetMembership fleet(vms, self);
     const std::string own = "vm-" + std::to_string(self);
     for (const MembershipAction& action : fleet.members->actions()) {
       if (action.kind == MembershipActionKind::kOpenLink) {
@@ -349,16 +354,16 @@
 }
 
 double TickMicros(size_t vms) {
-  Fleet fleet(vms, 0);
+  FleetMembership fleet(vms, 0);
   return MicrosOf(10, [&fleet] {
     fleet.Step();
     fleet.members->ClearActions();
   });
 }
 
-double FleetBytes(size_t vms) {
+double MembershipBytes(size_t vms) {
   return BytesOf([vms] {
-    auto fleet = std::make_unique<Fleet>(vms, 0);
+    auto fleet = std::make_unique<FleetMembership>(vms, 0);
     fleet->members->ClearActions();
     return fleet;
   });
@@ -391,22 +396,22 @@
 
 void ReportConfiguration() {
   PrintHeader("instances", kInstances);
-  Report("fold of a change", "us", kInstances, FoldMicros);
+  Report("fold of a change", "us", kInstances, ApplyChangeMicros);
   Report("view after a change", "us", kInstances, ViewMicros);
   Report("record of a change", "bytes", kInstances, RecordOctets);
   Report("configuration and its view", "bytes", kInstances, ConfigurationBytes);
   Report("checkpoint", "bytes", kInstances, CheckpointOctets);
   Report("reading a checkpoint", "us", kInstances, CheckpointReadMicros);
   Report("view after a VM left, 240 VMs", "us", kInstances,
-         [](size_t instances) { return RankMicros(instances, 240); });
+         [](size_t instances) { return VmChangeMicros(instances, 240); });
 }
 
 void ReportMembership() {
   PrintHeader("VMs", kVms);
   Report("view after a VM left, 14,000 inst.", "us", kVms,
-         [](size_t vms) { return RankMicros(kTargetSize.instances, vms); });
+         [](size_t vms) { return VmChangeMicros(kTargetSize.instances, vms); });
   Report("membership, a tick", "us", kVms, TickMicros);
-  Report("membership, state", "bytes", kVms, FleetBytes);
+  Report("membership, state", "bytes", kVms, MembershipBytes);
   Report("control links of a VM", "", kVms, LinksPerVm);
 }
 
--- a/bench/claims_bench.cc
+++ b/bench/claims_bench.cc
@@ -93,14 +93,14 @@
   }
 
   ClaimFigures Run() {
-    this->Arrive();
+    this->ScheduleArrival();
     this->time.RunUntil(test::VirtualTime::kStart + kWarmUp + kMeasured);
     return this->Summarize();
   }
 
  private:
   struct Pending {
-    TimePoint asked_at;
+    TimePoint submitted_at;
     ClaimKey key;
     size_t vm = 0;
   };
@@ -116,23 +116,23 @@
 
   void Tick(size_t vm) {
     this->tables[vm]->Tick(this->time.now(), this->WallNow());
-    this->CarryOut(vm);
+    this->ExecuteActions(vm);
     this->time.After(kControlTick, [this, vm] { this->Tick(vm); });
   }
 
-  void Arrive() {
+  void ScheduleArrival() {
     const double gap =
         -std::log(1 - this->random() / 4294967296.0) / this->run.offered;
     this->time.After(std::chrono::duration_cast<Duration>(
                          std::chrono::duration<double>(gap)),
                      [this] {
-                       this->Ask();
-                       this->Arrive();
+                       this->SubmitClaim();
+                       this->ScheduleArrival();
                      });
   }
 
-  void Ask() {
-    const uint64_t id = ++this->asked;
+  void SubmitClaim() {
+    const uint64_t id = ++this->submitted;
     ClaimRequest request;
     request.key =
         ParseClaimKey(
@@ -149,10 +149,10 @@
                           : this->random(static_cast<uint32_t>(this->run.vms));
     this->pending[id] = {this->time.now(), request.key, vm};
     this->tables[vm]->Request(this->time.now(), this->WallNow(), request);
-    this->CarryOut(vm);
+    this->ExecuteActions(vm);
   }
 
-  void CarryOut(size_t vm) {
+  void ExecuteActions(size_t vm) {
     const std::vector<ClaimAction> actions = this->tables[vm]->actions();
     this->tables[vm]->ClearActions();
     for (const ClaimAction& action : actions) {
@@ -188,7 +188,7 @@
       this->log.Append(action.stream, action.records);
       this->tables[vm]->OnAppend(this->time.now(), action.call,
                                  AppendOutcome::kAppended);
-      this->CarryOut(vm);
+      this->ExecuteActions(vm);
     });
   }
 
@@ -197,7 +197,7 @@
       // Delivered on its own: the log may be in the middle of an append.
       this->time.After(Duration::zero(), [this, vm, call, read] {
         this->tables[vm]->OnRead(this->time.now(), call, read);
-        this->CarryOut(vm);
+        this->ExecuteActions(vm);
       });
     };
     const ClaimRead read =
@@ -213,7 +213,7 @@
     const Pending granted = this->pending.at(action.cookie);
     this->pending.erase(action.cookie);
     if (this->IsMeasured()) {
-      this->latencies.push_back(this->time.now() - granted.asked_at);
+      this->latencies.push_back(this->time.now() - granted.submitted_at);
     }
     this->time.After(kServiceTime, [this, granted, attempt = action.attempt] {
       this->tables[granted.vm]->Finish(
@@ -223,7 +223,7 @@
                              ClaimOutcome::kDone,
                              {200, true, {}, std::string(kAnswerBytes, 'x')},
                              0});
-      this->CarryOut(granted.vm);
+      this->ExecuteActions(granted.vm);
     });
   }
 
@@ -255,7 +255,7 @@
   std::vector<std::unique_ptr<ClaimTable>> tables;
   std::map<uint64_t, Pending> pending;
   std::vector<Duration> latencies;
-  uint64_t asked = 0;
+  uint64_t submitted = 0;
   double refused = 0;
   double appends = 0;
   double records = 0;
@@ -296,9 +296,9 @@
       "| %6.0f |\n",
       run.name, run.offered, figures.granted, figures.refused, figures.p50,
       figures.p99, figures.appends, figures.records, figures.kilobytes);
-  const bool kept = figures.p99 <= run.max_p99 &&
-                    figures.granted >= run.min_granted * run.offered;
-  return kept;
+  const bool within_bounds = figures.p99 <= run.max_p99 &&
+                             figures.granted >= run.min_granted * run.offered;
+  return within_bounds;
 }
 
 int Main(int argc, char** argv) {
@@ -311,14 +311,14 @@
   std::printf(
       "| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: "
       "|\n");
-  bool kept = true;
+  bool within_bounds = true;
   for (const ClaimCase& run : kCases) {
-    kept &= Report(run, ClaimRun(run).Run());
+    within_bounds &= Report(run, ClaimRun(run).Run());
   }
   const double bytes = MeasureBytesPerKey();
   std::printf("\nbytes of memory a key: %.0f\n", bytes);
-  kept &= bytes <= kMaxBytesPerKey;
-  return check.getValue() && !kept ? 1 : 0;
+  within_bounds &= bytes <= kMaxBytesPerKey;
+  return check.getValue() && !within_bounds ? 1 : 0;
 }
 
 }  // namespace
--- a/bench/decision_bench.cc
+++ b/bench/decision_bench.cc
@@ -14,7 +14,7 @@
 constexpr int kRepetitions = 9;
 constexpr int kInstancesPerService = 40;
 
-Size SizeOf(const benchmark::State& state) {
+InstallationSize SizeOf(const benchmark::State& state) {
   return {static_cast<size_t>(state.range(0)),
           static_cast<size_t>(state.range(1))};
 }
--- a/bench/decision_cost.cc
+++ b/bench/decision_cost.cc
@@ -21,8 +21,10 @@
 constexpr double kNoAllocation = 0;
 
 /// The target size with half of the instances, or half of the services.
-constexpr Size kHalfInstances{kTargetSize.instances / 2, kTargetSize.services};
-constexpr Size kHalfServices{kTargetSize.instances, kTargetSize.services / 2};
+constexpr InstallationSize kHalfInstances{kTargetSize.instances / 2,
+                                          kTargetSize.services};
+constexpr InstallationSize kHalfServices{kTargetSize.instances,
+                                         kTargetSize.services / 2};
 
 template <typename Load>
 double AllocationsPerStep() {
@@ -46,12 +48,12 @@
   return static_cast<double>(AllocationsSoFar().live_bytes - before);
 }
 
-double ViewBytes(const Size& size) {
+double ViewBytes(const InstallationSize& size) {
   return BytesOf([&size] { return MakeSizedView(size); });
 }
 
 /// Bytes of a VM's dispatcher and entry router, all its shards in use.
-double StateBytes(const Size& size) {
+double StateBytes(const InstallationSize& size) {
   const RoutingViewPtr view = MakeSizedView(size);
   const auto use = [](auto load) {
     for (int i = 0; i < kWarmUpSteps; ++i) {
@@ -120,7 +122,7 @@
   if (!check.getValue().empty()) {
     ReadBounds(check.getValue(), checks);
   }
-  return WriteVerdict(std::cout, checks) > 0 ? 1 : 0;
+  return WriteCheckResults(std::cout, checks) > 0 ? 1 : 0;
 }
 
 }  // namespace
--- a/bench/decision_load.cc
+++ b/bench/decision_load.cc
@@ -13,10 +13,10 @@
 /// Time between two requests at an entry VM: 1.1 million a second over 240.
 constexpr Duration kEntryGap = std::chrono::microseconds(218);
 
-constexpr size_t kMostRunning = limits::kMaxRequestsPerWorker;
+constexpr size_t kMaxRunning = limits::kMaxRequestsPerWorker;
 
 /// Share of the slots that the load keeps occupied.
-constexpr double kOccupied = 0.85;
+constexpr double kOccupancy = 0.85;
 
 TrafficClass ClassOf(Random& random) {
   return static_cast<TrafficClass>(
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-RoutingViewPtr MakeSizedView(const Size& size) {
+RoutingViewPtr MakeSizedView(const InstallationSize& size) {
   Deployment deployment;
   for (size_t i = 0; i < kDataCentres; ++i) {
     deployment.data_centres.push_back("dc-" + std::to_string(i));
@@ -45,7 +45,7 @@
 }
 
 DispatchLoad::DispatchLoad(const RoutingViewPtr& view)
-    : target(Dispatcher::Create({})), running(kMostRunning) {
+    : target(Dispatcher::Create({})), running(kMaxRunning) {
   this->target->ApplyView(this->now, view);
   size_t slots = 0;
   for (const auto& service : view->services) {
@@ -57,7 +57,7 @@
     }
   }
   const auto occupied =
-      static_cast<size_t>(kOccupied * static_cast<double>(slots));
+      static_cast<size_t>(kOccupancy * static_cast<double>(slots));
   this->gap = kServiceTime / std::max<size_t>(occupied, 1);
   for (size_t i = 0; i < occupied; ++i) {
     this->OfferOne();
@@ -69,7 +69,7 @@
   this->OfferOne();
   if (this->now >= this->next_tick) {
     this->target->Tick(this->now);
-    this->TakeActions();
+    this->ProcessActions();
     this->next_tick = this->now + limits::kWorkerTick;
   }
 }
@@ -85,7 +85,7 @@
   request.deadline = this->now + limits::kDefaultDeadline;
   request.idempotent = true;
   this->target->Offer(this->now, request);
-  this->TakeActions();
+  this->ProcessActions();
 }
 
 void DispatchLoad::EndOne() {
@@ -100,10 +100,10 @@
   report.end = AttemptEnd::kAnswered;
   report.status = 200;
   this->target->OnAttemptEnd(this->now, attempt, report);
-  this->TakeActions();
+  this->ProcessActions();
 }
 
-void DispatchLoad::TakeActions() {
+void DispatchLoad::ProcessActions() {
   for (const DispatchAction& action : this->target->actions()) {
     if (action.kind == DispatchActionKind::kStart) {
       this->running[(this->first + this->count) % this->running.size()] =
--- a/bench/decision_load.h
+++ b/bench/decision_load.h
@@ -16,16 +16,16 @@
 namespace basilsill::bench {
 
 /// A size of the installation, in the proportions of the one aimed for.
-struct Size {
+struct InstallationSize {
   size_t instances = 0;
   size_t services = 0;
 };
 
-inline constexpr Size kTargetSize{14000, 350};
+inline constexpr InstallationSize kTargetSize{14000, 350};
 
 /// @returns the view of one VM of 12, one in each of 12 data centres, so that
 /// each VM dispatches for all services of its data centre.
-RoutingViewPtr MakeSizedView(const Size& size);
+RoutingViewPtr MakeSizedView(const InstallationSize& size);
 
 /// Keeps a dispatcher's slots mostly occupied, with some requests waiting.
 class DispatchLoad {
@@ -48,7 +48,7 @@
 
   void OfferOne();
   void EndOne();
-  void TakeActions();
+  void ProcessActions();
 
   std::unique_ptr<Dispatcher> target;
   std::vector<Shard> shards;           ///< Those that this VM dispatches for.
--- a/bench/figures.cc
+++ b/bench/figures.cc
@@ -31,10 +31,10 @@
   figures.answered = ShareOf(flows, {OutcomeKind::kAnswered}, all);
   figures.failed = ShareOf(flows, {OutcomeKind::kFailed}, all);
   figures.refused = ShareOf(flows, {OutcomeKind::kRefused}, all);
-  figures.unknown = ShareOf(
-      flows,
-      {OutcomeKind::kUnknown, OutcomeKind::kGivenUp, OutcomeKind::kEntryLost},
-      all);
+  figures.unknown = ShareOf(flows,
+                            {OutcomeKind::kUnknown, OutcomeKind::kCallerTimeout,
+                             OutcomeKind::kEntryLost},
+                            all);
   return figures;
 }
 
--- a/bench/model/baselines.cc
+++ b/bench/model/baselines.cc
@@ -14,44 +14,45 @@
 /// Bytes of a report's request and answer over HTTP, heads included.
 constexpr size_t kReportBytes = 300;
 
-const std::vector<size_t>& InstancesOf(const World& world, size_t service) {
-  return world.deployment().services.at(service).instances;
+const std::vector<size_t>& InstancesOf(const SimulatedCluster& cluster,
+                                       size_t service) {
+  return cluster.deployment().services.at(service).instances;
 }
 
 class RandomPicker : public Picker {
  public:
-  explicit RandomPicker(World& world) : world(world) {}
+  explicit RandomPicker(SimulatedCluster& cluster) : cluster(cluster) {}
 
   size_t Pick(size_t, size_t service) override {
-    const std::vector<size_t>& all = InstancesOf(this->world, service);
+    const std::vector<size_t>& all = InstancesOf(this->cluster, service);
     return all[DrawIndex(this->random, all.size())];
   }
 
  protected:
-  World& world;
+  SimulatedCluster& cluster;
   Random random{kPickSeed};
 };
 
 class RoundRobinPicker : public RandomPicker {
  public:
-  explicit RoundRobinPicker(World& world)
-      : RandomPicker(world),
-        next(world.deployment().vms.size(),
-             std::vector<size_t>(world.deployment().services.size())) {
+  explicit RoundRobinPicker(SimulatedCluster& cluster)
+      : RandomPicker(cluster),
+        next(cluster.deployment().vms.size(),
+             std::vector<size_t>(cluster.deployment().services.size())) {
     for (std::vector<size_t>& of_vm : this->next) {
       for (size_t& position : of_vm) {
-        position = DrawIndex(this->random, kStartingPoints);
+        position = DrawIndex(this->random, kStartPositions);
       }
     }
   }
 
   size_t Pick(size_t vm, size_t service) override {
-    const std::vector<size_t>& all = InstancesOf(this->world, service);
+    const std::vector<size_t>& all = InstancesOf(this->cluster, service);
     return all[this->next[vm][service]++ % all.size()];
   }
 
  private:
-  static constexpr size_t kStartingPoints = 1000;
+  static constexpr size_t kStartPositions = 1000;
 
   std::vector<std::vector<size_t>> next;
 };
@@ -59,22 +60,23 @@
 /// Counts what each VM itself has in flight.
 class OwnCountPicker : public RandomPicker {
  public:
-  explicit OwnCountPicker(World& world)
-      : RandomPicker(world),
-        own(world.deployment().vms.size(),
-            std::vector<uint32_t>(world.deployment().instances.size())) {}
+  explicit OwnCountPicker(SimulatedCluster& cluster)
+      : RandomPicker(cluster),
+        own_in_flight(
+            cluster.deployment().vms.size(),
+            std::vector<uint32_t>(cluster.deployment().instances.size())) {}
 
   void OnEnd(size_t vm, size_t instance, Duration) override {
-    --this->own[vm][instance];
+    --this->own_in_flight[vm][instance];
   }
 
  protected:
-  size_t Take(size_t vm, size_t instance) {
-    ++this->own[vm][instance];
+  size_t CountPick(size_t vm, size_t instance) {
+    ++this->own_in_flight[vm][instance];
     return instance;
   }
 
-  std::vector<std::vector<uint32_t>> own;
+  std::vector<std::vector<uint32_t>> own_in_flight;
 };
 
 class LeastInFlightPicker : public OwnCountPicker {
@@ -82,19 +84,19 @@
   using OwnCountPicker::OwnCountPicker;
 
   size_t Pick(size_t vm, size_t service) override {
-    const std::vector<size_t>& all = InstancesOf(this->world, service);
+    const std::vector<size_t>& all = InstancesOf(this->cluster, service);
     size_t best = all[0];
     size_t ties = 0;
     for (const size_t instance : all) {
-      const uint32_t mine = this->own[vm][instance];
-      const uint32_t least = this->own[vm][best];
+      const uint32_t mine = this->own_in_flight[vm][instance];
+      const uint32_t least = this->own_in_flight[vm][best];
       ties = mine < least ? 1 : ties + (mine == least ? 1 : 0);
       if (mine < least ||
           (mine == least && DrawIndex(this->random, ties) == 0)) {
         best = instance;
       }
     }
-    return this->Take(vm, best);
+    return this->CountPick(vm, best);
   }
 };
 
@@ -103,36 +105,37 @@
   using OwnCountPicker::OwnCountPicker;
 
   size_t Pick(size_t vm, size_t service) override {
-    const std::vector<size_t>& all = InstancesOf(this->world, service);
+    const std::vector<size_t>& all = InstancesOf(this->cluster, service);
     const size_t first = DrawIndex(this->random, all.size());
     size_t second = DrawIndex(this->random, all.size() - 1);
     second += second >= first ? 1 : 0;
-    const bool keep = this->own[vm][all[first]] <= this->own[vm][all[second]];
-    return this->Take(vm, all[keep ? first : second]);
+    const bool keep = this->own_in_flight[vm][all[first]] <=
+                      this->own_in_flight[vm][all[second]];
+    return this->CountPick(vm, all[keep ? first : second]);
   }
 };
 
 /// Weighs by load reports that each VM polls.
 class StaleWeightsPicker : public RandomPicker {
  public:
-  explicit StaleWeightsPicker(World& world)
-      : RandomPicker(world),
-        weights(world.deployment().vms.size(),
-                std::vector<double>(world.deployment().instances.size(), 1)) {
+  explicit StaleWeightsPicker(SimulatedCluster& cluster)
+      : RandomPicker(cluster),
+        weights(cluster.deployment().vms.size(),
+                std::vector<double>(cluster.deployment().instances.size(), 1)) {
     for (size_t vm = 0; vm < this->weights.size(); ++vm) {
       for (size_t i = 0; i < this->weights[vm].size(); ++i) {
         const Duration start = Milliseconds(DrawUnit(this->random) *
                                             InMilliseconds(kReportPeriod));
-        world.simulation().After(start, [this, vm, i] {
-          this->world.simulation().Every(kReportPeriod,
-                                         [this, vm, i] { this->Poll(vm, i); });
+        cluster.simulation().After(start, [this, vm, i] {
+          this->cluster.simulation().Every(
+              kReportPeriod, [this, vm, i] { this->Poll(vm, i); });
         });
       }
     }
   }
 
   size_t Pick(size_t vm, size_t service) override {
-    const std::vector<size_t>& all = InstancesOf(this->world, service);
+    const std::vector<size_t>& all = InstancesOf(this->cluster, service);
     double total = 0;
     for (const size_t instance : all) {
       total += this->weights[vm][instance];
@@ -149,10 +152,11 @@
 
  private:
   void Poll(size_t vm, size_t instance) {
-    this->world.CountMeasuring(2, kReportBytes);
-    const LoadReport report = this->world.upstreams().Report(instance);
-    this->world.simulation().After(
-        this->world.VmToInstance(vm, instance), [this, vm, instance, report] {
+    this->cluster.CountMeasuring(2, kReportBytes);
+    const LoadReport report = this->cluster.upstreams().Report(instance);
+    this->cluster.simulation().After(
+        this->cluster.VmToInstanceLatency(vm, instance),
+        [this, vm, instance, report] {
           this->weights[vm][instance] = 1.0 / (1 + report.in_flight);
         });
   }
@@ -169,11 +173,11 @@
   size_t Pick(size_t vm, size_t service) override {
     size_t best = 0;
     Score best_score;
-    for (const size_t instance : InstancesOf(this->world, service)) {
+    for (const size_t instance : InstancesOf(this->cluster, service)) {
       const Score score{
-          !this->world.upstreams().TakesWork(instance),
-          this->world.TrueInFlight(instance),
-          this->world.VmToInstance(vm, instance),
+          !this->cluster.upstreams().AcceptsWork(instance),
+          this->cluster.ActualInFlight(instance),
+          this->cluster.VmToInstanceLatency(vm, instance),
           DrawUnit(this->random),
       };
       if (score < best_score) {
@@ -200,8 +204,8 @@
 };
 
 template <typename PickerType>
-std::unique_ptr<Picker> MakeOf(World& world) {
-  return std::make_unique<PickerType>(world);
+std::unique_ptr<Picker> MakeOf(SimulatedCluster& cluster) {
+  return std::make_unique<PickerType>(cluster);
 }
 
 }  // namespace
--- a/bench/model/baselines.h
+++ b/bench/model/baselines.h
@@ -26,7 +26,7 @@
   }
 };
 
-using MakePicker = std::unique_ptr<Picker> (*)(World& world);
+using MakePicker = std::unique_ptr<Picker> (*)(SimulatedCluster& cluster);
 
 struct Baseline {
   std::string_view name;
@@ -37,12 +37,13 @@
 const std::vector<Baseline>& Baselines();
 
 /// @returns the strategy that sends by `make`'s picks.
-std::unique_ptr<Strategy> MakeDirectStrategy(World& world, MakePicker make);
+std::unique_ptr<Strategy> MakeDirectStrategy(SimulatedCluster& cluster,
+                                             MakePicker make);
 
 /// Probing in the manner of Prequal, with the paper's hot-cold quantile.
-std::unique_ptr<Picker> MakeProbing(World& world);
+std::unique_ptr<Picker> MakeProbing(SimulatedCluster& cluster);
 /// The same with the rule set to the least in flight.
-std::unique_ptr<Picker> MakeProbingInFlight(World& world);
+std::unique_ptr<Picker> MakeProbingInFlight(SimulatedCluster& cluster);
 
 }  // namespace basilsill::bench
 
--- a/bench/model/cases.cc
+++ b/bench/model/cases.cc
@@ -8,13 +8,13 @@
 constexpr size_t kManyTeams = 100;
 constexpr size_t kInstancesOfManyTeams = 4;
 
-constexpr Duration kSilence = std::chrono::milliseconds(500);
+constexpr Duration kDetectionDelay = std::chrono::milliseconds(500);
 
 constexpr CaseChecks kUnchecked{.baselines = false};
 constexpr CaseChecks kEvenChecks{.oracle = true, .to_oracle = 1.10};
-constexpr CaseChecks kFloodChecks{.baselines = false,
-                                  .base = "flood_off",
-                                  .to_base = 1.05};
+constexpr CaseChecks kNoisyNeighbourChecks{.baselines = false,
+                                           .base = "flood_off",
+                                           .to_base = 1.05};
 constexpr CaseChecks kAllFailChecks{.baselines = false, .attempts = 1.10};
 
 }  // namespace
@@ -23,13 +23,13 @@
   using D = Deployment;
   static const std::vector<CaseSpec> all = {
       {"even_30", "even load of 0.3",
-       [](const D& d) { return MakeEven(d, 0.3); }, kEvenChecks},
+       [](const D& d) { return MakeEvenLoad(d, 0.3); }, kEvenChecks},
       {"even_70", "even load of 0.7",
-       [](const D& d) { return MakeEven(d, 0.7); }, kEvenChecks},
+       [](const D& d) { return MakeEvenLoad(d, 0.7); }, kEvenChecks},
       {"even_85", "even load of 0.85",
-       [](const D& d) { return MakeEven(d, 0.85); }, kEvenChecks},
+       [](const D& d) { return MakeEvenLoad(d, 0.85); }, kEvenChecks},
       {"even_95", "even load of 0.95",
-       [](const D& d) { return MakeEven(d, 0.95); }, kEvenChecks},
+       [](const D& d) { return MakeEvenLoad(d, 0.95); }, kEvenChecks},
       {"burst_70", "mean load 0.7, 3 times the rate for 20 ms in 100",
        [](const D& d) { return MakeBurst(d, 0.7); }, kEvenChecks},
       {"burst_85", "mean load 0.85, 3 times the rate for 20 ms in 100",
@@ -60,15 +60,17 @@
        {.last_late_seconds = 5}},
       {"wake",
        "100 idle teams of 4 instances at load 0.5 at once",
-       MakeWake,
+       MakeSimultaneousStart,
        {},
        true},
       {"flood_off", "a quiet team beside a team at its rate limit",
-       [](const D& d) { return MakeFlood(d, 1, true); }, kUnchecked},
+       [](const D& d) { return MakeNoisyNeighbour(d, 1, true); }, kUnchecked},
       {"flood_on", "a quiet team beside a team at 10 times its rate limit",
-       [](const D& d) { return MakeFlood(d, 10, true); }, kFloodChecks},
+       [](const D& d) { return MakeNoisyNeighbour(d, 10, true); },
+       kNoisyNeighbourChecks},
       {"flood_open", "the same, but the noisy team has no rate limit",
-       [](const D& d) { return MakeFlood(d, 10, false); }, kFloodChecks},
+       [](const D& d) { return MakeNoisyNeighbour(d, 10, false); },
+       kNoisyNeighbourChecks},
       {"downloads_off", "readings at load 0.3 alone",
        [](const D& d) { return MakeDownloads(d, 0); }, kUnchecked},
       {"downloads_on",
@@ -83,7 +85,9 @@
        [](const D& d) { return MakeAllFail(d, InstanceMode::kShedding); },
        kAllFailChecks},
       {"fail_die", "every instance breaks every connection",
-       [](const D& d) { return MakeAllFail(d, InstanceMode::kDying); },
+       [](const D& d) {
+         return MakeAllFail(d, InstanceMode::kBreakingConnections);
+       },
        kAllFailChecks},
       {"recover",
        "load 0.7, every instance sheds everything for 2 s",
@@ -95,10 +99,16 @@
        {}},
       {"vm_silent",
        "load 0.7, a dispatcher's VM goes silent for 500 ms",
-       [](const D& d) { return MakeVmKilled(d, kSilence); },
+       [](const D& d) { return MakeVmKilled(d, kDetectionDelay); },
+       {}},
+      {"cut",
+       "load 0.7, an entry VM reaches no other VM for 3 s",
+       MakeIsolatedVm,
+       {}},
+      {"views",
+       "load 0.7, views of the VM list 5 s apart",
+       MakeDivergentViews,
        {}},
-      {"cut", "load 0.7, an entry VM reaches no other VM for 3 s", MakeCut, {}},
-      {"views", "load 0.7, views of the VM list 5 s apart", MakeViews, {}},
   };
   return all;
 }
--- a/bench/model/cases.h
+++ b/bench/model/cases.h
@@ -30,7 +30,7 @@
 
 struct CaseSpec {
   std::string_view name;
-  std::string_view story;
+  std::string_view description;
   Scenario (*make)(const Deployment& deployment);
   CaseChecks checks;
   bool many_teams = false;  ///< Runs in a deployment of its own.
--- a/bench/model/deployment.cc
+++ b/bench/model/deployment.cc
@@ -11,12 +11,12 @@
   return HandleType{static_cast<uint32_t>(position), 0};
 }
 
-struct Size {
+struct ServiceSize {
   std::string service;
   size_t instances;
 };
 
-void AddService(Deployment& deployment, const Size& size) {
+void AddService(Deployment& deployment, const ServiceSize& size) {
   ServiceSpec service;
   service.name = size.service;
   service.team = deployment.teams.size();
@@ -32,14 +32,14 @@
 Deployment Make(std::string name,
                 std::vector<std::string> data_centres,
                 size_t vms,
-                const std::vector<Size>& sizes) {
+                const std::vector<ServiceSize>& sizes) {
   Deployment deployment;
   deployment.name = std::move(name);
   deployment.data_centres = std::move(data_centres);
   for (size_t i = 0; i < vms; ++i) {
     deployment.vms.push_back(i % deployment.data_centres.size());
   }
-  for (const Size& size : sizes) {
+  for (const ServiceSize& size : sizes) {
     AddService(deployment, size);
   }
   return deployment;
@@ -47,21 +47,23 @@
 
 VmRow MakeVm(const Deployment& deployment,
              size_t position,
-             const Knowledge& knowledge) {
+             const ClusterState& cluster_state) {
   VmRow row;
   row.handle = At<VmHandle>(position);
   row.name = "vm-" + std::to_string(position);
-  row.incarnation =
-      knowledge.incarnations.empty() ? 1 : knowledge.incarnations.at(position);
+  row.incarnation = cluster_state.incarnations.empty()
+                        ? 1
+                        : cluster_state.incarnations.at(position);
   row.data_centre = At<DataCentreHandle>(deployment.vms.at(position));
-  row.state = knowledge.vms.at(position);
+  row.state = cluster_state.vms.at(position);
   return row;
 }
 
-std::shared_ptr<const ServiceRow> MakeService(const Deployment& deployment,
-                                              size_t position,
-                                              const RoutingView& view,
-                                              const Knowledge& knowledge) {
+std::shared_ptr<const ServiceRow> MakeService(
+    const Deployment& deployment,
+    size_t position,
+    const RoutingView& view,
+    const ClusterState& cluster_state) {
   const ServiceSpec& spec = deployment.services.at(position);
   auto row = std::make_shared<ServiceRow>();
   row->handle = At<ServiceHandle>(position);
@@ -74,7 +76,7 @@
     upstream.endpoint = {"10.0.0.1", static_cast<uint16_t>(instance + 1)};
     upstream.data_centre = At<DataCentreHandle>(from.data_centre);
     upstream.slots = static_cast<uint16_t>(from.slots);
-    upstream.leaving = knowledge.leaving.at(instance);
+    upstream.leaving = cluster_state.leaving.at(instance);
     row->upstreams.push_back(upstream);
   }
   AssignShards(view, *row);
@@ -101,7 +103,7 @@
 }
 
 Deployment MakeManyTeams(size_t teams, size_t instances) {
-  std::vector<Size> sizes;
+  std::vector<ServiceSize> sizes;
   for (size_t i = 0; i < teams; ++i) {
     sizes.push_back({"service-" + std::to_string(i), instances});
   }
@@ -124,20 +126,21 @@
 }
 
 Duration Latency(size_t from_data_centre, size_t to_data_centre) {
-  return from_data_centre == to_data_centre ? kLatencyWithin : kLatencyBetween;
+  return from_data_centre == to_data_centre ? kLatencyWithinDataCentre
+                                            : kLatencyBetweenDataCentres;
 }
 
-Knowledge AllLive(const Deployment& deployment) {
-  Knowledge knowledge;
-  knowledge.vms.assign(deployment.vms.size(), VmState::kLive);
-  knowledge.leaving.assign(deployment.instances.size(), false);
-  return knowledge;
+ClusterState AllLive(const Deployment& deployment) {
+  ClusterState cluster_state;
+  cluster_state.vms.assign(deployment.vms.size(), VmState::kLive);
+  cluster_state.leaving.assign(deployment.instances.size(), false);
+  return cluster_state;
 }
 
 RoutingViewPtr MakeView(const Deployment& deployment,
                         size_t self,
                         uint64_t version,
-                        const Knowledge& knowledge) {
+                        const ClusterState& cluster_state) {
   auto view = std::make_shared<RoutingView>();
   view->version = version;
   view->self = At<VmHandle>(self);
@@ -151,11 +154,12 @@
                            deployment.teams[i].limits});
   }
   for (size_t i = 0; i < deployment.vms.size(); ++i) {
-    const bool listed = knowledge.vms.at(i) != VmState::kCount;
-    view->vms.push_back(listed ? MakeVm(deployment, i, knowledge) : VmRow{});
+    const bool listed = cluster_state.vms.at(i) != VmState::kCount;
+    view->vms.push_back(listed ? MakeVm(deployment, i, cluster_state)
+                               : VmRow{});
   }
   for (size_t i = 0; i < deployment.services.size(); ++i) {
-    view->services.push_back(MakeService(deployment, i, *view, knowledge));
+    view->services.push_back(MakeService(deployment, i, *view, cluster_state));
   }
   return view;
 }
--- a/bench/model/deployment.h
+++ b/bench/model/deployment.h
@@ -14,8 +14,10 @@
 namespace basilsill::bench {
 
 /// One-way latency of a link.
-inline constexpr Duration kLatencyWithin = std::chrono::microseconds(120);
-inline constexpr Duration kLatencyBetween = std::chrono::microseconds(1500);
+inline constexpr Duration kLatencyWithinDataCentre =
+    std::chrono::microseconds(120);
+inline constexpr Duration kLatencyBetweenDataCentres =
+    std::chrono::microseconds(1500);
 
 /// Time that it takes to open a connection to an upstream.
 inline constexpr Duration kConnectTime = std::chrono::milliseconds(1);
@@ -68,20 +70,20 @@
 Duration Latency(size_t from_data_centre, size_t to_data_centre);
 
 /// What a view may know of the state of the world.
-struct Knowledge {
+struct ClusterState {
   std::vector<VmState> vms;                 ///< kCount: not in the list.
   std::vector<bool> leaving;                ///< By instance.
   std::vector<uint64_t> incarnations = {};  ///< By VM; 1 if empty.
 };
 
 /// @returns what every VM and every instance being there and live means.
-Knowledge AllLive(const Deployment& deployment);
+ClusterState AllLive(const Deployment& deployment);
 
 /// @returns the routing view of `self` under `knowledge`.
 RoutingViewPtr MakeView(const Deployment& deployment,
                         size_t self,
                         uint64_t version,
-                        const Knowledge& knowledge);
+                        const ClusterState& cluster_state);
 
 }  // namespace basilsill::bench
 
--- a/bench/model/direct.cc
+++ b/bench/model/direct.cc
@@ -10,27 +10,27 @@
 
 class DirectStrategy : public Strategy {
  public:
-  DirectStrategy(World& world, MakePicker make)
-      : world(world), picker(make(world)) {}
+  DirectStrategy(SimulatedCluster& cluster, MakePicker make)
+      : cluster(cluster), picker(make(cluster)) {}
 
   void OnArrival(RequestId id) override { this->Send(id); }
 
-  void OnGivenUp(RequestId id) override {
+  void OnCallerTimeout(RequestId id) override {
     const auto found = this->running.find(id);
     if (found != this->running.end()) {
-      this->world.CancelAttempt(found->second.attempt);
-      this->End(id);
+      this->cluster.CancelAttempt(found->second.attempt);
+      this->EndAttempt(id);
     }
   }
 
   void OnVmKilled(size_t vm, Duration) override {
     std::erase_if(this->running, [this, vm](const auto& entry) {
-      return this->world.request(entry.first).vm == vm;
+      return this->cluster.request(entry.first).vm == vm;
     });
   }
 
-  void OnCut(size_t, bool) override {}
-  void OnKnowledge(size_t, const Knowledge&) override {}
+  void OnIsolated(size_t, bool) override {}
+  void OnClusterState(size_t, const ClusterState&) override {}
 
  private:
   struct Running {
@@ -40,40 +40,41 @@
   };
 
   void Send(RequestId id) {
-    const size_t vm = this->world.request(id).vm;
+    const size_t vm = this->cluster.request(id).vm;
     const size_t instance =
-        this->picker->Pick(vm, this->world.flow_of(id).service);
+        this->picker->Pick(vm, this->cluster.flow_of(id).service);
     Running& entry = this->running[id];
     entry.instance = instance;
-    entry.sent = this->world.now();
-    entry.attempt = this->world.StartAttempt(
+    entry.sent = this->cluster.now();
+    entry.attempt = this->cluster.StartAttempt(
         id, vm, instance, [this, id](JobEnd end) { this->OnDone(id, end); });
   }
 
-  void End(RequestId id) {
+  void EndAttempt(RequestId id) {
     const Running entry = this->running.at(id);
     this->running.erase(id);
-    this->picker->OnEnd(this->world.request(id).vm, entry.instance,
-                        this->world.now() - entry.sent);
+    this->picker->OnEnd(this->cluster.request(id).vm, entry.instance,
+                        this->cluster.now() - entry.sent);
   }
 
   void OnDone(RequestId id, JobEnd end) {
-    this->End(id);
+    this->EndAttempt(id);
     if (end == JobEnd::kAnswered || end == JobEnd::kFailed) {
-      this->world.Finish(id, {end == JobEnd::kAnswered ? OutcomeKind::kAnswered
-                                                       : OutcomeKind::kFailed});
+      this->cluster.Finish(id,
+                           {end == JobEnd::kAnswered ? OutcomeKind::kAnswered
+                                                     : OutcomeKind::kFailed});
       return;
     }
     const bool not_run = end != JobEnd::kDied;
-    const bool may_retry = not_run || this->world.flow_of(id).idempotent;
-    if (may_retry && this->world.request(id).attempts < kMaxAttempts) {
-      this->world.CountRetry(id, RetryOf(end));
+    const bool may_retry = not_run || this->cluster.flow_of(id).idempotent;
+    if (may_retry && this->cluster.request(id).attempts < kMaxAttempts) {
+      this->cluster.CountRetry(id, RetryOf(end));
       this->Send(id);
       return;
     }
-    this->world.Finish(id,
-                       {not_run ? OutcomeKind::kRefused : OutcomeKind::kUnknown,
-                        RefusalOf(end)});
+    this->cluster.Finish(
+        id, {not_run ? OutcomeKind::kRefused : OutcomeKind::kUnknown,
+             RefusalOf(end)});
   }
 
   static Retry RetryOf(JobEnd end) {
@@ -98,15 +99,16 @@
     }
   }
 
-  World& world;
+  SimulatedCluster& cluster;
   std::unique_ptr<Picker> picker;
   std::unordered_map<RequestId, Running> running;
 };
 
 }  // namespace
 
-std::unique_ptr<Strategy> MakeDirectStrategy(World& world, MakePicker make) {
-  return std::make_unique<DirectStrategy>(world, make);
+std::unique_ptr<Strategy> MakeDirectStrategy(SimulatedCluster& cluster,
+                                             MakePicker make) {
+  return std::make_unique<DirectStrategy>(cluster, make);
 }
 
 }  // namespace basilsill::bench
--- a/bench/model/fleet.cc
+++ b/bench/model/fleet.cc
@@ -45,21 +45,23 @@
           retry_after};
 }
 
-Fleet::Fleet(World& world, const PolicyFeatures& features) : world(world) {
-  const size_t count = world.deployment().vms.size();
+FleetStrategy::FleetStrategy(SimulatedCluster& cluster,
+                             const PolicyFeatures& features)
+    : cluster(cluster) {
+  const size_t count = cluster.deployment().vms.size();
   for (size_t vm = 0; vm < count; ++vm) {
     this->AddNode(vm, features);
-    this->OnKnowledge(vm, world.truth());
+    this->OnClusterState(vm, cluster.current_state());
     const Duration phase = limits::kWorkerTick * static_cast<int64_t>(vm) /
                            static_cast<int64_t>(count);
-    world.simulation().After(phase, [this, vm] {
-      this->world.simulation().Every(limits::kWorkerTick,
-                                     [this, vm] { this->Tick(vm); });
+    cluster.simulation().After(phase, [this, vm] {
+      this->cluster.simulation().Every(limits::kWorkerTick,
+                                       [this, vm] { this->Tick(vm); });
     });
   }
 }
 
-void Fleet::AddNode(size_t vm, const PolicyFeatures& features) {
+void FleetStrategy::AddNode(size_t vm, const PolicyFeatures& features) {
   DispatcherOptions dispatch;
   dispatch.seed = vm + 1;
   dispatch.features = features.dispatcher;
@@ -74,92 +76,94 @@
   entry.quarantine = node.quarantine;
   node.dispatcher = Dispatcher::Create(dispatch);
   node.router = EntryRouter::Create(entry);
-  node.lost_links.assign(this->world.deployment().vms.size(), false);
+  node.lost_links.assign(this->cluster.deployment().vms.size(), false);
   this->nodes.push_back(std::move(node));
 }
 
-void Fleet::Tick(size_t vm) {
-  if (!this->world.IsAlive(vm)) {
+void FleetStrategy::Tick(size_t vm) {
+  if (!this->cluster.IsAlive(vm)) {
     return;
   }
-  this->nodes[vm].dispatcher->Tick(this->world.now());
+  this->nodes[vm].dispatcher->Tick(this->cluster.now());
   this->RunActions(vm);
-  this->nodes[vm].router->Tick(this->world.now());
+  this->nodes[vm].router->Tick(this->cluster.now());
   this->SendCrashReports(vm);
 }
 
-void Fleet::SendCrashReports(size_t vm) {
+void FleetStrategy::SendCrashReports(size_t vm) {
   for (const CrashReport& report :
-       this->nodes[vm].quarantine->TakeNewReports(this->world.now())) {
+       this->nodes[vm].quarantine->TakeNewReports(this->cluster.now())) {
     for (size_t peer = 0; peer < this->nodes.size(); ++peer) {
-      if (peer == vm || !this->world.IsAlive(peer)) {
+      if (peer == vm || !this->cluster.IsAlive(peer)) {
         continue;
       }
-      this->world.simulation().After(
-          this->world.VmToVm(vm, peer), [this, peer, report] {
-            this->nodes[peer].quarantine->Import(this->world.now(), report);
+      this->cluster.simulation().After(
+          this->cluster.VmToVmLatency(vm, peer), [this, peer, report] {
+            this->nodes[peer].quarantine->Import(this->cluster.now(), report);
           });
     }
   }
 }
 
-void Fleet::OnKnowledge(size_t vm, const Knowledge& knowledge) {
+void FleetStrategy::OnClusterState(size_t vm,
+                                   const ClusterState& cluster_state) {
   Node& node = this->nodes[vm];
-  const RoutingViewPtr view =
-      MakeView(this->world.deployment(), vm, ++node.view_version, knowledge);
+  const RoutingViewPtr view = MakeView(this->cluster.deployment(), vm,
+                                       ++node.view_version, cluster_state);
   node.quotas.SetTeams(
-      LeaseTimeOf(this->world.now()), view->teams,
-      1.0 / static_cast<double>(this->world.deployment().vms.size()));
-  node.router->ApplyView(this->world.now(), view);
-  node.dispatcher->ApplyView(this->world.now(), view);
+      LeaseTimeOf(this->cluster.now()), view->teams,
+      1.0 / static_cast<double>(this->cluster.deployment().vms.size()));
+  node.router->ApplyView(this->cluster.now(), view);
+  node.dispatcher->ApplyView(this->cluster.now(), view);
   this->RunActions(vm);
 }
 
-void Fleet::OnVmKilled(size_t dead, Duration noticed_after) {
+void FleetStrategy::OnVmKilled(size_t killed, Duration detection_delay) {
   for (size_t vm = 0; vm < this->nodes.size(); ++vm) {
-    if (this->world.IsAlive(vm)) {
-      const Duration after = noticed_after + this->world.VmToVm(dead, vm);
-      this->world.simulation().After(
-          after, [this, vm, dead] { this->OnLinkLost(vm, dead); });
+    if (this->cluster.IsAlive(vm)) {
+      const Duration after =
+          detection_delay + this->cluster.VmToVmLatency(killed, vm);
+      this->cluster.simulation().After(
+          after, [this, vm, killed] { this->OnLinkLost(vm, killed); });
     }
   }
 }
 
-void Fleet::OnLinkLost(size_t vm, size_t peer) {
+void FleetStrategy::OnLinkLost(size_t vm, size_t peer) {
   this->nodes[vm].lost_links[peer] = true;
-  this->DropRequestsOf(vm, peer);
-  this->nodes[vm].router->OnLink(this->world.now(),
+  this->CancelRequestsOf(vm, peer);
+  this->nodes[vm].router->OnLink(this->cluster.now(),
                                  {static_cast<uint32_t>(peer), 0}, false);
-  for (RequestId id = 0; id < this->tickets.size(); ++id) {
-    const Ticket& ticket = this->tickets[id];
-    if (ticket.forwarded && ticket.dispatcher == peer &&
+  for (RequestId id = 0; id < this->routed_requests.size(); ++id) {
+    const RoutedRequest& routed = this->routed_requests[id];
+    if (routed.forwarded && routed.dispatcher == peer &&
         this->EntryVm(id) == vm) {
       this->OnRefused(id, Refusal::kPeerLost, Duration{0}, 0);
     }
   }
 }
 
-void Fleet::OnCut(size_t vm, bool cut) {
+void FleetStrategy::OnIsolated(size_t vm, bool isolated) {
   for (size_t peer = 0; peer < this->nodes.size(); ++peer) {
-    if (peer == vm || !this->world.IsAlive(peer)) {
+    if (peer == vm || !this->cluster.IsAlive(peer)) {
       continue;
     }
-    if (cut) {
+    if (isolated) {
       this->OnLinkLost(peer, vm);
       this->OnLinkLost(vm, peer);
       continue;
     }
     for (const auto& [from, to] : {std::pair(vm, peer), std::pair(peer, vm)}) {
       this->nodes[from].lost_links[to] = false;
-      this->nodes[from].router->OnLink(this->world.now(),
+      this->nodes[from].router->OnLink(this->cluster.now(),
                                        {static_cast<uint32_t>(to), 0}, true);
     }
   }
 }
 
-std::unique_ptr<Strategy> MakeFleet(World& world,
-                                    const PolicyFeatures& features) {
-  return std::make_unique<Fleet>(world, features);
+std::unique_ptr<Strategy> MakeFleetStrategy(SimulatedCluster& cluster,
+                                            const PolicyFeatures& features) {
+  return std::make_unique<FleetStrategy>(cluster, features);
 }
 
 }  // namespace basilsill::bench
--- a/bench/model/fleet.h
+++ b/bench/model/fleet.h
@@ -13,8 +13,8 @@
 
 namespace basilsill::bench {
 
-std::unique_ptr<Strategy> MakeFleet(World& world,
-                                    const PolicyFeatures& features);
+std::unique_ptr<Strategy> MakeFleetStrategy(SimulatedCluster& cluster,
+                                            const PolicyFeatures& features);
 
 }  // namespace basilsill::bench
 
--- a/bench/model/fleet_core.h
+++ b/bench/model/fleet_core.h
@@ -33,7 +33,7 @@
 };
 
 /// Where a request is, as its entry VM and its dispatcher know it.
-struct Ticket {
+struct RoutedRequest {
   EntryHandle entry;
   size_t dispatcher = 0;  ///< VM.
   uint32_t forwards = 0;  ///< Tells a late message of an earlier attempt.
@@ -67,15 +67,15 @@
   uint8_t sends = 0;  ///< As in DispatchAction.
 };
 
-class Fleet : public Strategy {
+class FleetStrategy : public Strategy {
  public:
-  Fleet(World& world, const PolicyFeatures& features);
+  FleetStrategy(SimulatedCluster& cluster, const PolicyFeatures& features);
 
   void OnArrival(RequestId id) override;
-  void OnGivenUp(RequestId id) override;
-  void OnVmKilled(size_t vm, Duration noticed_after) override;
-  void OnCut(size_t vm, bool cut) override;
-  void OnKnowledge(size_t vm, const Knowledge& knowledge) override;
+  void OnCallerTimeout(RequestId id) override;
+  void OnVmKilled(size_t vm, Duration detection_delay) override;
+  void OnIsolated(size_t vm, bool isolated) override;
+  void OnClusterState(size_t vm, const ClusterState& cluster_state) override;
 
  private:
   void AddNode(size_t vm, const PolicyFeatures& features);
@@ -83,7 +83,7 @@
   void SendCrashReports(size_t vm);
 
   // Entry side.
-  Ticket& TicketOf(RequestId id);
+  RoutedRequest& RoutedRequestOf(RequestId id);
   void Route(RequestId id);
   void Forward(RequestId id, const Target& target);
   void SendDirect(RequestId id, const Target& target);
@@ -95,7 +95,7 @@
                  uint8_t sends);
   void FinishEntry(RequestId id, const Outcome& outcome);
   void OnLinkLost(size_t vm, size_t peer);
-  void DropRequestsOf(size_t vm, size_t peer);
+  void CancelRequestsOf(size_t vm, size_t peer);
 
   // Dispatcher side.
   void Offer(size_t vm, const DispatchRequest& request);
@@ -112,11 +112,11 @@
                  uint8_t sends);
 
   Fingerprint FingerprintOf(RequestId id) const;
-  size_t EntryVm(RequestId id) const { return this->world.request(id).vm; }
+  size_t EntryVm(RequestId id) const { return this->cluster.request(id).vm; }
 
-  World& world;
+  SimulatedCluster& cluster;
   std::vector<Node> nodes;
-  std::vector<Ticket> tickets;  ///< By request.
+  std::vector<RoutedRequest> routed_requests;  ///< By request.
 };
 
 }  // namespace basilsill::bench
--- a/bench/model/fleet_entry.cc
+++ b/bench/model/fleet_entry.cc
@@ -6,10 +6,10 @@
 namespace {
 
 /// No request number comes near it.
-constexpr Fingerprint kDeadlyFingerprint = Fingerprint{1} << 40;
+constexpr Fingerprint kCrashingFingerprint = Fingerprint{1} << 40;
 
 // @returns how long `team` is beyond its quota; 0: it is not.
-Duration ClosedFor(const TeamSpec& team, QuotaBuckets& quotas, TimePoint now) {
+Duration QuotaWait(const TeamSpec& team, QuotaBuckets& quotas, TimePoint now) {
   if (team.limits.requests_per_second <= 0) {
     return Duration(0);
   }
@@ -18,48 +18,49 @@
 
 }  // namespace
 
-Fingerprint Fleet::FingerprintOf(RequestId id) const {
-  return this->world.flow_of(id).deadly ? kDeadlyFingerprint : id + 1;
+Fingerprint FleetStrategy::FingerprintOf(RequestId id) const {
+  return this->cluster.flow_of(id).crashes_instance ? kCrashingFingerprint
+                                                    : id + 1;
 }
 
-Ticket& Fleet::TicketOf(RequestId id) {
-  if (id >= this->tickets.size()) {
-    this->tickets.resize(id + 1);
+RoutedRequest& FleetStrategy::RoutedRequestOf(RequestId id) {
+  if (id >= this->routed_requests.size()) {
+    this->routed_requests.resize(id + 1);
   }
-  return this->tickets[id];
+  return this->routed_requests[id];
 }
 
-void Fleet::OnArrival(RequestId id) {
-  const Flow& flow = this->world.flow_of(id);
+void FleetStrategy::OnArrival(RequestId id) {
+  const Flow& flow = this->cluster.flow_of(id);
   EntryRequest request;
   request.team = {static_cast<uint32_t>(flow.team), 0};
   request.service = {static_cast<uint32_t>(flow.service), 0};
   request.traffic_class = flow.traffic_class;
-  request.deadline = this->world.request(id).deadline;
+  request.deadline = this->cluster.request(id).deadline;
   request.idempotent = flow.idempotent;
   request.replayable = true;
   request.fingerprint = this->FingerprintOf(id);
   Node& node = this->nodes[this->EntryVm(id)];
-  const Duration closed =
-      ClosedFor(this->world.deployment().teams.at(flow.team), node.quotas,
-                this->world.now());
-  if (closed > Duration(0)) {
-    this->world.Finish(id, RefusedWith(Refusal::kTeamRateLimit, closed));
+  const Duration quota_wait =
+      QuotaWait(this->cluster.deployment().teams.at(flow.team), node.quotas,
+                this->cluster.now());
+  if (quota_wait > Duration(0)) {
+    this->cluster.Finish(id, RefusedWith(Refusal::kTeamRateLimit, quota_wait));
     return;
   }
-  const Admission admission = node.router->Admit(this->world.now(), request);
-  this->TicketOf(id).entry = admission.entry;
+  const Admission admission = node.router->Admit(this->cluster.now(), request);
+  this->RoutedRequestOf(id).entry = admission.entry;
   if (!IsValid(admission.entry)) {
-    this->world.Finish(id,
-                       RefusedWith(admission.refusal, admission.retry_after));
+    this->cluster.Finish(id,
+                         RefusedWith(admission.refusal, admission.retry_after));
     return;
   }
   this->Route(id);
 }
 
-void Fleet::Route(RequestId id) {
+void FleetStrategy::Route(RequestId id) {
   const Target target = this->nodes[this->EntryVm(id)].router->Choose(
-      this->world.now(), this->TicketOf(id).entry);
+      this->cluster.now(), this->RoutedRequestOf(id).entry);
   switch (target.kind) {
     case TargetKind::kDispatcher:
       this->Forward(id, target);
@@ -72,57 +73,57 @@
   }
 }
 
-void Fleet::Forward(RequestId id, const Target& target) {
-  Ticket& ticket = this->TicketOf(id);
-  ticket.dispatcher = target.vm.index;
-  ticket.forwarded = true;
-  ticket.shard = target.shard;
-  ticket.dispatch = {};
-  ++ticket.forwards;
-  const Flow& flow = this->world.flow_of(id);
+void FleetStrategy::Forward(RequestId id, const Target& target) {
+  RoutedRequest& routed = this->RoutedRequestOf(id);
+  routed.dispatcher = target.vm.index;
+  routed.forwarded = true;
+  routed.shard = target.shard;
+  routed.dispatch = {};
+  ++routed.forwards;
+  const Flow& flow = this->cluster.flow_of(id);
   DispatchRequest request;
   request.shard = target.shard;
   request.team = {static_cast<uint32_t>(flow.team), 0};
   request.traffic_class = flow.traffic_class;
-  request.deadline = this->world.request(id).deadline;
+  request.deadline = this->cluster.request(id).deadline;
   request.idempotent = flow.idempotent;
   request.hedge = flow.hedge;
   request.fingerprint = this->FingerprintOf(id);
   request.max_wait = target.max_wait;
   request.sends = target.sends;
-  request.cookie = CookieOf(id, ticket.forwards);
-  const size_t vm = ticket.dispatcher;
+  request.cookie = CookieOf(id, routed.forwards);
+  const size_t vm = routed.dispatcher;
   const size_t from = this->EntryVm(id);
   if (vm == from) {
     this->Offer(vm, request);
     return;
   }
-  const Duration way = this->world.VmToVm(from, vm);
+  const Duration one_way = this->cluster.VmToVmLatency(from, vm);
   if (this->nodes[from].lost_links[vm]) {
-    this->world.simulation().After(2 * way, [this, id] {
+    this->cluster.simulation().After(2 * one_way, [this, id] {
       this->OnRefused(id, Refusal::kPeerUnreachable, Duration{0}, 0);
     });
     return;
   }
-  this->world.simulation().After(
-      way, [this, vm, request] { this->Offer(vm, request); });
+  this->cluster.simulation().After(
+      one_way, [this, vm, request] { this->Offer(vm, request); });
 }
 
-void Fleet::SendDirect(RequestId id, const Target& target) {
+void FleetStrategy::SendDirect(RequestId id, const Target& target) {
   const size_t instance = target.upstream.index;
-  Ticket& ticket = this->TicketOf(id);
-  ticket.forwarded = false;
-  ticket.direct_attempt = this->world.StartAttempt(
+  RoutedRequest& routed = this->RoutedRequestOf(id);
+  routed.forwarded = false;
+  routed.direct_attempt = this->cluster.StartAttempt(
       id, this->EntryVm(id), instance, [this, id, instance](JobEnd end) {
         this->OnDirectEnd(id, instance, end);
       });
 }
 
-void Fleet::OnDirectEnd(RequestId id, size_t instance, JobEnd end) {
+void FleetStrategy::OnDirectEnd(RequestId id, size_t instance, JobEnd end) {
   const AttemptReport report = ReportOf(end);
   if (report.drain_sign) {
     this->nodes[this->EntryVm(id)].router->OnDrainSign(
-        this->world.now(), {static_cast<uint32_t>(instance), 0});
+        this->cluster.now(), {static_cast<uint32_t>(instance), 0});
   }
   if (report.end == AttemptEnd::kAnswered) {
     this->FinishEntry(id, {report.status == kStatusOk ? OutcomeKind::kAnswered
@@ -133,17 +134,18 @@
                   report.end == AttemptEnd::kConnectFailed ? 0 : 1);
 }
 
-void Fleet::OnReply(size_t dispatcher, const Reply& reply) {
+void FleetStrategy::OnReply(size_t dispatcher, const Reply& reply) {
   const RequestId id = RequestOf(reply.cookie);
   const size_t vm = this->EntryVm(id);
-  if (!this->world.IsAlive(vm) || this->nodes[vm].lost_links[dispatcher]) {
+  if (!this->cluster.IsAlive(vm) || this->nodes[vm].lost_links[dispatcher]) {
     return;
   }
-  this->nodes[vm].router->OnSummary(
-      this->world.now(), {static_cast<uint32_t>(dispatcher), 0}, reply.summary);
-  const Ticket& ticket = this->TicketOf(id);
-  if (this->world.request(id).done ||
-      ticket.forwards != ForwardsOf(reply.cookie) || !ticket.forwarded) {
+  this->nodes[vm].router->OnSummary(this->cluster.now(),
+                                    {static_cast<uint32_t>(dispatcher), 0},
+                                    reply.summary);
+  const RoutedRequest& routed = this->RoutedRequestOf(id);
+  if (this->cluster.request(id).done ||
+      routed.forwards != ForwardsOf(reply.cookie) || !routed.forwarded) {
     return;
   }
   if (reply.outcome.refusal != Refusal::kNone) {
@@ -154,17 +156,17 @@
   this->FinishEntry(id, reply.outcome);
 }
 
-void Fleet::OnRefused(RequestId id,
-                      Refusal refusal,
-                      Duration retry_after,
-                      uint8_t sends) {
-  if (this->world.request(id).done) {
+void FleetStrategy::OnRefused(RequestId id,
+                              Refusal refusal,
+                              Duration retry_after,
+                              uint8_t sends) {
+  if (this->cluster.request(id).done) {
     return;
   }
   EntryRouter& router = *this->nodes[this->EntryVm(id)].router;
   const RetryDecision decision = router.OnRefused(
-      this->world.now(), this->TicketOf(id).entry, refusal, sends);
-  this->world.CountRetry(id, decision.reason);
+      this->cluster.now(), this->RoutedRequestOf(id).entry, refusal, sends);
+  this->cluster.CountRetry(id, decision.reason);
   if (decision.retry) {
     this->Route(id);
     return;
@@ -172,29 +174,30 @@
   this->FinishEntry(id, RefusedWith(decision.refusal, retry_after));
 }
 
-void Fleet::FinishEntry(RequestId id, const Outcome& outcome) {
-  this->nodes[this->EntryVm(id)].router->Finish(this->world.now(),
-                                                this->TicketOf(id).entry);
-  this->TicketOf(id).forwarded = false;
-  this->world.Finish(id, outcome);
+void FleetStrategy::FinishEntry(RequestId id, const Outcome& outcome) {
+  this->nodes[this->EntryVm(id)].router->Finish(
+      this->cluster.now(), this->RoutedRequestOf(id).entry);
+  this->RoutedRequestOf(id).forwarded = false;
+  this->cluster.Finish(id, outcome);
 }
 
-void Fleet::OnGivenUp(RequestId id) {
-  const Ticket& ticket = this->TicketOf(id);
+void FleetStrategy::OnCallerTimeout(RequestId id) {
+  const RoutedRequest& routed = this->RoutedRequestOf(id);
   const size_t from = this->EntryVm(id);
-  this->nodes[from].router->Finish(this->world.now(), ticket.entry);
-  if (!ticket.forwarded) {
-    this->world.CancelAttempt(ticket.direct_attempt);
+  this->nodes[from].router->Finish(this->cluster.now(), routed.entry);
+  if (!routed.forwarded) {
+    this->cluster.CancelAttempt(routed.direct_attempt);
     return;
   }
-  const size_t vm = ticket.dispatcher;
-  this->world.simulation().After(this->world.VmToVm(from, vm), [this, vm, id] {
-    if (this->world.IsAlive(vm)) {
-      this->nodes[vm].dispatcher->Cancel(this->world.now(),
-                                         this->TicketOf(id).dispatch);
-      this->RunActions(vm);
-    }
-  });
+  const size_t vm = routed.dispatcher;
+  this->cluster.simulation().After(
+      this->cluster.VmToVmLatency(from, vm), [this, vm, id] {
+        if (this->cluster.IsAlive(vm)) {
+          this->nodes[vm].dispatcher->Cancel(
+              this->cluster.now(), this->RoutedRequestOf(id).dispatch);
+          this->RunActions(vm);
+        }
+      });
 }
 
 }  // namespace basilsill::bench
--- a/bench/model/flows.cc
+++ b/bench/model/flows.cc
@@ -9,12 +9,12 @@
 using std::chrono::seconds;
 
 /// Deadline of those who can wait.
-constexpr Duration kPatientDeadline = seconds(20);
+constexpr Duration kBackgroundDeadline = seconds(20);
 
 Flow MakeBackground(std::string name, size_t service, double load) {
   Flow flow =
       MakeFlow(std::move(name), service, TrafficClass::kBackground, load);
-  flow.deadline = kPatientDeadline;
+  flow.deadline = kBackgroundDeadline;
   flow.measured = false;
   return flow;
 }
@@ -35,7 +35,7 @@
   return flow;
 }
 
-Flow MakeOnce(std::string name, size_t service, double load) {
+Flow MakeNonIdempotent(std::string name, size_t service, double load) {
   Flow flow = MakeFlow(std::move(name), service, TrafficClass::kUrgent, load);
   flow.idempotent = false;
   flow.hedge = false;
@@ -45,16 +45,16 @@
 Flow MakeBulk(std::string name, size_t service, Duration mean, double load) {
   Flow flow = MakeFlow(std::move(name), service, TrafficClass::kBulk, load);
   flow.mean = mean;
-  flow.deadline = kPatientDeadline;
+  flow.deadline = kBackgroundDeadline;
   flow.measured = false;
   return flow;
 }
 
-std::vector<Flow> UsualFlows(const Deployment& deployment, double load) {
+std::vector<Flow> MixedFlows(const Deployment& deployment, double load) {
   if (deployment.name == "sofia") {
     return {
         MakeFlow("fill-reads", 0, TrafficClass::kUrgent, load),
-        MakeOnce("confirmations", 1, load),
+        MakeNonIdempotent("confirmations", 1, load),
         MakeFlow("report-lists", 2, TrafficClass::kOrdinary, load * 0.6),
         MakeBulk("exports", 2, milliseconds(40), load * 0.4),
         MakeFlow("bank-lists", 3, TrafficClass::kOrdinary, load * 0.7),
@@ -63,7 +63,7 @@
   }
   return {
       MakeFlow("readings", 0, TrafficClass::kUrgent, load),
-      MakeOnce("notices", 1, load),
+      MakeNonIdempotent("notices", 1, load),
       MakeFlow("partner-reads", 2, TrafficClass::kOrdinary, load * 0.6),
       MakeBulk("downloads", 2, milliseconds(80), load * 0.4),
       MakeFlow("inflow-reads", 3, TrafficClass::kOrdinary, load * 0.5),
@@ -75,7 +75,7 @@
   Scenario scenario;
   scenario.deployment = deployment;
   scenario.flows = {
-      MakeFlow("readings", kReadings, TrafficClass::kUrgent, load)};
+      MakeFlow("readings", kReadingsService, TrafficClass::kUrgent, load)};
   return scenario;
 }
 
--- a/bench/model/flows.h
+++ b/bench/model/flows.h
@@ -11,7 +11,7 @@
 namespace basilsill::bench {
 
 /// The service whose requests people wait for: fill levels, level readings.
-inline constexpr size_t kReadings = 0;
+inline constexpr size_t kReadingsService = 0;
 
 /// @returns requests of `service`'s own team that may be repeated.
 Flow MakeFlow(std::string name,
@@ -20,13 +20,13 @@
               double load);
 
 /// @returns urgent requests that must not repeat.
-Flow MakeOnce(std::string name, size_t service, double load);
+Flow MakeNonIdempotent(std::string name, size_t service, double load);
 
 /// @returns requests with long answers.
 Flow MakeBulk(std::string name, size_t service, Duration mean, double load);
 
 /// @returns the traffic of a deployment's four services, each at `load`.
-std::vector<Flow> UsualFlows(const Deployment& deployment, double load);
+std::vector<Flow> MixedFlows(const Deployment& deployment, double load);
 
 /// @returns a scenario of the readings alone.
 Scenario MakeReadings(const Deployment& deployment, double load);
--- a/bench/model/metrics.h
+++ b/bench/model/metrics.h
@@ -14,11 +14,11 @@
 
 enum class OutcomeKind : uint8_t {
   kAnswered,
-  kFailed,     ///< An upstream's own error, passed on unchanged.
-  kRefused,    ///< Told to be not run, with a reason.
-  kUnknown,    ///< Told that it may have run, with a reason.
-  kGivenUp,    ///< The caller went away without an answer.
-  kEntryLost,  ///< The entry VM died.
+  kFailed,         ///< An upstream's own error, passed on unchanged.
+  kRefused,        ///< Told to be not run, with a reason.
+  kUnknown,        ///< Told that it may have run, with a reason.
+  kCallerTimeout,  ///< The caller went away without an answer.
+  kEntryLost,      ///< The entry VM died.
   kCount
 };
 
--- a/bench/model/probing.cc
+++ b/bench/model/probing.cc
@@ -13,9 +13,9 @@
 constexpr uint64_t kProbeSeed = 11;
 constexpr size_t kPoolSize = 16;
 constexpr size_t kProbesPerRequest = 3;
-constexpr size_t kSmallestPool = 2;  ///< Below it the pick is random.
+constexpr size_t kMinPoolSize = 2;  ///< Below it the pick is random.
 constexpr double kPaperHotQuantile = 0.84;
-constexpr Duration kProbeAge = std::chrono::seconds(1);
+constexpr Duration kMaxProbeAge = std::chrono::seconds(1);
 
 /// Bytes of a probe and its answer: two small frames with their heads.
 constexpr size_t kProbeBytes = 160;
@@ -31,19 +31,19 @@
  public:
   /// @param hot_quantile Of the pool's counts in flight: what is above is
   /// hot. With 0 the least in flight wins and latency breaks ties.
-  ProbingPicker(World& world, double hot_quantile)
-      : world(world),
+  ProbingPicker(SimulatedCluster& cluster, double hot_quantile)
+      : cluster(cluster),
         hot_quantile(hot_quantile),
-        pools(world.deployment().vms.size() *
-              world.deployment().services.size()),
+        pools(cluster.deployment().vms.size() *
+              cluster.deployment().services.size()),
         evictions(this->pools.size(), 0) {}
 
   size_t Pick(size_t vm, size_t service) override {
     const size_t position =
-        vm * this->world.deployment().services.size() + service;
+        vm * this->cluster.deployment().services.size() + service;
     std::vector<Probe>& pool = this->pools[position];
     std::erase_if(pool, [this](const Probe& probe) {
-      return this->world.now() - probe.taken > kProbeAge;
+      return this->cluster.now() - probe.taken > kMaxProbeAge;
     });
     const size_t chosen = this->Choose(pool, service);
     this->Evict(position);
@@ -55,8 +55,8 @@
 
  private:
   size_t Choose(std::vector<Probe>& pool, size_t service) {
-    if (pool.size() < kSmallestPool) {
-      const auto& all = this->world.deployment().services[service].instances;
+    if (pool.size() < kMinPoolSize) {
+      const auto& all = this->cluster.deployment().services[service].instances;
       return all[DrawIndex(this->random, all.size())];
     }
     const uint32_t hot = this->HotThreshold(pool);
@@ -95,7 +95,7 @@
   /// Takes one probe out a request: by turns the oldest and the worst.
   void Evict(size_t position) {
     std::vector<Probe>& pool = this->pools[position];
-    if (pool.size() <= kSmallestPool) {
+    if (pool.size() <= kMinPoolSize) {
       return;
     }
     size_t out = 0;
@@ -109,17 +109,19 @@
   }
 
   void SendProbe(size_t vm, size_t service, size_t position) {
-    const auto& all = this->world.deployment().services[service].instances;
+    const auto& all = this->cluster.deployment().services[service].instances;
     const size_t instance = all[DrawIndex(this->random, all.size())];
-    this->world.CountMeasuring(2, kProbeBytes);
-    const Duration way = this->world.VmToInstance(vm, instance);
-    this->world.simulation().After(way, [this, way, instance, position] {
-      const LoadReport report = this->world.upstreams().Report(instance);
-      const Probe probe{instance, report.in_flight, report.latency,
-                        this->world.now()};
-      this->world.simulation().After(
-          way, [this, probe, position] { this->AddProbe(position, probe); });
-    });
+    this->cluster.CountMeasuring(2, kProbeBytes);
+    const Duration one_way = this->cluster.VmToInstanceLatency(vm, instance);
+    this->cluster.simulation().After(
+        one_way, [this, one_way, instance, position] {
+          const LoadReport report = this->cluster.upstreams().Report(instance);
+          const Probe probe{instance, report.in_flight, report.latency,
+                            this->cluster.now()};
+          this->cluster.simulation().After(one_way, [this, probe, position] {
+            this->AddProbe(position, probe);
+          });
+        });
   }
 
   void AddProbe(size_t position, const Probe& probe) {
@@ -130,7 +132,7 @@
     pool.push_back(probe);
   }
 
-  World& world;
+  SimulatedCluster& cluster;
   double hot_quantile;
   Random random{kProbeSeed};
   std::vector<std::vector<Probe>> pools;  ///< By VM and service, oldest first.
@@ -139,12 +141,12 @@
 
 }  // namespace
 
-std::unique_ptr<Picker> MakeProbing(World& world) {
-  return std::make_unique<ProbingPicker>(world, kPaperHotQuantile);
+std::unique_ptr<Picker> MakeProbing(SimulatedCluster& cluster) {
+  return std::make_unique<ProbingPicker>(cluster, kPaperHotQuantile);
 }
 
-std::unique_ptr<Picker> MakeProbingInFlight(World& world) {
-  return std::make_unique<ProbingPicker>(world, 0);
+std::unique_ptr<Picker> MakeProbingInFlight(SimulatedCluster& cluster) {
+  return std::make_unique<ProbingPicker>(cluster, 0);
 }
 
 }  // namespace basilsill::bench
--- a/bench/model/scenarios.h
+++ b/bench/model/scenarios.h
@@ -8,11 +8,13 @@
 namespace basilsill::bench {
 
 // Load, without faults.
-Scenario MakeEven(const Deployment& deployment, double load);
+Scenario MakeEvenLoad(const Deployment& deployment, double load);
 Scenario MakeBurst(const Deployment& deployment, double load);
 Scenario MakeStraggler(const Deployment& deployment, double load);
-Scenario MakeWake(const Deployment& deployment);
-Scenario MakeFlood(const Deployment& deployment, double times, bool limited);
+Scenario MakeSimultaneousStart(const Deployment& deployment);
+Scenario MakeNoisyNeighbour(const Deployment& deployment,
+                            double times,
+                            bool limited);
 Scenario MakeDownloads(const Deployment& deployment, double downloads);
 Scenario MakeOverload(const Deployment& deployment);
 
@@ -23,9 +25,9 @@
 Scenario MakeDrain(const Deployment& deployment);
 Scenario MakeAllFail(const Deployment& deployment, InstanceMode mode);
 Scenario MakeRecover(const Deployment& deployment);
-Scenario MakeVmKilled(const Deployment& deployment, Duration noticed_after);
-Scenario MakeCut(const Deployment& deployment);
-Scenario MakeViews(const Deployment& deployment);
+Scenario MakeVmKilled(const Deployment& deployment, Duration detection_delay);
+Scenario MakeIsolatedVm(const Deployment& deployment);
+Scenario MakeDivergentViews(const Deployment& deployment);
 
 }  // namespace basilsill::bench
 
--- a/bench/model/scenarios_fault.cc
+++ b/bench/model/scenarios_fault.cc
@@ -21,16 +21,17 @@
 Disturbance ModeAt(Duration at,
                    std::vector<size_t> instances,
                    InstanceMode mode) {
-  return {at, [instances = std::move(instances), mode](World& world) {
+  return {at,
+          [instances = std::move(instances), mode](SimulatedCluster& cluster) {
             for (const size_t instance : instances) {
-              world.upstreams().SetMode(instance, mode);
+              cluster.upstreams().SetMode(instance, mode);
             }
           }};
 }
 
 Disturbance SlowdownAt(Duration at, size_t instance, double factor) {
-  return {at, [instance, factor](World& world) {
-            world.upstreams().SetSlowdown(instance, factor);
+  return {at, [instance, factor](SimulatedCluster& cluster) {
+            cluster.upstreams().SetSlowdown(instance, factor);
           }};
 }
 
@@ -38,18 +39,18 @@
 std::set<size_t> DispatchersOf(const Deployment& deployment) {
   const RoutingViewPtr view = MakeView(deployment, 0, 1, AllLive(deployment));
   std::set<size_t> dispatchers;
-  for (const ShardRow& shard : view->services.at(kReadings)->shards) {
+  for (const ShardRow& shard : view->services.at(kReadingsService)->shards) {
     dispatchers.insert(shard.owners.front().index);
   }
   return dispatchers;
 }
 
 Disturbance StateAt(Duration at, std::set<size_t> vms, VmState state) {
-  return {at, [vms = std::move(vms), state](World& world) {
+  return {at, [vms = std::move(vms), state](SimulatedCluster& cluster) {
             for (const size_t vm : vms) {
-              world.truth().vms.at(vm) = state;
+              cluster.current_state().vms.at(vm) = state;
             }
-            world.TellAll(seconds(5));
+            cluster.PublishState(seconds(5));
           }};
 }
 
@@ -79,12 +80,12 @@
 Scenario MakePoison(const Deployment& deployment) {
   Scenario scenario;
   scenario.deployment = deployment;
-  scenario.flows = {
-      MakeOnce("notices", kReadings, 0.5),
-      MakeFlow("poison", kReadings, TrafficClass::kOrdinary, kPoisonLoad)};
+  scenario.flows = {MakeNonIdempotent("notices", kReadingsService, 0.5),
+                    MakeFlow("poison", kReadingsService,
+                             TrafficClass::kOrdinary, kPoisonLoad)};
   Flow& poison = scenario.flows.back();
-  poison.from = scenario.warm_up;
-  poison.deadly = true;
+  poison.starts_at = scenario.warm_up;
+  poison.crashes_instance = true;
   poison.measured = false;
   return scenario;
 }
@@ -101,11 +102,11 @@
   }
   scenario.disturbances = {
       ModeAt(kDisturbedAt, leaving, InstanceMode::kDraining),
-      {kDisturbedAt + seconds(5), [leaving](World& world) {
+      {kDisturbedAt + seconds(5), [leaving](SimulatedCluster& cluster) {
          for (const size_t instance : leaving) {
-           world.truth().leaving.at(instance) = true;
+           cluster.current_state().leaving.at(instance) = true;
          }
-         world.TellAll(seconds(1));
+         cluster.PublishState(seconds(1));
        }}};
   return scenario;
 }
@@ -114,15 +115,16 @@
   Scenario scenario = MakeReadings(deployment, 0.7);
   scenario.warm_up = kDisturbedAt;
   scenario.length = seconds(5);
-  scenario.disturbances = {
-      ModeAt(kDisturbedAt, deployment.services.at(kReadings).instances, mode)};
+  scenario.disturbances = {ModeAt(
+      kDisturbedAt, deployment.services.at(kReadingsService).instances, mode)};
   return scenario;
 }
 
 /// Everything is refused for 2 s, then served again.
 Scenario MakeRecover(const Deployment& deployment) {
   Scenario scenario = MakeReadings(deployment, 0.7);
-  const std::vector<size_t>& all = deployment.services.at(kReadings).instances;
+  const std::vector<size_t>& all =
+      deployment.services.at(kReadingsService).instances;
   scenario.disturbances = {
       ModeAt(kDisturbedAt, all, InstanceMode::kShedding),
       ModeAt(kDisturbedAt + seconds(2), all, InstanceMode::kServing)};
@@ -131,22 +133,23 @@
 
 /// A dispatcher dies; its peers notice after `noticed_after`, the VM list
 /// says so 2 s later.
-Scenario MakeVmKilled(const Deployment& deployment, Duration noticed_after) {
+Scenario MakeVmKilled(const Deployment& deployment, Duration detection_delay) {
   Scenario scenario = MakeReadings(deployment, 0.7);
   const size_t victim = *DispatchersOf(deployment).begin();
-  scenario.disturbances = {{kDisturbedAt,
-                            [victim, noticed_after](World& world) {
-                              world.KillVm(victim, noticed_after);
-                            }},
-                           {kDisturbedAt + seconds(2), [victim](World& world) {
-                              world.truth().vms.at(victim) = VmState::kCount;
-                              world.TellAll(Duration{0});
-                            }}};
+  scenario.disturbances = {
+      {kDisturbedAt,
+       [victim, detection_delay](SimulatedCluster& cluster) {
+         cluster.KillVm(victim, detection_delay);
+       }},
+      {kDisturbedAt + seconds(2), [victim](SimulatedCluster& cluster) {
+         cluster.current_state().vms.at(victim) = VmState::kCount;
+         cluster.PublishState(Duration{0});
+       }}};
   return scenario;
 }
 
 /// One entry VM reaches no other VM for 3 s, though it reaches upstreams.
-Scenario MakeCut(const Deployment& deployment) {
+Scenario MakeIsolatedVm(const Deployment& deployment) {
   Scenario scenario = MakeReadings(deployment, 0.7);
   const std::set<size_t> dispatchers = DispatchersOf(deployment);
   size_t victim = 0;
@@ -154,15 +157,19 @@
     ++victim;
   }
   scenario.disturbances = {
-      {kDisturbedAt, [victim](World& world) { world.CutVm(victim, true); }},
-      {kDisturbedAt + seconds(3),
-       [victim](World& world) { world.CutVm(victim, false); }}};
+      {kDisturbedAt,
+       [victim](SimulatedCluster& cluster) {
+         cluster.SetIsolated(victim, true);
+       }},
+      {kDisturbedAt + seconds(3), [victim](SimulatedCluster& cluster) {
+         cluster.SetIsolated(victim, false);
+       }}};
   return scenario;
 }
 
 /// The VM list takes all dispatchers of the readings off and puts them back;
 /// each VM hears of it up to 5 s after the first.
-Scenario MakeViews(const Deployment& deployment) {
+Scenario MakeDivergentViews(const Deployment& deployment) {
   Scenario scenario = MakeReadings(deployment, 0.7);
   const std::set<size_t> vms = DispatchersOf(deployment);
   scenario.disturbances = {
--- a/bench/model/scenarios_load.cc
+++ b/bench/model/scenarios_load.cc
@@ -21,17 +21,17 @@
 
 }  // namespace
 
-Scenario MakeEven(const Deployment& deployment, double load) {
+Scenario MakeEvenLoad(const Deployment& deployment, double load) {
   Scenario scenario;
   scenario.deployment = deployment;
-  scenario.flows = UsualFlows(deployment, load);
+  scenario.flows = MixedFlows(deployment, load);
   // Near saturation a queue keeps its length for long.
   scenario.length = load > kNearSaturation ? seconds(40) : seconds(15);
   return scenario;
 }
 
 Scenario MakeBurst(const Deployment& deployment, double load) {
-  Scenario scenario = MakeEven(deployment, load);
+  Scenario scenario = MakeEvenLoad(deployment, load);
   for (Flow& flow : scenario.flows) {
     if (flow.measured) {
       flow.burst_factor = kBurstFactor;
@@ -44,50 +44,54 @@
 Scenario MakeStraggler(const Deployment& deployment, double load) {
   Scenario scenario = MakeReadings(deployment, load);
   scenario.length = seconds(30);
-  const std::vector<size_t>& all = deployment.services.at(kReadings).instances;
+  const std::vector<size_t>& all =
+      deployment.services.at(kReadingsService).instances;
   Random random(scenario.seed);
   size_t slow = all.front();
   for (Duration at{0}; at < scenario.warm_up + scenario.length;
        at += kStragglerPeriod) {
     const size_t next = all[DrawIndex(random, all.size())];
-    scenario.disturbances.push_back({at, [slow, next](World& world) {
-                                       world.upstreams().SetSlowdown(slow, 1);
-                                       world.upstreams().SetSlowdown(
-                                           next, kStragglerFactor);
-                                     }});
+    scenario.disturbances.push_back(
+        {at, [slow, next](SimulatedCluster& cluster) {
+           cluster.upstreams().SetSlowdown(slow, 1);
+           cluster.upstreams().SetSlowdown(next, kStragglerFactor);
+         }});
     slow = next;
   }
   return scenario;
 }
 
 /// After a quiet second all teams begin at once, over closed connections.
-Scenario MakeWake(const Deployment& deployment) {
+Scenario MakeSimultaneousStart(const Deployment& deployment) {
   Scenario scenario;
   scenario.deployment = deployment;
-  scenario.connections_cost = true;
+  scenario.models_connect_time = true;
   scenario.length = seconds(3);
   for (size_t i = 0; i < deployment.services.size(); ++i) {
     scenario.flows.push_back(MakeFlow("reads-" + std::to_string(i), i,
                                       TrafficClass::kOrdinary, 0.5));
-    scenario.flows.back().from = scenario.warm_up;
+    scenario.flows.back().starts_at = scenario.warm_up;
   }
   return scenario;
 }
 
 /// Two teams share the instances of the readings. The noisy one's limit is a
 /// quarter of them; it sends `times` that.
-Scenario MakeFlood(const Deployment& deployment, double times, bool limited) {
+Scenario MakeNoisyNeighbour(const Deployment& deployment,
+                            double times,
+                            bool limited) {
   Scenario scenario;
   scenario.deployment = deployment;
   TeamLimits limits;
   Flow quiet =
-      MakeFlow("quiet", kReadings, TrafficClass::kOrdinary, kTeamShare);
-  Flow noisy =
-      MakeFlow("noisy", kReadings, TrafficClass::kOrdinary, kTeamShare * times);
+      MakeFlow("quiet", kReadingsService, TrafficClass::kOrdinary, kTeamShare);
+  Flow noisy = MakeFlow("noisy", kReadingsService, TrafficClass::kOrdinary,
+                        kTeamShare * times);
   noisy.measured = false;
   if (limited) {
-    limits.requests_per_second =
-        kTeamShare * SlotsOf(deployment, kReadings) / InSeconds(noisy.mean);
+    limits.requests_per_second = kTeamShare *
+                                 SlotsOf(deployment, kReadingsService) /
+                                 InSeconds(noisy.mean);
     limits.burst = kQuotaBurst * limits.requests_per_second;
   }
   noisy.team = AddTeam(scenario.deployment, "noisy", limits);
@@ -100,7 +104,7 @@
 Scenario MakeDownloads(const Deployment& deployment, double downloads) {
   Scenario scenario = MakeReadings(deployment, 0.3);
   scenario.flows.push_back(
-      MakeBulk("downloads", kReadings, milliseconds(200), downloads));
+      MakeBulk("downloads", kReadingsService, milliseconds(200), downloads));
   scenario.length = seconds(20);
   return scenario;
 }
--- a/bench/model/upstreams.cc
+++ b/bench/model/upstreams.cc
@@ -15,7 +15,7 @@
 constexpr Duration kRestartTime = std::chrono::seconds(1);
 
 /// Time after which a dying instance breaks a connection.
-constexpr Duration kTimeToDie = std::chrono::milliseconds(1);
+constexpr Duration kCrashDelay = std::chrono::milliseconds(1);
 
 }  // namespace
 
@@ -56,15 +56,15 @@
       break;
     case InstanceMode::kDraining:
       end = JobEnd::kDraining;
-      ++this->late;
+      ++this->late_count;
       this->last_late = this->simulation.now() - instance.draining_since;
       break;
     case InstanceMode::kShedding:
       end = JobEnd::kShed;
       break;
-    case InstanceMode::kDying:
+    case InstanceMode::kBreakingConnections:
       end = JobEnd::kDied;
-      after = kTimeToDie;
+      after = kCrashDelay;
       break;
     case InstanceMode::kDown:
       end = JobEnd::kConnectFailed;
@@ -88,10 +88,11 @@
     Job& job = *this->jobs.Find(handle);
     job.running = true;
     instance.running.push_back(handle);
-    if (job.demand.deadly) {
+    if (job.demand.crashes_instance) {
       // It has no end of its own: it would be answered if it came first.
-      this->simulation.After(
-          kTimeToDie, [this, position = job.instance] { this->Die(position); });
+      this->simulation.After(kCrashDelay, [this, position = job.instance] {
+        this->Crash(position);
+      });
       continue;
     }
     this->ScheduleEnd(handle, Milliseconds(InMilliseconds(job.demand.time) *
@@ -113,7 +114,7 @@
     return;
   }
   Instance& instance = this->instances.at(job->instance);
-  this->Learn(instance, *job);
+  this->RecordLatency(instance, *job);
   const Done done = std::move(job->done);
   std::erase(instance.running, handle);
   this->jobs.Destroy(handle);
@@ -121,7 +122,7 @@
   done(JobEnd::kAnswered);
 }
 
-void Upstreams::Learn(Instance& instance, const Job& job) {
+void Upstreams::RecordLatency(Instance& instance, const Job& job) {
   const size_t level =
       std::min<size_t>(job.in_flight_at_start, kLoadLevels - 1);
   RecentLatencies& recent = instance.latency_at.at(level);
@@ -149,7 +150,7 @@
   const double change = factor / instance.slowdown;
   instance.slowdown = factor;
   for (const JobHandle handle : instance.running) {
-    if (this->jobs.Find(handle)->demand.deadly) {
+    if (this->jobs.Find(handle)->demand.crashes_instance) {
       continue;
     }
     const Duration left =
@@ -169,11 +170,11 @@
   }
 }
 
-void Upstreams::Die(size_t position) {
+void Upstreams::Crash(size_t position) {
   if (this->instances.at(position).mode != InstanceMode::kServing) {
     return;
   }
-  ++this->died;
+  ++this->death_count;
   this->SetMode(position, InstanceMode::kDown);
   this->simulation.After(kRestartTime, [this, position] {
     this->SetMode(position, InstanceMode::kServing);
@@ -193,7 +194,7 @@
   }
 }
 
-bool Upstreams::TakesWork(size_t position) const {
+bool Upstreams::AcceptsWork(size_t position) const {
   const InstanceMode mode = this->instances.at(position).mode;
   return mode == InstanceMode::kServing || mode == InstanceMode::kFailFast;
 }
@@ -214,12 +215,13 @@
     --level;
   }
   RecentLatencies recent = instance.latency_at.at(level);
-  const size_t known = std::min(recent.count, kRecentLatencies);
+  const size_t sample_count = std::min(recent.count, kRecentLatencies);
   const auto middle =
-      recent.ring.begin() + static_cast<std::ptrdiff_t>(known / 2);
-  std::nth_element(recent.ring.begin(), middle,
-                   recent.ring.begin() + static_cast<std::ptrdiff_t>(known));
-  report.latency = known == 0 ? Duration{0} : *middle;
+      recent.ring.begin() + static_cast<std::ptrdiff_t>(sample_count / 2);
+  std::nth_element(
+      recent.ring.begin(), middle,
+      recent.ring.begin() + static_cast<std::ptrdiff_t>(sample_count));
+  report.latency = sample_count == 0 ? Duration{0} : *middle;
   return report;
 }
 
--- a/bench/model/upstreams.h
+++ b/bench/model/upstreams.h
@@ -25,11 +25,11 @@
 /// How an instance treats new work.
 enum class InstanceMode : uint8_t {
   kServing,
-  kFailFast,  ///< Answers 500 at once, whatever is asked.
-  kDraining,  ///< Ends what it has, refuses new work and says why.
-  kShedding,  ///< Refuses new work before running it.
-  kDying,     ///< Accepts work, then breaks its connection.
-  kDown,      ///< Refuses connections.
+  kFailFast,             ///< Answers 500 at once, whatever is asked.
+  kDraining,             ///< Ends what it has, refuses new work and says why.
+  kShedding,             ///< Refuses new work before running it.
+  kBreakingConnections,  ///< Accepts work, then breaks its connection.
+  kDown,                 ///< Refuses connections.
   kCount
 };
 
@@ -45,8 +45,9 @@
 
 /// What a request asks of an instance.
 struct Demand {
-  Duration time{};      ///< At full speed.
-  bool deadly = false;  ///< The instance dies when it begins to run it.
+  Duration time{};  ///< At full speed.
+  bool crashes_instance =
+      false;  ///< The instance dies when it begins to run it.
 };
 
 /// Load that an instance tells of itself when it is probed.
@@ -78,12 +79,12 @@
   uint32_t InFlight(size_t instance) const;
 
   /// @returns true unless `instance` refuses work and says so.
-  bool TakesWork(size_t instance) const;
+  bool AcceptsWork(size_t instance) const;
 
   size_t submissions() const { return this->submitted; }
-  size_t deaths() const { return this->died; }
+  size_t deaths() const { return this->death_count; }
   /// Work that reached a draining instance, and when that last happened.
-  size_t late_submissions() const { return this->late; }
+  size_t late_submissions() const { return this->late_count; }
   Duration last_late_submission() const { return this->last_late; }
 
  private:
@@ -121,16 +122,16 @@
   void StartWaiting(Instance& instance);
   void ScheduleEnd(JobHandle handle, Duration remaining);
   void OnEnd(JobHandle handle, uint32_t schedule);
-  void Learn(Instance& instance, const Job& job);
-  void Die(size_t instance);
+  void RecordLatency(Instance& instance, const Job& job);
+  void Crash(size_t instance);
   void BreakAll(Instance& instance);
 
   Simulation& simulation;
   std::vector<Instance> instances;
   HandleTable<Job, JobTag> jobs;
   size_t submitted = 0;
-  size_t died = 0;
-  size_t late = 0;
+  size_t death_count = 0;
+  size_t late_count = 0;
   Duration last_late{0};
 };
 
--- a/bench/model/world.cc
+++ b/bench/model/world.cc
@@ -6,18 +6,18 @@
 namespace {
 
 /// Time past the deadline at which a caller stops waiting for its answer.
-constexpr Duration kCallerPatience = std::chrono::milliseconds(50);
+constexpr Duration kCallerGracePeriod = std::chrono::milliseconds(50);
 
 /// Pause of a caller who was refused and not told when to come back.
-constexpr Duration kDefaultResendPause = std::chrono::milliseconds(100);
+constexpr Duration kDefaultResendDelay = std::chrono::milliseconds(100);
 
 /// Time for the last requests to end before the idle time begins.
-constexpr Duration kSettle = std::chrono::seconds(3);
+constexpr Duration kSettleTime = std::chrono::seconds(3);
 
 constexpr uint64_t kArrivalStream = 100;
 constexpr uint64_t kResendStream = 99;
 
-uint64_t Mix(uint64_t value) {
+uint64_t MixBits(uint64_t value) {
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9;
   value = (value ^ (value >> 27)) * 0x94d049bb133111eb;
   return value ^ (value >> 31);
@@ -25,17 +25,17 @@
 
 }  // namespace
 
-World::World(const Scenario& scenario)
+SimulatedCluster::SimulatedCluster(const Scenario& scenario)
     : scenario(scenario),
       servers(this->clock, scenario.deployment),
-      known(AllLive(scenario.deployment)),
+      state(AllLive(scenario.deployment)),
       alive(scenario.deployment.vms.size(), true),
       sent(scenario.flows.size(), 0),
       resend_random(scenario.seed, kResendStream),
       idle_connections(
           scenario.deployment.vms.size() * scenario.deployment.instances.size(),
           0),
-      on_the_way(scenario.deployment.instances.size(), 0) {
+      in_transit(scenario.deployment.instances.size(), 0) {
   this->metrics.flows.resize(scenario.flows.size());
   this->metrics.window = scenario.length;
   this->metrics.idle = scenario.idle;
@@ -44,11 +44,11 @@
   }
 }
 
-Metrics World::Run(Strategy& with) {
-  this->strategy = &with;
+Metrics SimulatedCluster::Run(Strategy& strategy_to_run) {
+  this->strategy = &strategy_to_run;
   for (uint32_t i = 0; i < this->scenario.flows.size(); ++i) {
     if (this->scenario.flows[i].load > 0) {
-      this->clock.At(TimePoint(this->scenario.flows[i].from),
+      this->clock.At(TimePoint(this->scenario.flows[i].starts_at),
                      [this, i] { this->ScheduleArrival(i); });
     }
   }
@@ -59,9 +59,9 @@
   const TimePoint end(this->scenario.warm_up + this->scenario.length);
   this->clock.RunUntil(TimePoint(this->scenario.warm_up));
   const size_t warm_submissions = this->servers.submissions();
-  this->clock.RunUntil(end + kSettle);
+  this->clock.RunUntil(end + kSettleTime);
   const uint64_t before_idle = this->metrics.measuring_messages;
-  this->clock.RunUntil(end + kSettle + this->scenario.idle);
+  this->clock.RunUntil(end + kSettleTime + this->scenario.idle);
   this->metrics.idle_messages = this->metrics.measuring_messages - before_idle;
   this->metrics.submissions = this->servers.submissions() - warm_submissions;
   this->metrics.late_submissions = this->servers.late_submissions();
@@ -70,39 +70,41 @@
   return std::move(this->metrics);
 }
 
-double World::RateOf(const Flow& flow) const {
+double SimulatedCluster::PeakRate(const Flow& flow) const {
   const double mean = flow.load * SlotsOf(this->deployment(), flow.service) /
                       InSeconds(flow.mean);
   const double share = InSeconds(kBurstLength) / InSeconds(kBurstPeriod);
   return mean * flow.burst_factor / (1 + share * (flow.burst_factor - 1));
 }
 
-bool World::Accepts(const Flow& flow, Random& random) const {
+bool SimulatedCluster::AcceptsArrival(const Flow& flow, Random& random) const {
   const bool in_burst =
       this->now().time_since_epoch() % kBurstPeriod < kBurstLength;
   return in_burst || DrawUnit(random) * flow.burst_factor < 1;
 }
 
-void World::ScheduleArrival(uint32_t flow) {
-  const double rate = this->RateOf(this->scenario.flows[flow]);
+void SimulatedCluster::ScheduleArrival(uint32_t flow) {
+  const double rate = this->PeakRate(this->scenario.flows[flow]);
   this->clock.After(DrawGap(this->arrivals[flow], rate),
                     [this, flow] { this->OnArrivalTime(flow); });
 }
 
-void World::OnArrivalTime(uint32_t flow) {
+void SimulatedCluster::OnArrivalTime(uint32_t flow) {
   const TimePoint end(this->scenario.warm_up + this->scenario.length);
   if (this->now() >= end) {
     return;
   }
   this->ScheduleArrival(flow);
-  if (!this->Accepts(this->scenario.flows[flow], this->arrivals[flow])) {
+  if (!this->AcceptsArrival(this->scenario.flows[flow], this->arrivals[flow])) {
     return;
   }
   const RequestId id = this->NewRequest(flow, this->sent[flow]++, 0);
   this->strategy->OnArrival(id);
 }
 
-RequestId World::NewRequest(uint32_t flow, uint32_t number, uint32_t resend) {
+RequestId SimulatedCluster::NewRequest(uint32_t flow,
+                                       uint32_t number,
+                                       uint32_t resend) {
   Request request;
   request.flow = flow;
   request.number = number;
@@ -115,22 +117,22 @@
   request.deadline = this->now() + this->scenario.flows[flow].deadline;
   const auto id = static_cast<RequestId>(this->requests.size());
   this->requests.push_back(request);
-  this->clock.At(request.deadline + kCallerPatience, [this, id] {
+  this->clock.At(request.deadline + kCallerGracePeriod, [this, id] {
     if (!this->requests[id].done) {
-      this->strategy->OnGivenUp(id);
-      this->Finish(id, {OutcomeKind::kGivenUp});
+      this->strategy->OnCallerTimeout(id);
+      this->Finish(id, {OutcomeKind::kCallerTimeout});
     }
   });
   return id;
 }
 
-bool World::IsCounted(const Request& request) const {
+bool SimulatedCluster::IsCounted(const Request& request) const {
   const TimePoint begin(this->scenario.warm_up);
   return request.arrival >= begin &&
          request.arrival < begin + this->scenario.length;
 }
 
-void World::Finish(RequestId id, const Outcome& outcome) {
+void SimulatedCluster::Finish(RequestId id, const Outcome& outcome) {
   Request& request = this->requests[id];
   if (request.done) {
     return;
@@ -145,20 +147,20 @@
     counts.latencies.push_back(static_cast<float>(InMilliseconds(
         served ? this->now() - request.arrival : flow.deadline)));
   }
-  const bool again = outcome.kind == OutcomeKind::kRefused ||
-                     outcome.kind == OutcomeKind::kGivenUp;
-  if (again && request.resend < flow.resends) {
+  const bool may_resend = outcome.kind == OutcomeKind::kRefused ||
+                          outcome.kind == OutcomeKind::kCallerTimeout;
+  if (may_resend && request.resend < flow.resends) {
     this->Resend(id, outcome);
   }
 }
 
-void World::Resend(RequestId id, const Outcome& outcome) {
+void SimulatedCluster::Resend(RequestId id, const Outcome& outcome) {
   const Duration pause = outcome.retry_after > Duration{0}
                              ? outcome.retry_after
-                             : kDefaultResendPause;
+                             : kDefaultResendDelay;
   // Callers add up to a quarter, so that they do not come back together.
-  const double stretch = 1 + DrawUnit(this->resend_random) / 4;
-  this->clock.After(Milliseconds(InMilliseconds(pause) * stretch), [this, id] {
+  const double jitter = 1 + DrawUnit(this->resend_random) / 4;
+  this->clock.After(Milliseconds(InMilliseconds(pause) * jitter), [this, id] {
     const Request first = this->requests[id];
     const TimePoint end(this->scenario.warm_up + this->scenario.length);
     if (this->now() < end) {
@@ -168,46 +170,47 @@
   });
 }
 
-void World::CountRetry(RequestId id, Retry reason) {
+void SimulatedCluster::CountRetry(RequestId id, Retry reason) {
   const Request& request = this->requests[id];
   if (this->IsCounted(request) && reason != Retry::kNone) {
     ++this->metrics.flows[request.flow].retries.at(static_cast<size_t>(reason));
   }
 }
 
-void World::CountMeasuring(size_t messages, size_t bytes) {
+void SimulatedCluster::CountMeasuring(size_t messages, size_t bytes) {
   this->metrics.measuring_messages += messages;
   this->metrics.measuring_bytes += bytes;
 }
 
-void World::CountCarried(size_t bytes) {
+void SimulatedCluster::CountCarriedBytes(size_t bytes) {
   this->metrics.carried_bytes += bytes;
 }
 
-Duration World::VmToVm(size_t from, size_t to) const {
+Duration SimulatedCluster::VmToVmLatency(size_t from, size_t to) const {
   return Latency(this->deployment().vms[from], this->deployment().vms[to]);
 }
 
-Duration World::VmToInstance(size_t vm, size_t instance) const {
+Duration SimulatedCluster::VmToInstanceLatency(size_t vm,
+                                               size_t instance) const {
   return Latency(this->deployment().vms[vm],
                  this->deployment().instances[instance].data_centre);
 }
 
-Demand World::DemandOf(const Request& request) const {
+Demand SimulatedCluster::DemandOf(const Request& request) const {
   const Flow& flow = this->scenario.flows[request.flow];
   const uint64_t key = (static_cast<uint64_t>(request.number) << 16) |
                        (request.resend << 8) | request.attempts;
-  Random random(Mix(this->scenario.seed ^ Mix(key)), request.flow);
-  return {DrawLognormal(random, flow.mean, flow.sigma), flow.deadly};
+  Random random(MixBits(this->scenario.seed ^ MixBits(key)), request.flow);
+  return {DrawLognormal(random, flow.mean, flow.sigma), flow.crashes_instance};
 }
 
-uint32_t& World::IdleConnections(size_t vm, size_t instance) {
+uint32_t& SimulatedCluster::IdleConnections(size_t vm, size_t instance) {
   return this
       ->idle_connections[vm * this->deployment().instances.size() + instance];
 }
 
-Duration World::ConnectCost(size_t vm, size_t instance) {
-  if (!this->scenario.connections_cost) {
+Duration SimulatedCluster::ConnectDelay(size_t vm, size_t instance) {
+  if (!this->scenario.models_connect_time) {
     return Duration{0};
   }
   uint32_t& idle = this->IdleConnections(vm, instance);
@@ -218,10 +221,10 @@
   return kConnectTime;
 }
 
-uint32_t World::StartAttempt(RequestId id,
-                             size_t vm,
-                             size_t instance,
-                             Upstreams::Done done) {
+uint32_t SimulatedCluster::StartAttempt(RequestId id,
+                                        size_t vm,
+                                        size_t instance,
+                                        Upstreams::Done done) {
   Request& request = this->requests[id];
   const Demand demand = this->DemandOf(request);
   ++request.attempts;
@@ -231,17 +234,17 @@
                             true,
                             {},
                             std::move(done)});
-  ++this->on_the_way[instance];
-  const Duration delay =
-      this->VmToInstance(vm, instance) + this->ConnectCost(vm, instance);
+  ++this->in_transit[instance];
+  const Duration delay = this->VmToInstanceLatency(vm, instance) +
+                         this->ConnectDelay(vm, instance);
   this->clock.After(
       delay, [this, number, demand] { this->ReachInstance(number, demand); });
   return number;
 }
 
-void World::ReachInstance(uint32_t number, const Demand& demand) {
+void SimulatedCluster::ReachInstance(uint32_t number, const Demand& demand) {
   const size_t instance = this->attempts[number].instance;
-  --this->on_the_way[instance];
+  --this->in_transit[instance];
   if (!this->attempts[number].open) {
     return;
   }
@@ -250,13 +253,13 @@
       [this, number](JobEnd end) { this->OnServed(number, end); });
 }
 
-void World::OnServed(uint32_t number, JobEnd end) {
+void SimulatedCluster::OnServed(uint32_t number, JobEnd end) {
   const Attempt& attempt = this->attempts[number];
-  this->clock.After(this->VmToInstance(attempt.vm, attempt.instance),
+  this->clock.After(this->VmToInstanceLatency(attempt.vm, attempt.instance),
                     [this, number, end] { this->OnAnswer(number, end); });
 }
 
-void World::OnAnswer(uint32_t number, JobEnd end) {
+void SimulatedCluster::OnAnswer(uint32_t number, JobEnd end) {
   Attempt& attempt = this->attempts[number];
   if (!attempt.open) {
     return;
@@ -269,11 +272,11 @@
   done(end);
 }
 
-uint32_t World::TrueInFlight(size_t instance) const {
-  return this->on_the_way[instance] + this->servers.InFlight(instance);
+uint32_t SimulatedCluster::ActualInFlight(size_t instance) const {
+  return this->in_transit[instance] + this->servers.InFlight(instance);
 }
 
-void World::CancelAttempt(uint32_t number) {
+void SimulatedCluster::CancelAttempt(uint32_t number) {
   Attempt& attempt = this->attempts[number];
   if (!attempt.open) {
     return;
@@ -281,11 +284,11 @@
   attempt.open = false;
   attempt.done = nullptr;
   this->clock.After(
-      this->VmToInstance(attempt.vm, attempt.instance),
+      this->VmToInstanceLatency(attempt.vm, attempt.instance),
       [this, number] { this->servers.Cancel(this->attempts[number].job); });
 }
 
-void World::KillVm(size_t vm, Duration noticed_after) {
+void SimulatedCluster::KillVm(size_t vm, Duration detection_delay) {
   this->alive.at(vm) = false;
   for (uint32_t i = 0; i < this->attempts.size(); ++i) {
     if (this->attempts[i].vm == vm) {
@@ -297,17 +300,17 @@
       this->Finish(id, {OutcomeKind::kEntryLost});
     }
   }
-  this->strategy->OnVmKilled(vm, noticed_after);
+  this->strategy->OnVmKilled(vm, detection_delay);
 }
 
-void World::TellAll(Duration spread) {
+void SimulatedCluster::PublishState(Duration spread) {
   const size_t count = this->alive.size();
   for (size_t vm = 0; vm < count; ++vm) {
     const Duration after = spread * static_cast<int64_t>(vm) /
                            static_cast<int64_t>(count > 1 ? count - 1 : 1);
-    this->clock.After(after, [this, vm, knowledge = this->known] {
+    this->clock.After(after, [this, vm, cluster_state = this->state] {
       if (this->alive[vm]) {
-        this->strategy->OnKnowledge(vm, knowledge);
+        this->strategy->OnClusterState(vm, cluster_state);
       }
     });
   }
--- a/bench/model/world.h
+++ b/bench/model/world.h
@@ -33,22 +33,23 @@
   double sigma = 1;                              ///< Lognormal shape of it.
   double load = 0;          ///< Mean share of the service's slots in use.
   double burst_factor = 1;  ///< Rate inside of bursts over that outside.
-  Duration from{0};         ///< Arrivals begin.
+  Duration starts_at{0};    ///< Arrivals begin.
   unsigned resends = 0;     ///< Times a caller sends a refused one again.
-  bool deadly = false;      ///< All alike; each kills the instance it runs on.
-  bool measured = true;     ///< Counts for the case's own figures.
+  bool crashes_instance =
+      false;             ///< All alike; each kills the instance it runs on.
+  bool measured = true;  ///< Counts for the case's own figures.
 };
 
 /// Bursts: the first `kBurstLength` of every `kBurstPeriod`.
 inline constexpr Duration kBurstLength = std::chrono::milliseconds(20);
 inline constexpr Duration kBurstPeriod = std::chrono::milliseconds(100);
 
-class World;
+class SimulatedCluster;
 
 /// Something that happens to the installation while it runs.
 struct Disturbance {
   Duration at{0};
-  std::function<void(World&)> apply;
+  std::function<void(SimulatedCluster&)> apply;
 };
 
 struct Scenario {
@@ -58,7 +59,7 @@
   Duration warm_up = std::chrono::seconds(1);
   Duration length = std::chrono::seconds(10);  ///< Counted, after warm-up.
   Duration idle = std::chrono::seconds(2);     ///< Without arrivals, after.
-  bool connections_cost = false;               ///< Opening one takes time.
+  bool models_connect_time = false;            ///< Opening one takes time.
   uint64_t seed = 1;
 };
 
@@ -83,17 +84,17 @@
   virtual ~Strategy() = default;
   virtual void OnArrival(RequestId request) = 0;
   /// The caller went away.
-  virtual void OnGivenUp(RequestId request) = 0;
-  virtual void OnVmKilled(size_t vm, Duration noticed_after) = 0;
+  virtual void OnCallerTimeout(RequestId request) = 0;
+  virtual void OnVmKilled(size_t vm, Duration detection_delay) = 0;
   /// `vm` is cut off from all other VMs, or reaches them again.
-  virtual void OnCut(size_t vm, bool cut) = 0;
+  virtual void OnIsolated(size_t vm, bool isolated) = 0;
   /// The VM list or the configuration says something new to `vm`.
-  virtual void OnKnowledge(size_t vm, const Knowledge& knowledge) = 0;
+  virtual void OnClusterState(size_t vm, const ClusterState& cluster_state) = 0;
 };
 
-class World {
+class SimulatedCluster {
  public:
-  explicit World(const Scenario& scenario);
+  explicit SimulatedCluster(const Scenario& scenario);
 
   /// Runs the scenario to its end.
   Metrics Run(Strategy& strategy);
@@ -108,17 +109,17 @@
   size_t request_count() const { return this->requests.size(); }
   bool IsAlive(size_t vm) const { return this->alive.at(vm); }
   TimePoint now() const { return this->clock.now(); }
-  Knowledge& truth() { return this->known; }
+  ClusterState& current_state() { return this->state; }
 
   /// Ends `request`; later calls for it are ignored.
   void Finish(RequestId request, const Outcome& outcome);
   void CountRetry(RequestId request, Retry reason);
   /// Counts messages sent for measuring alone.
   void CountMeasuring(size_t messages, size_t bytes);
-  void CountCarried(size_t bytes);
+  void CountCarriedBytes(size_t bytes);
 
-  Duration VmToVm(size_t from, size_t to) const;
-  Duration VmToInstance(size_t vm, size_t instance) const;
+  Duration VmToVmLatency(size_t from, size_t to) const;
+  Duration VmToInstanceLatency(size_t vm, size_t instance) const;
 
   /// Sends the next attempt of `request` from `vm` to `instance`. `done` runs
   /// when its answer is back at `vm`.
@@ -131,14 +132,16 @@
 
   /// @returns the requests at `instance` and on their way to it. No strategy
   /// but the oracle may ask.
-  uint32_t TrueInFlight(size_t instance) const;
+  uint32_t ActualInFlight(size_t instance) const;
 
   // What disturbances call.
-  void KillVm(size_t vm, Duration noticed_after);
+  void KillVm(size_t vm, Duration detection_delay);
   /// Cuts `vm` off from the other VMs, not from upstreams; or mends that.
-  void CutVm(size_t vm, bool cut) { this->strategy->OnCut(vm, cut); }
+  void SetIsolated(size_t vm, bool isolated) {
+    this->strategy->OnIsolated(vm, isolated);
+  }
   /// Tells what is true now to each VM, `spread` over time.
-  void TellAll(Duration spread);
+  void PublishState(Duration spread);
 
  private:
   struct Attempt {
@@ -151,13 +154,13 @@
 
   void ScheduleArrival(uint32_t flow);
   void OnArrivalTime(uint32_t flow);
-  double RateOf(const Flow& flow) const;  ///< Highest, requests a second.
-  bool Accepts(const Flow& flow, Random& random) const;
+  double PeakRate(const Flow& flow) const;  ///< Highest, requests a second.
+  bool AcceptsArrival(const Flow& flow, Random& random) const;
   RequestId NewRequest(uint32_t flow, uint32_t number, uint32_t resend);
   void Resend(RequestId request, const Outcome& outcome);
   bool IsCounted(const Request& request) const;
   Demand DemandOf(const Request& request) const;
-  Duration ConnectCost(size_t vm, size_t instance);
+  Duration ConnectDelay(size_t vm, size_t instance);
   void ReachInstance(uint32_t attempt, const Demand& demand);
   void OnServed(uint32_t attempt, JobEnd end);
   void OnAnswer(uint32_t attempt, JobEnd end);
@@ -168,7 +171,7 @@
   Upstreams servers;
   Strategy* strategy = nullptr;
   Metrics metrics;
-  Knowledge known;
+  ClusterState state;
   std::vector<bool> alive;
   std::vector<Request> requests;
   std::vector<Attempt> attempts;
@@ -176,7 +179,7 @@
   std::vector<uint32_t> sent;    ///< Requests so far, by flow.
   Random resend_random;
   std::vector<uint32_t> idle_connections;  ///< By VM and instance.
-  std::vector<uint32_t> on_the_way;        ///< Attempts, by instance.
+  std::vector<uint32_t> in_transit;        ///< Attempts, by instance.
 };
 
 }  // namespace basilsill::bench
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -131,7 +131,7 @@
   if (!options.check.empty()) {
     ReadBounds(options.check, checks);
   }
-  return WriteVerdict(std::cout, checks) > 0 ? 1 : 0;
+  return WriteCheckResults(std::cout, checks) > 0 ? 1 : 0;
 }
 
 }  // namespace
--- a/bench/report.cc
+++ b/bench/report.cc
@@ -47,11 +47,11 @@
   return list;
 }
 
-void WriteHead(std::ostream& out, const Figures& figures) {
+void WriteHeading(std::ostream& out, const Figures& figures) {
   out << "\n### " << figures.case_name << ", " << figures.deployment << "\n\n";
   for (const CaseSpec& spec : Cases()) {
     if (spec.name == figures.case_name) {
-      out << "Story: " << spec.story << ".\n\n";
+      out << "Story: " << spec.description << ".\n\n";
     }
   }
   out << "| strategy | p50 | p99 | p99.9 | answered | errors | not run |"
@@ -115,14 +115,14 @@
   for (size_t i = 0; i < strategies.size(); ++i) {
     out << "---|";
   }
-  const Figures* before = nullptr;
+  const Figures* previous = nullptr;
   for (const Figures& figures : results) {
-    if (before == nullptr || before->case_name != figures.case_name ||
-        before->deployment != figures.deployment) {
+    if (previous == nullptr || previous->case_name != figures.case_name ||
+        previous->deployment != figures.deployment) {
       out << "\n| " << figures.case_name << " | " << figures.deployment << " |";
     }
     out << " " << cell(figures) << " |";
-    before = &figures;
+    previous = &figures;
   }
   out << "\n";
 }
@@ -173,14 +173,14 @@
 }  // namespace
 
 void WriteTables(std::ostream& out, const std::vector<Figures>& results) {
-  const Figures* before = nullptr;
+  const Figures* previous = nullptr;
   for (const Figures& figures : results) {
-    if (before == nullptr || before->case_name != figures.case_name ||
-        before->deployment != figures.deployment) {
-      WriteHead(out, figures);
+    if (previous == nullptr || previous->case_name != figures.case_name ||
+        previous->deployment != figures.deployment) {
+      WriteHeading(out, figures);
     }
     WriteRow(out, figures);
-    before = &figures;
+    previous = &figures;
   }
 }
 
--- a/bench/runner.cc
+++ b/bench/runner.cc
@@ -13,9 +13,9 @@
 Figures RunJob(const Job& job) {
   Scenario scenario = job.spec->make(job.deployment);
   scenario.seed = job.seed;
-  World world(scenario);
-  const std::unique_ptr<Strategy> strategy = job.strategy.make(world);
-  Figures figures = FiguresOf(scenario, world.Run(*strategy));
+  SimulatedCluster cluster(scenario);
+  const std::unique_ptr<Strategy> strategy = job.strategy.make(cluster);
+  Figures figures = FiguresOf(scenario, cluster.Run(*strategy));
   figures.case_name = job.spec->name;
   figures.deployment = job.deployment.name;
   figures.strategy = job.strategy.name;
@@ -27,13 +27,14 @@
 std::vector<StrategySpec> AllStrategies() {
   std::vector<StrategySpec> all;
   for (const Baseline& baseline : Baselines()) {
-    all.push_back(
-        {std::string(baseline.name), [make = baseline.make](World& world) {
-           return MakeDirectStrategy(world, make);
-         }});
+    all.push_back({std::string(baseline.name),
+                   [make = baseline.make](SimulatedCluster& cluster) {
+                     return MakeDirectStrategy(cluster, make);
+                   }});
   }
-  all.push_back(
-      {kOwnStrategy, [](World& world) { return MakeFleet(world, {}); }});
+  all.push_back({kOwnStrategy, [](SimulatedCluster& cluster) {
+                   return MakeFleetStrategy(cluster, {});
+                 }});
   return all;
 }
 
--- a/bench/runner.h
+++ b/bench/runner.h
@@ -19,7 +19,7 @@
 
 struct StrategySpec {
   std::string name;
-  std::function<std::unique_ptr<Strategy>(World&)> make;
+  std::function<std::unique_ptr<Strategy>(SimulatedCluster&)> make;
 };
 
 /// @returns the baselines, the oracle, and the project's own policy last.
--- a/bench/test/bounds_test.cc
+++ b/bench/test/bounds_test.cc
@@ -17,12 +17,12 @@
 }
 ;  // namespace basilsill::bench
 
-TEST(Bounds, SetBounds_BarMet_BoundIsNoWeakerThanBar) {
+TEST(Bounds, SetBounds_BarMet_BoundNoWeakerThanBar) {
   DOUBLES_EQUAL(1.1, this->WithBound(1.09, 1.1).bound, 1e-9);
   DOUBLES_EQUAL(0.9, this->WithBound(0.91, 0.9, true).bound, 1e-9);
 }
 
-TEST(Bounds, SetBounds_BarMissed_BoundHoldsWhatIsMeasured) {
+TEST(Bounds, SetBounds_BarMissed_BoundFollowsMeasuredValue) {
   Check check = this->WithBound(2, 1.1);
   CHECK(check.MissesBar());
   CHECK_FALSE(check.BreaksBound());
@@ -30,20 +30,20 @@
   CHECK(check.BreaksBound());
 }
 
-TEST(Bounds, SetBounds_NoBar_LeavesAMargin) {
+TEST(Bounds, SetBounds_NoBar_AddsMargin) {
   Check check = this->WithBound(10, kNoBar);
   CHECK_FALSE(check.MissesBar());
   DOUBLES_EQUAL(10.5, check.bound, 1e-9);
 }
 
-TEST(Bounds, AtLeast_ValueFalls_BreaksTheBound) {
+TEST(Bounds, AtLeast_ValueBelowBound_BreaksBound) {
   Check check = this->WithBound(1, kNoBar, true);
   check.value = 0.9;
   CHECK(check.BreaksBound());
 }
 
 // A strategy that refuses its slow requests must not look fast.
-TEST(Bounds, MakeChecks_RequestsLost_CountAgainstTheBar) {
+TEST(Bounds, MakeChecks_RequestsLost_BarMissed) {
   Figures own;
   own.case_name = "fail_fast";
   own.deployment = "sofia";
--- a/bench/test/model_test.cc
+++ b/bench/test/model_test.cc
@@ -18,7 +18,7 @@
 
 namespace {
 
-Scenario MakeShort(const Deployment& deployment) {
+Scenario MakeShortScenario(const Deployment& deployment) {
   Scenario scenario = FindCase("even_70")->make(deployment);
   scenario.length = milliseconds(500);
   return scenario;
@@ -62,7 +62,7 @@
   }
 };
 
-TEST(Upstreams, Submit_MoreThanSlots_WaitsForASlot) {
+TEST(Upstreams, Submit_MoreThanSlots_WaitsForSlot) {
   this->Submit(milliseconds(10));
   this->Submit(milliseconds(30));
   this->Submit(milliseconds(5));
@@ -73,7 +73,7 @@
   DOUBLES_EQUAL(30, this->times[2], 1e-6);
 }
 
-TEST(Upstreams, SetSlowdown_WhileRunning_StretchesWhatIsLeft) {
+TEST(Upstreams, SetSlowdown_WhileRunning_ScalesRemainingTime) {
   this->Submit(milliseconds(10));
   this->simulation.RunUntil(TimePoint(milliseconds(5)));
   this->upstreams.SetSlowdown(0, 8);
@@ -81,7 +81,7 @@
   DOUBLES_EQUAL(45, this->times.at(0), 1e-6);
 }
 
-TEST(Upstreams, Cancel_Running_FreesItsSlotAndIsSilent) {
+TEST(Upstreams, Cancel_Running_FreesSlotWithoutCallback) {
   const JobHandle first = this->Submit(milliseconds(100));
   this->Submit(milliseconds(100));
   this->Submit(milliseconds(1));
@@ -102,7 +102,7 @@
 
 // An upstream gets a request that crashes it. The request beside it loses its
 // connection too; a second later the upstream serves again.
-TEST(Upstreams, Submit_Deadly_BreaksAllAndRestarts) {
+TEST(Upstreams, Submit_CrashingRequest_BreaksAllAndRestarts) {
   this->Submit(milliseconds(100));
   this->upstreams.Submit(0, {std::chrono::microseconds(1), true},
                          [this](JobEnd end) { this->ends.push_back(end); });
@@ -110,9 +110,9 @@
   LONGS_EQUAL(2, this->ends.size());
   CHECK(this->ends[0] == JobEnd::kDied && this->ends[1] == JobEnd::kDied);
   LONGS_EQUAL(1, this->upstreams.deaths());
-  CHECK_FALSE(this->upstreams.TakesWork(0));
+  CHECK_FALSE(this->upstreams.AcceptsWork(0));
   this->simulation.RunUntil(TimePoint(seconds(2)));
-  CHECK(this->upstreams.TakesWork(0));
+  CHECK(this->upstreams.AcceptsWork(0));
 }
 
 /// A short run of one case.
@@ -126,8 +126,8 @@
 }
 ;  // namespace basilsill::bench
 
-TEST(Runner, RunJobs_AnyThreads_SameFigures) {
-  const CaseSpec spec{"short", "", MakeShort, {}};
+TEST(Runner, RunJobs_DifferentThreadCounts_SameFigures) {
+  const CaseSpec spec{"short", "", MakeShortScenario, {}};
   const std::vector<Figures> one = RunJobs(this->JobsOf(spec), 1);
   const std::vector<Figures> many = RunJobs(this->JobsOf(spec), 3);
   for (size_t i = 0; i < one.size(); ++i) {
@@ -137,8 +137,8 @@
   }
 }
 
-TEST(Runner, RunJobs_AnyStrategy_MeetsTheSameArrivals) {
-  const CaseSpec spec{"short", "", MakeShort, {}};
+TEST(Runner, RunJobs_DifferentStrategies_SameArrivals) {
+  const CaseSpec spec{"short", "", MakeShortScenario, {}};
   const std::vector<Figures> all = RunJobs(this->JobsOf(spec), 1);
   CHECK(all[0].requests > 1000);
   for (const Figures& figures : all) {
