--- a/bench/ablation.cc
+++ b/bench/ablation.cc
@@ -9,10 +9,11 @@
 namespace basilsill::bench {
 namespace {
 
-/// Changes smaller than this share are not told from chance.
+/// Relative changes up to this share count as noise.
 constexpr double kNoise = 0.03;
 
-/// The same for the share of requests without an answer.
+/// Absolute changes of the share of requests without an answer up to this count
+/// as noise.
 constexpr double kLostNoise = 0.0005;
 
 StrategySpec Make(const std::string& name, const PolicyFeatures& features) {
--- a/bench/ablation.h
+++ b/bench/ablation.h
@@ -6,16 +6,16 @@
 
 #include "runner.h"
 
-/// What each mechanism of the decision code buys: the policy with one of them
-/// switched off, beside the whole of it.
+/// Ablation: compares the complete policy with the policy without each one of
+/// the mechanisms of the decision code.
 
 namespace basilsill::bench {
 
-/// @returns the whole policy, then the policy without each mechanism.
+/// @returns the complete policy, then for each mechanism the policy without it.
 std::vector<StrategySpec> AblatedStrategies();
 
-/// Writes a table: a row for each mechanism and case in which its absence
-/// changes a figure by more than noise.
+/// Writes a table with one row for each mechanism and case in which switching
+/// the mechanism off changes a figure by more than the noise threshold.
 void WriteAblation(std::ostream& out, const std::vector<Figures>& results);
 
 }  // namespace basilsill::bench
--- a/bench/allocation_count.h
+++ b/bench/allocation_count.h
@@ -3,8 +3,8 @@
 
 #include <cstdint>
 
-/// Counts every use of operator new and delete in this program. Link it only
-/// into benchmarks: it replaces the global operators.
+/// Counts all calls of operator new and delete in the program. Link it only
+/// into benchmarks, as it replaces the global operators.
 
 namespace basilsill::bench {
 
@@ -13,7 +13,7 @@
   int64_t live_bytes = 0;
 };
 
-/// @returns the totals of this thread since it began.
+/// @returns the totals of the calling thread since its start.
 AllocationCount AllocationsSoFar();
 
 }  // namespace basilsill::bench
--- a/bench/bench_report.cc
+++ b/bench/bench_report.cc
@@ -15,14 +15,14 @@
 #include "basilsill/base/error.h"
 #include "report.h"
 
-/// Puts the figures of all benchmarks beside their bounds and beside the
-/// figures that were committed last.
+/// Compares the figures of all benchmarks with their bounds and with the last
+/// committed figures.
 
 namespace basilsill::bench {
 namespace {
 
-/// Bar of one decision at the largest size, in nanoseconds. Times depend on
-/// the machine, so they have no bound.
+/// Bar of the time of one decision at the largest size, in nanoseconds. Times
+/// depend on the machine, so they have no bound.
 constexpr const char* kTimeBar = "| - | <= 2000";
 constexpr const char* kLargest = "Decision/instances:14000";
 
@@ -42,7 +42,8 @@
   std::stringstream text;
   text << in.rdbuf();
   if (!in) {
-    throw FailureError(Failure{FailureKind::kUnreadable, path, "can't read"});
+    throw FailureError(
+        Failure{FailureKind::kUnreadable, path, "can't be read"});
   }
   boost::json::error_code error;
   boost::json::value value = boost::json::parse(text.str(), error);
@@ -52,7 +53,7 @@
   return value;
 }
 
-/// Reads what `--write-bounds` of the other programs wrote.
+/// Reads a file written by `--write-bounds` of the other programs.
 void ReadChecks(const std::string& path, std::vector<Figure>& figures) {
   const boost::json::value file = ReadJson(path);
   for (const boost::json::value& row : file.at("checks").as_array()) {
@@ -61,7 +62,7 @@
   }
 }
 
-/// Reads the medians of Google Benchmark's output, in nanoseconds.
+/// Reads the medians from the JSON output of Google Benchmark, in nanoseconds.
 void ReadTimes(const std::string& path, std::vector<Figure>& figures) {
   const boost::json::value file = ReadJson(path);
   for (const boost::json::value& row : file.at("benchmarks").as_array()) {
@@ -77,7 +78,8 @@
   }
 }
 
-/// @returns the bound of `name` and, if it has one, its bar, as text.
+/// @returns the table cells with the bound and the bar of `name`; "-" if it has
+/// none.
 std::string BoundOf(const boost::json::array& bounds, const std::string& name) {
   for (const boost::json::value& row : bounds) {
     const boost::json::object& check = row.as_object();
@@ -115,18 +117,20 @@
 }
 
 int Run(int argc, char** argv) {
-  TCLAP::CmdLine line("Figures of the benchmarks beside those of before");
-  TCLAP::MultiArg<std::string> checks("", "checks",
-                                      "Checks, as --write-bounds writes them",
-                                      false, "file", line);
-  TCLAP::MultiArg<std::string> times("", "times",
-                                     "Times, as --benchmark_out writes them",
-                                     false, "file", line);
-  TCLAP::ValueArg<std::string> previous(
-      "", "previous", "Figures to compare with", true, "", "file", line);
-  TCLAP::ValueArg<std::string> bounds("", "bounds", "Bounds in force", true, "",
-                                      "file", line);
-  TCLAP::SwitchArg update("", "update", "Write the new figures there", line);
+  TCLAP::CmdLine line(
+      "Compares benchmark figures with their bounds and the last committed "
+      "ones");
+  TCLAP::MultiArg<std::string> checks(
+      "", "checks", "File written by --write-bounds", false, "file", line);
+  TCLAP::MultiArg<std::string> times(
+      "", "times", "File written by --benchmark_out", false, "file", line);
+  TCLAP::ValueArg<std::string> previous("", "previous",
+                                        "File of the figures to compare with",
+                                        true, "", "file", line);
+  TCLAP::ValueArg<std::string> bounds("", "bounds", "File of the bounds", true,
+                                      "", "file", line);
+  TCLAP::SwitchArg update("", "update",
+                          "Write the new figures to the --previous file", line);
   line.parse(argc, argv);
 
   std::vector<Figure> figures;
--- a/bench/bounds.cc
+++ b/bench/bounds.cc
@@ -18,15 +18,15 @@
 namespace basilsill::bench {
 namespace {
 
-// Bulk and background requests wait by design, and by how much swings with
-// every change.
+/// Margin of figures of bulk and background requests. These requests wait by
+/// design, and their wait times vary strongly with every code change.
 constexpr double kBackgroundMargin = 0.25;
 
-// Room of figures whose last measured value is next to nothing.
+// Least margins of figures whose value is close to zero.
 constexpr double kMinAttemptsMargin = 0.05;
 constexpr double kMinLateMargin = 0.1;
 
-// Bars of all cases together.
+// Bars that apply to all cases.
 constexpr double kBaselineBar = 1.0;
 constexpr double kMessagesBar = 0.05;
 constexpr double kIdleMessagesBar = 0;
@@ -90,7 +90,8 @@
     }
   }
 
-  /// The worst of the flows, each beside the same flow of the oracle.
+  /// The highest ratio of p99 to that of the same flow of the oracle, over the
+  /// flows that are (`measured`) or are not part of the measured figures.
   static double WorstRatio(const Figures& own,
                            const Figures& oracle,
                            bool measured) {
@@ -104,7 +105,8 @@
     return worst;
   }
 
-  /// The largest share without an answer among flows that are not measured.
+  /// The highest share of requests without an answer of the flows that are not
+  /// measured.
   static double WorstLoss(const Figures& own) {
     double worst = 0;
     for (const FlowFigures& flow : own.flows) {
@@ -138,7 +140,7 @@
     }
   }
 
-  /// One check for all cases: the worst of them.
+  /// Adds one check of each measuring figure for all cases: the worst value.
   void AddMeasuring() {
     Check messages{"all/measuring_messages_per_request", 0, kMessagesBar};
     Check idle{"all/idle_messages_per_second", 0, kIdleMessagesBar};
--- a/bench/bounds.h
+++ b/bench/bounds.h
@@ -10,8 +10,9 @@
 #include "figures.h"
 #include "model/cases.h"
 
-/// Checks on the figures. A bar is what the project aims for; a bound is what
-/// was last measured, with a small margin, and is what CI holds.
+/// Checks of the benchmark figures. A bar is the target of the project. A bound
+/// is the last committed value plus a small margin; CI fails if a bound is
+/// broken.
 
 namespace basilsill::bench {
 
@@ -20,10 +21,11 @@
   double value = 0;
   double bar = kNoBar;
   double bound = 0;
-  bool at_least = false;  ///< The value must not be below, else not above.
-  /// Room of the bound over the measured value: a share of it, and at least
-  /// so much. The figures are the same on every run; the room is for changes
-  /// of the code that are no regression.
+  /// True: bar and bound are lower limits. False: upper limits.
+  bool at_least = false;
+  /// Distance of the bound from the value: `margin` is a share of the value,
+  /// `min_margin` the least distance. The figures are the same on every run;
+  /// the margin allows for code changes that are no regression.
   double margin = 0.05;
   double min_margin = 0.001;
 
@@ -31,26 +33,28 @@
   bool BreaksBound() const;
 };
 
-/// @returns true if a check of `spec` looks at runs of `strategy`.
+/// @returns true if a check of `spec` uses runs of `strategy`.
 bool IsChecked(const CaseSpec& spec, std::string_view strategy);
 
-/// @returns the checks that `results` have the runs for, without bounds.
+/// @returns the checks for which `results` has the runs. Their bounds are not
+/// set.
 std::vector<Check> MakeChecks(const std::vector<Figures>& results);
 
-/// Sets the bounds of `checks` to their values and a margin, though no weaker
-/// than a bar that is met.
+/// Sets the bound of each check to its value plus the margin, but no weaker
+/// than its bar if the bar is met.
 void SetBounds(std::vector<Check>& checks);
 
-/// Takes the bounds of `checks` from a file.
-/// @throws FailureError if the file can't be read, or a check isn't in it.
+/// Reads the bounds of `checks` from a file.
+/// @throws FailureError if the file can't be read or lacks a check.
 void ReadBounds(const std::filesystem::path& path, std::vector<Check>& checks);
 
-/// Replaces the rows of `checks` in a file and keeps its others.
+/// Adds or replaces the rows of `checks` in a file and keeps its other rows.
 /// @throws FailureError if the file can't be read or written.
 void UpdateBounds(const std::filesystem::path& path,
                   const std::vector<Check>& checks);
 
-/// Writes a table of all checks, then the bars missed and bounds broken.
+/// Writes a table of all checks, then the numbers of missed bars and broken
+/// bounds.
 /// @returns the number of broken bounds.
 size_t WriteCheckResults(std::ostream& out, const std::vector<Check>& checks);
 
--- a/bench/capacity_bench.cc
+++ b/bench/capacity_bench.cc
@@ -19,8 +19,8 @@
 #include "configuration_text.h"
 #include "decision_load.h"
 
-/// Slopes behind docs/CAPACITY.md: bytes, octets of messages and processor
-/// time of each role at several sizes, and a straight line through them.
+/// Figures for docs/CAPACITY.md: memory, message sizes and processor time of
+/// each role at several sizes, with a linear fit.
 
 namespace basilsill::bench {
 namespace {
@@ -103,7 +103,8 @@
          static_cast<double>(now.tv_nsec) / 1e3;
 }
 
-/// @returns the median processor time of one `step`, in microseconds.
+/// @returns the processor time of one `step` in microseconds, as the median
+/// over kRepetitions runs.
 double MicrosOf(int steps, const std::function<void()>& step) {
   std::array<double, kRepetitions> times{};
   step();
@@ -118,7 +119,7 @@
   return times[kRepetitions / 2];
 }
 
-/// @returns the bytes that the result of `make` holds.
+/// @returns the heap bytes that the result of `make` holds.
 template <typename Make>
 double BytesOf(const Make& make) {
   const int64_t before = AllocationsSoFar().live_bytes;
@@ -151,8 +152,8 @@
   return BytesOf([&view] { return MakeWarmedUp<Load>(view); });
 }
 
-/// The configuration and the VMs of a whole installation: for each service a
-/// team, a rule, and a set in each data centre.
+/// Configuration and VMs of an installation. Each service has a team, a rule,
+/// and an upstream set in each data centre.
 class Installation {
  public:
   Installation(size_t instances, size_t vms) {
@@ -178,7 +179,8 @@
                                 {this->vms, this->data_centres, {0, 0}});
   }
 
-  /// @returns the record of one more or one less instance in rotation.
+  /// Toggles whether the first instance of one upstream set is leaving.
+  /// @returns the record of the change.
   std::string ChangeOneSet() {
     Resource set =
         *this->state.Find({ResourceKind::kUpstreamSet, "service-0-0"})
@@ -244,7 +246,8 @@
   return MicrosOf(1000, [&] { installation.ChangeOneSet(); });
 }
 
-/// Processor time of a view after one change, without that of the change.
+/// Processor time to build a view after one change, without the time to apply
+/// the change.
 double ViewMicros(size_t instances) {
   Installation installation(instances, VmsFor(instances));
   const double apply_only =
@@ -300,7 +303,7 @@
   return static_cast<double>(installation.ChangeOneSet().size());
 }
 
-/// A VM's membership after it read a list of `vms`.
+/// Membership of VM `self` after it read a VM list of `vms` VMs.
 struct FleetMembership {
   FleetMembership(size_t vms, size_t self) {
     std::vector<ListedVm> listed;
@@ -338,7 +341,7 @@
   std::vector<PeerNeed> needs;
 };
 
-/// @returns links a VM has on average: those that it or the peer asks for.
+/// @returns the mean number of links of a VM: those that it or its peer opens.
 double LinksPerVm(size_t vms) {
   std::set<std::pair<std::string, std::string>> pairs;
   for (size_t self = 0; self < vms; ++self) {
--- a/bench/claims_bench.cc
+++ b/bench/claims_bench.cc
@@ -16,9 +16,10 @@
 #include "basilsill/decision/claims.h"
 #include "model_log.h"
 
-/// What claims cost, in virtual time: latency of a claim as a multiple of the
-/// log's own, claims a second that the fleet's budget of appends carries, and
-/// memory of a key. Deterministic, so bounds hold on any machine.
+/// Cost of claims in virtual time: latency of a claim as a multiple of the
+/// append latency of the log, claims per second that the fleet's append budget
+/// allows, and memory per key. The runs are deterministic, so the bounds hold
+/// on any machine.
 
 namespace basilsill::bench {
 namespace {
@@ -35,19 +36,19 @@
 constexpr size_t kAnswerBytes = 300;
 constexpr WallTime kWallStart{std::chrono::hours(480'000)};
 
-/// Who appends the claims of a partition.
+/// VMs that append the claims of a partition.
 enum class Placement : uint8_t { kOwner, kAnyVm, kCount };
 
 struct ClaimCase {
   const char* name;
   size_t vms;
   Placement placement;
-  double offered;      ///< Claims a second of the whole fleet.
-  double max_p99;      ///< Bound: p99 in append latencies.
-  double min_granted;  ///< Bound: share of the offered claims.
+  double offered;      ///< Claims per second of the whole fleet.
+  double max_p99;      ///< Bound on p99, in append latencies.
+  double min_granted;  ///< Bound on the share of offered claims.
 };
 
-/// Bounds are what was last measured with a margin of a tenth.
+/// The bounds include a margin of a tenth over the figures of the current code.
 constexpr std::array kCases = {
     ClaimCase{"14 VMs, owners", 14, Placement::kOwner, 10, 1.1, 0.9},
     ClaimCase{"14 VMs, owners", 14, Placement::kOwner, 100, 1.6, 0.9},
@@ -64,13 +65,13 @@
 constexpr size_t kKeys = 50'000;
 
 struct ClaimFigures {
-  double granted = 0;    ///< A second.
-  double refused = 0;    ///< A second.
+  double granted = 0;    ///< Per second.
+  double refused = 0;    ///< Per second.
   double p50 = 0;        ///< In append latencies.
   double p99 = 0;        ///< In append latencies.
-  double appends = 0;    ///< A second.
-  double records = 0;    ///< An append.
-  double kilobytes = 0;  ///< Into the log, a second.
+  double appends = 0;    ///< Per second.
+  double records = 0;    ///< Per append.
+  double kilobytes = 0;  ///< Written to the log, per second.
 };
 
 class ClaimRun {
@@ -194,7 +195,8 @@
 
   void Read(size_t vm, const ClaimAction& action) {
     const auto answer = [this, vm, call = action.call](const ClaimRead& read) {
-      // Delivered on its own: the log may be in the middle of an append.
+      // Delivered as a separate event, as the log may be in the middle of an
+      // append.
       this->time.After(Duration::zero(), [this, vm, call, read] {
         this->tables[vm]->OnRead(this->time.now(), call, read);
         this->ExecuteActions(vm);
@@ -262,13 +264,13 @@
   double bytes = 0;
 };
 
-/// Heap bytes of one key that ran, as a reader of its stream keeps it.
+/// @returns the heap bytes that a reader of a claim stream keeps for each key.
 double MeasureBytesPerKey() {
   ClaimOptions options;
   options.max_waiting = 16;
   options.max_open_ends = 16;
   const std::unique_ptr<ClaimTable> table = ClaimTable::Create(options);
-  // One partition is read from records that another VM wrote.
+  // The table reads one partition with records that another VM wrote.
   ClaimFleet fleet;
   fleet.owned.set(0);
   table->ApplyFleet(TimePoint(), fleet);
@@ -302,7 +304,7 @@
 }
 
 int Main(int argc, char** argv) {
-  TCLAP::CmdLine line("Claims bench of basilsill, in virtual time");
+  TCLAP::CmdLine line("Claims benchmark of basilsill, in virtual time");
   TCLAP::SwitchArg check("", "check", "Exit 1 if a bound is broken", line);
   line.parse(argc, argv);
   std::printf(
--- a/bench/decision_bench.cc
+++ b/bench/decision_bench.cc
@@ -5,7 +5,7 @@
 #include "allocation_count.h"
 #include "decision_load.h"
 
-/// Time of the decisions on the hot path, by size of the installation.
+/// Benchmarks of the decisions on the hot path, by size of the installation.
 
 namespace basilsill::bench {
 namespace {
@@ -19,7 +19,8 @@
           static_cast<size_t>(state.range(1))};
 }
 
-/// Shows that the load is what it should be: slots in use, few refusals.
+/// @returns a label that shows whether the load is as intended: slots in use,
+/// few refusals.
 std::string Describe(const DispatchLoad& load) {
   return std::to_string(load.running_count()) + " running, " +
          std::to_string(load.refused_count()) + " refused";
@@ -39,8 +40,8 @@
     load.Step();
   }
   const uint64_t allocations = AllocationsSoFar().allocations - before;
-  // No counters: their coefficient of variation is no number if all are zero,
-  // and JSON has no word for that.
+  // A label instead of counters: the coefficient of variation of counters that
+  // are all zero is NaN, which JSON can't represent.
   state.SetLabel(std::to_string(allocations) + " allocations, " +
                  Describe(load));
 }
@@ -53,19 +54,19 @@
   benchmark->Repetitions(kRepetitions)->ReportAggregatesOnly(true);
 }
 
-/// One step is one request in and one out: an offer and an end.
+/// One step offers one request and ends another.
 void DispatchDecision(benchmark::State& state) {
   Run<DispatchLoad>(state);
 }
 BENCHMARK(DispatchDecision)->Apply(Sizes);
 
-/// One step is one request: admission, choice, summary, end.
+/// One step runs one request: admission, choice, load summary, end.
 void EntryDecision(benchmark::State& state) {
   Run<EntryLoad>(state);
 }
 BENCHMARK(EntryDecision)->Apply(Sizes);
 
-/// The dispatcher's timers with nothing due.
+/// Tick of the dispatcher while no timer is due.
 void DispatcherTick(benchmark::State& state) {
   DispatchLoad load(MakeSizedView(SizeOf(state)));
   TimePoint now = load.time();
@@ -77,7 +78,7 @@
 }
 BENCHMARK(DispatcherTick)->Apply(Sizes);
 
-/// Adopting a view in which nothing changed but its version.
+/// Applies the same view again, to the dispatcher and an entry router.
 void ApplyView(benchmark::State& state) {
   const RoutingViewPtr view = MakeSizedView(SizeOf(state));
   DispatchLoad load(view);
--- a/bench/decision_cost.cc
+++ b/bench/decision_cost.cc
@@ -10,8 +10,8 @@
 #include "bounds.h"
 #include "decision_load.h"
 
-/// What the decision code costs that is the same on every run: allocations a
-/// decision, and bytes an instance, a service and a request.
+/// Costs of the decision code that are the same on every run: allocations per
+/// decision, and bytes per instance, service and request.
 
 namespace basilsill::bench {
 namespace {
@@ -20,7 +20,7 @@
 constexpr int kCountedSteps = 200000;
 constexpr double kNoAllocation = 0;
 
-/// The target size with half of the instances, or half of the services.
+/// The target size with half of the instances, and with half of the services.
 constexpr InstallationSize kHalfInstances{kTargetSize.instances / 2,
                                           kTargetSize.services};
 constexpr InstallationSize kHalfServices{kTargetSize.instances,
@@ -40,7 +40,7 @@
          kCountedSteps;
 }
 
-/// @returns the bytes that `make`'s result holds.
+/// @returns the heap bytes that the result of `make` holds.
 template <typename Make>
 double BytesOf(const Make& make) {
   const int64_t before = AllocationsSoFar().live_bytes;
@@ -52,7 +52,8 @@
   return BytesOf([&size] { return MakeSizedView(size); });
 }
 
-/// Bytes of a VM's dispatcher and entry router, all its shards in use.
+/// @returns the heap bytes of a VM's dispatcher and entry router after requests
+/// to all shards.
 double StateBytes(const InstallationSize& size) {
   const RoutingViewPtr view = MakeSizedView(size);
   const auto use = [](auto load) {
--- a/bench/decision_load.cc
+++ b/bench/decision_load.cc
@@ -7,10 +7,11 @@
 
 constexpr size_t kDataCentres = 12;
 
-/// Time that a request takes at its upstream.
+/// Service time of a request at its upstream.
 constexpr Duration kServiceTime = std::chrono::milliseconds(5);
 
-/// Time between two requests at an entry VM: 1.1 million a second over 240.
+/// Time between two requests at an entry VM: 1.1 million requests per second
+/// over 240 VMs.
 constexpr Duration kEntryGap = std::chrono::microseconds(218);
 
 constexpr size_t kMaxRunning = limits::kMaxRequestsPerWorker;
--- a/bench/decision_load.h
+++ b/bench/decision_load.h
@@ -10,12 +10,12 @@
 #include "model/deployment.h"
 #include "model/random.h"
 
-/// Requests for one VM's decision code at a given size of the installation:
-/// what the benchmarks of time, allocations and memory drive.
+/// Load generators for the decision code of one VM in an installation of a
+/// given size. The benchmarks of time, allocations and memory use them.
 
 namespace basilsill::bench {
 
-/// A size of the installation, in the proportions of the one aimed for.
+/// Size of an installation. Benchmarks scale `kTargetSize` down.
 struct InstallationSize {
   size_t instances = 0;
   size_t services = 0;
@@ -23,16 +23,16 @@
 
 inline constexpr InstallationSize kTargetSize{14000, 350};
 
-/// @returns the view of one VM of 12, one in each of 12 data centres, so that
-/// each VM dispatches for all services of its data centre.
+/// @returns the view of the first of 12 VMs. There is one VM in each of 12 data
+/// centres, so that each VM dispatches for all services in its data centre.
 RoutingViewPtr MakeSizedView(const InstallationSize& size);
 
-/// Keeps a dispatcher's slots mostly occupied, with some requests waiting.
+/// Drives a dispatcher with most slots occupied and some requests queued.
 class DispatchLoad {
  public:
   explicit DispatchLoad(const RoutingViewPtr& view);
 
-  /// One request ends and another comes in; timers run once a tick.
+  /// Ends one request and offers another. Timers run once per tick.
   void Step();
 
   Dispatcher& dispatcher() { return *this->target; }
@@ -51,23 +51,24 @@
   void ProcessActions();
 
   std::unique_ptr<Dispatcher> target;
-  std::vector<Shard> shards;           ///< Those that this VM dispatches for.
-  std::vector<AttemptHandle> running;  ///< A ring; first in, first out.
+  std::vector<Shard> shards;           ///< Shards that this VM dispatches for.
+  std::vector<AttemptHandle> running;  ///< Ring buffer, first in, first out.
   size_t first = 0;
   size_t count = 0;
   uint64_t refused = 0;
-  Duration gap{0};  ///< Between arrivals.
+  Duration gap{0};  ///< Time between arrivals.
   TimePoint now{std::chrono::seconds(1)};
   TimePoint next_tick{};
   Random random{1};
 };
 
-/// Admits requests, chooses for them, and finishes them.
+/// Drives an entry router.
 class EntryLoad {
  public:
   explicit EntryLoad(const RoutingViewPtr& view);
 
-  /// One request: admission, choice, the summary on its answer, its end.
+  /// Runs one request: admission, choice of a target, the load summary on its
+  /// answer, and its end.
   void Step();
 
  private:
--- a/bench/figures.cc
+++ b/bench/figures.cc
@@ -38,7 +38,7 @@
   return figures;
 }
 
-/// Demand that was answered, over what the slots of its service can serve.
+/// @returns the answered demand divided by the capacity of the services' slots.
 double GoodputOf(const Scenario& scenario, const Metrics& metrics) {
   double served = 0;
   double slots = 0;
--- a/bench/figures.h
+++ b/bench/figures.h
@@ -6,7 +6,7 @@
 
 #include "model/world.h"
 
-/// The figures that the report and the bounds take from one run.
+/// Figures of one run, used by the report and the bounds checks.
 
 namespace basilsill::bench {
 
@@ -15,11 +15,11 @@
   bool measured = true;
   uint64_t requests = 0;
   Percentiles latency;
-  /// Shares of the requests.
+  /// Shares of the requests, 0 to 1.
   double answered = 0;
-  double failed = 0;   ///< An upstream's own error.
-  double refused = 0;  ///< Told to be not run.
-  double unknown = 0;  ///< Told that it may have run, or never told.
+  double failed = 0;   ///< Answered with an error by an upstream.
+  double refused = 0;  ///< Refused; the request did not run.
+  double unknown = 0;  ///< The request may have run, or no answer arrived.
 };
 
 struct Figures {
@@ -27,22 +27,25 @@
   std::string deployment;
   std::string strategy;
   std::vector<FlowFigures> flows;
-  FlowFigures measured;  ///< All measured flows together.
+  FlowFigures measured;  ///< All measured flows combined.
   std::array<uint64_t, static_cast<size_t>(Refusal::kCount)> refusals{};
   std::array<uint64_t, static_cast<size_t>(Retry::kCount)> retries{};
-  uint64_t requests = 0;          ///< Of all flows.
-  double attempts = 0;            ///< At upstreams, a request.
-  double goodput = 0;             ///< Answers over what slots can serve.
-  double measuring_messages = 0;  ///< A request.
-  double measuring_bytes = 0;     ///< A request.
-  double carried_bytes = 0;       ///< Load figures on answers, a request.
-  double idle_messages = 0;       ///< A second without arrivals.
-  uint64_t deaths = 0;            ///< Of upstreams, by requests that they ran.
-  uint64_t late_submissions = 0;  ///< To instances that had said they leave.
-  Duration last_late_submission{0};
+  uint64_t requests = 0;  ///< Requests of all flows.
+  double attempts = 0;    ///< Attempts at upstreams per request.
+  /// Answered demand divided by the capacity of the slots.
+  double goodput = 0;
+  double measuring_messages = 0;  ///< Per request.
+  double measuring_bytes = 0;     ///< Per request.
+  double carried_bytes = 0;       ///< Load figures on answers, per request.
+  /// Measuring messages per second without arrivals.
+  double idle_messages = 0;
+  uint64_t deaths = 0;  ///< Crashes of upstreams, caused by requests they ran.
+  /// Attempts that reached a draining instance.
+  uint64_t late_submissions = 0;
+  Duration last_late_submission{0};  ///< Time since its drain began.
 };
 
-/// @returns the figures of one run; names are left to the caller.
+/// @returns the figures of one run. The caller sets the names.
 Figures FiguresOf(const Scenario& scenario, const Metrics& metrics);
 
 }  // namespace basilsill::bench
--- a/bench/model/baselines.cc
+++ b/bench/model/baselines.cc
@@ -8,10 +8,10 @@
 
 constexpr uint64_t kPickSeed = 7;
 
-/// How often a load report of an instance is fetched by each entry VM.
+/// Period in which each entry VM fetches the load report of each instance.
 constexpr Duration kReportPeriod = std::chrono::seconds(1);
 
-/// Bytes of a report's request and answer over HTTP, heads included.
+/// Bytes of the HTTP request and answer for a load report, including headers.
 constexpr size_t kReportBytes = 300;
 
 const std::vector<size_t>& InstancesOf(const SimulatedCluster& cluster,
@@ -57,7 +57,7 @@
   std::vector<std::vector<size_t>> next;
 };
 
-/// Counts what each VM itself has in flight.
+/// Counts the requests that each VM has in flight at each instance.
 class OwnCountPicker : public RandomPicker {
  public:
   explicit OwnCountPicker(SimulatedCluster& cluster)
@@ -115,7 +115,8 @@
   }
 };
 
-/// Weighs by load reports that each VM polls.
+/// Picks at random, weighted by load reports that each VM polls. The weights
+/// are stale between polls.
 class StaleWeightsPicker : public RandomPicker {
  public:
   explicit StaleWeightsPicker(SimulatedCluster& cluster)
@@ -164,8 +165,8 @@
   std::vector<std::vector<double>> weights;
 };
 
-/// Joins the shortest queue on what is true at once, the nearest among
-/// equals. No real system can know this.
+/// Joins the shortest queue by the actual current load, and the nearest of
+/// equally loaded instances. No real system has this information.
 class OraclePicker : public RandomPicker {
  public:
   using RandomPicker::RandomPicker;
--- a/bench/model/baselines.h
+++ b/bench/model/baselines.h
@@ -7,18 +7,21 @@
 
 #include "model/world.h"
 
-/// What the policy is weighed against: each entry VM picks an upstream by
-/// itself and sends straight to it, and the upstream queues.
+/// Baselines that the policy is compared with. Each entry VM picks an upstream
+/// on its own and sends the request directly to it; excess requests queue at
+/// the upstream.
 
 namespace basilsill::bench {
 
-/// How an entry VM picks an upstream.
+/// Algorithm by which entry VMs pick upstream instances.
 class Picker {
  public:
   virtual ~Picker() = default;
-  /// @returns the instance for a request of `service` at `vm`.
+  /// @returns the instance that entry VM `vm` sends its next request of
+  /// `service` to.
   virtual size_t Pick(size_t vm, size_t service) = 0;
-  /// An answer, or the lack of one, is known at `vm`.
+  /// An attempt sent by `vm` to `instance` ended, with or without an answer.
+  /// `took` is the time since it was sent.
   virtual void OnEnd(size_t vm, size_t instance, Duration took) {
     (void)vm;
     (void)instance;
@@ -33,16 +36,18 @@
   MakePicker make;
 };
 
-/// @returns all baselines; the oracle is the last.
+/// @returns all baselines. The oracle is the last.
 const std::vector<Baseline>& Baselines();
 
-/// @returns the strategy that sends by `make`'s picks.
+/// @returns a strategy that sends each request directly to the instance that
+/// the picker of `make` returns.
 std::unique_ptr<Strategy> MakeDirectStrategy(SimulatedCluster& cluster,
                                              MakePicker make);
 
-/// Probing in the manner of Prequal, with the paper's hot-cold quantile.
+/// Prequal-style probing with the hot-cold quantile of the paper.
 std::unique_ptr<Picker> MakeProbing(SimulatedCluster& cluster);
-/// The same with the rule set to the least in flight.
+/// Prequal-style probing that picks the instance with the fewest requests in
+/// flight.
 std::unique_ptr<Picker> MakeProbingInFlight(SimulatedCluster& cluster);
 
 }  // namespace basilsill::bench
--- a/bench/model/cases.h
+++ b/bench/model/cases.h
@@ -7,25 +7,29 @@
 
 #include "model/world.h"
 
-/// The cases of the policy bench.
+/// Cases of the policy benchmark.
 
 namespace basilsill::bench {
 
-/// No bar is set for a figure.
+/// Marks a figure without a bar.
 inline constexpr double kNoBar = -1;
 
-/// What is checked of a case, and the bars of the figures that have one.
+/// Checks of a case and the bars (target values) of its figures.
 struct CaseChecks {
-  bool oracle = false;    ///< p99 beside the oracle's, flow by flow.
-  bool baselines = true;  ///< p99 beside the best baseline's, and losses.
-  double to_oracle = kNoBar;
-  std::string_view base = {};  ///< The case without the disturbance.
-  double to_base = kNoBar;     ///< p99 beside that of `base`.
-  double lost = 0.01;          ///< Share of requests without an answer.
-  double goodput = kNoBar;     ///< Least share of what slots can serve.
-  double attempts = kNoBar;
-  double deaths = kNoBar;
-  double last_late_seconds = kNoBar;  ///< Last new work after a drain began.
+  /// Check the ratio of p99 to that of the oracle, for each flow.
+  bool oracle = false;
+  /// Check the ratio of p99 to that of the best baseline, and the share of
+  /// requests without an answer.
+  bool baselines = true;
+  double to_oracle = kNoBar;   ///< Highest ratio of p99 to the oracle's.
+  std::string_view base = {};  ///< Name of the case without the disturbance.
+  double to_base = kNoBar;     ///< Highest ratio of p99 to that of `base`.
+  double lost = 0.01;          ///< Highest share of requests without an answer.
+  double goodput = kNoBar;     ///< Lowest share of the slots' capacity.
+  double attempts = kNoBar;    ///< Highest number of attempts per request.
+  double deaths = kNoBar;      ///< Highest number of instance crashes.
+  /// Latest time after the start of a drain at which new work may arrive.
+  double last_late_seconds = kNoBar;
 };
 
 struct CaseSpec {
@@ -33,7 +37,8 @@
   std::string_view description;
   Scenario (*make)(const Deployment& deployment);
   CaseChecks checks;
-  bool many_teams = false;  ///< Runs in a deployment of its own.
+  /// Runs in the deployment of many small teams instead of the usual two.
+  bool many_teams = false;
 };
 
 /// @returns all cases, in the order of the report.
--- a/bench/model/deployment.h
+++ b/bench/model/deployment.h
@@ -8,18 +8,19 @@
 #include "basilsill/base/time.h"
 #include "basilsill/decision/view.h"
 
-/// What is installed where: the two deployments of today, and one of many
-/// small teams. Everything is named by its position here.
+/// Deployments that the benchmarks simulate: two production-like ones, and one
+/// of many small teams. Objects are identified by their position in the vectors
+/// of `Deployment`.
 
 namespace basilsill::bench {
 
-/// One-way latency of a link.
+/// One-way network latency within a data centre and between two.
 inline constexpr Duration kLatencyWithinDataCentre =
     std::chrono::microseconds(120);
 inline constexpr Duration kLatencyBetweenDataCentres =
     std::chrono::microseconds(1500);
 
-/// Time that it takes to open a connection to an upstream.
+/// Time to open a connection to an upstream.
 inline constexpr Duration kConnectTime = std::chrono::milliseconds(1);
 
 struct TeamSpec {
@@ -42,7 +43,7 @@
 struct Deployment {
   std::string name;
   std::vector<std::string> data_centres;
-  std::vector<size_t> vms;  ///< The data centre of each entry VM.
+  std::vector<size_t> vms;  ///< Data centre of each entry VM.
   std::vector<TeamSpec> teams;
   std::vector<ServiceSpec> services;
   std::vector<InstanceSpec> instances;
@@ -54,32 +55,33 @@
 /// Fjellmagasin: 4 data centres, 14 entry VMs, 4 services of 33 instances.
 Deployment MakeVestlandet();
 
-/// `teams` teams of one service each of `instances` instances, in Sofia.
+/// `teams` teams with one service of `instances` instances each, in the data
+/// centres of `MakeSofia`.
 Deployment MakeManyTeams(size_t teams, size_t instances);
 
-/// Adds a team without a service of its own.
-/// @returns its position.
+/// Adds a team that owns no service.
+/// @returns the position of the team.
 size_t AddTeam(Deployment& deployment,
                const std::string& name,
                const TeamLimits& limits);
 
-/// @returns all slots of `service`.
+/// @returns the number of slots of all instances of `service`.
 double SlotsOf(const Deployment& deployment, size_t service);
 
 /// @returns the one-way latency between two data centres.
 Duration Latency(size_t from_data_centre, size_t to_data_centre);
 
-/// What a view may know of the state of the world.
+/// State of the VMs and instances from which a VM's routing view is built.
 struct ClusterState {
-  std::vector<VmState> vms;                 ///< kCount: not in the list.
-  std::vector<bool> leaving;                ///< By instance.
+  std::vector<VmState> vms;   ///< By VM; kCount: not in the VM list.
+  std::vector<bool> leaving;  ///< By instance.
   std::vector<uint64_t> incarnations = {};  ///< By VM; 1 if empty.
 };
 
-/// @returns what every VM and every instance being there and live means.
+/// @returns the state in which every VM is live and no instance is leaving.
 ClusterState AllLive(const Deployment& deployment);
 
-/// @returns the routing view of `self` under `knowledge`.
+/// @returns the routing view that VM `self` builds from `cluster_state`.
 RoutingViewPtr MakeView(const Deployment& deployment,
                         size_t self,
                         uint64_t version,
--- a/bench/model/direct.cc
+++ b/bench/model/direct.cc
@@ -5,7 +5,8 @@
 namespace basilsill::bench {
 namespace {
 
-/// Attempts of one request; proxies often try again once or twice.
+/// Maximum number of attempts of one request. Proxies commonly retry once or
+/// twice.
 constexpr uint32_t kMaxAttempts = 3;
 
 class DirectStrategy : public Strategy {
--- a/bench/model/fleet.h
+++ b/bench/model/fleet.h
@@ -8,8 +8,8 @@
 #include "basilsill/decision/mechanism.h"
 #include "model/world.h"
 
-/// The policy under test: on every VM the product's own EntryRouter and
-/// Dispatcher, and between VMs messages that take their time.
+/// The policy under test: every simulated VM runs the production EntryRouter
+/// and Dispatcher, and messages between VMs take the simulated network latency.
 
 namespace basilsill::bench {
 
--- a/bench/model/fleet_core.h
+++ b/bench/model/fleet_core.h
@@ -9,57 +9,61 @@
 #include "basilsill/decision/quota_lender.h"
 #include "model/fleet.h"
 
-/// Internals of the fleet: what the shells of all VMs remember, and the
-/// messages between them.
+/// Internals of `FleetStrategy`: the state that the simulated VMs keep around
+/// the production decision code, and the messages between VMs.
 
 namespace basilsill::bench {
 
 inline constexpr uint16_t kStatusOk = 200;
 
-/// One entry VM: the product's decision code and what its shell remembers.
+/// One VM: the production decision code and the state kept around it.
 struct Node {
   struct Attempt {
     AttemptHandle handle;
-    uint32_t number = 0;  ///< As `World::StartAttempt` gave it.
+    uint32_t number = 0;  ///< From `SimulatedCluster::StartAttempt`.
   };
 
   std::shared_ptr<Quarantine> quarantine;
   std::unique_ptr<Dispatcher> dispatcher;
   std::unique_ptr<EntryRouter> router;
-  QuotaBuckets quotas;            ///< An equal share of each.
-  std::vector<Attempt> attempts;  ///< By index of the handle.
+  QuotaBuckets quotas;            ///< The VM's equal share of each quota.
+  std::vector<Attempt> attempts;  ///< By index of the attempt handle.
   uint64_t view_version = 0;
-  std::vector<bool> lost_links;  ///< By VM.
+  std::vector<bool> lost_links;  ///< By peer VM.
 };
 
-/// Where a request is, as its entry VM and its dispatcher know it.
+/// Routing state of a request at its entry VM and its dispatcher.
 struct RoutedRequest {
   EntryHandle entry;
-  size_t dispatcher = 0;  ///< VM.
-  uint32_t forwards = 0;  ///< Tells a late message of an earlier attempt.
+  size_t dispatcher = 0;  ///< Position of the dispatcher's VM.
+  /// Number of times that the request was forwarded; identifies replies to an
+  /// earlier forward.
+  uint32_t forwards = 0;
   bool forwarded = false;
   ShardKey shard = 0;
   DispatchHandle dispatch;
   uint32_t direct_attempt = UINT32_MAX;
 };
 
-/// VMs of the model are never suspended: their clocks are one.
+/// Simulated VMs are never suspended, so lease time equals virtual time.
 inline LeaseTime LeaseTimeOf(TimePoint time) {
   return LeaseTime(time.time_since_epoch());
 }
 
-/// @returns the name of a request at its dispatcher.
+/// @returns the cookie that identifies a forward of request `id` at its
+/// dispatcher.
 uint64_t CookieOf(RequestId id, uint32_t forwards);
 RequestId RequestOf(uint64_t cookie);
 uint32_t ForwardsOf(uint64_t cookie);
 
-/// @returns what a shell tells the decision code of an attempt's end.
+/// @returns the report that the decision code gets for an attempt that ended
+/// with `end`.
 AttemptReport ReportOf(JobEnd end);
 
-/// @returns what a caller is told.
+/// @returns the outcome that the caller sees for a refusal.
 Outcome RefusedWith(Refusal refusal, Duration retry_after);
 
-/// What a dispatcher tells an entry VM of a request.
+/// A dispatcher's reply to the entry VM of a request.
 struct Reply {
   uint64_t cookie = 0;
   Outcome outcome;
@@ -116,7 +120,7 @@
 
   SimulatedCluster& cluster;
   std::vector<Node> nodes;
-  std::vector<RoutedRequest> routed_requests;  ///< By request.
+  std::vector<RoutedRequest> routed_requests;  ///< By request id.
 };
 
 }  // namespace basilsill::bench
--- a/bench/model/fleet_dispatch.cc
+++ b/bench/model/fleet_dispatch.cc
@@ -1,11 +1,11 @@
 #include "model/fleet_core.h"
 
-/// The dispatcher side of every VM of the fleet.
+/// Dispatcher side of the simulated VMs.
 
 namespace basilsill::bench {
 namespace {
 
-/// Bytes of a shard summary on an answer between VMs.
+/// Bytes of the shard summary on each answer between VMs.
 constexpr size_t kSummaryBytes = 40;
 
 }  // namespace
@@ -40,7 +40,7 @@
   if (dispatcher.actions().empty()) {
     return;
   }
-  // An action may lead to a call back into this dispatcher.
+  // Copied, because an action may call back into this dispatcher.
   const std::vector<DispatchAction> actions = dispatcher.actions();
   dispatcher.ClearActions();
   for (const DispatchAction& action : actions) {
--- a/bench/model/fleet_entry.cc
+++ b/bench/model/fleet_entry.cc
@@ -1,14 +1,15 @@
 #include "model/fleet_core.h"
 
-/// The entry side of every VM of the fleet.
+/// Entry side of the simulated VMs.
 
 namespace basilsill::bench {
 namespace {
 
-/// No request number comes near it.
+/// Fingerprint of all crashing requests, far above any other fingerprint.
 constexpr Fingerprint kCrashingFingerprint = Fingerprint{1} << 40;
 
-// @returns how long `team` is beyond its quota; 0: it is not.
+/// Takes one token of the team's quota.
+/// @returns the time until the quota allows the request; 0 if it does now.
 Duration QuotaWait(const TeamSpec& team, QuotaBuckets& quotas, TimePoint now) {
   if (team.limits.requests_per_second <= 0) {
     return Duration(0);
--- a/bench/model/flows.cc
+++ b/bench/model/flows.cc
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Deadline of those who can wait.
+/// Deadline of bulk and background requests, whose callers can wait.
 constexpr Duration kBackgroundDeadline = seconds(20);
 
 Flow MakeBackground(std::string name, size_t service, double load) {
--- a/bench/model/flows.h
+++ b/bench/model/flows.h
@@ -6,29 +6,31 @@
 
 #include "model/world.h"
 
-/// The traffic of the cases.
+/// Traffic flows of the benchmark cases.
 
 namespace basilsill::bench {
 
-/// The service whose requests people wait for: fill levels, level readings.
+/// Position of the service with interactive, urgent requests: fill levels and
+/// level readings.
 inline constexpr size_t kReadingsService = 0;
 
-/// @returns requests of `service`'s own team that may be repeated.
+/// @returns a flow of idempotent requests of the team that owns `service`.
 Flow MakeFlow(std::string name,
               size_t service,
               TrafficClass traffic_class,
               double load);
 
-/// @returns urgent requests that must not repeat.
+/// @returns a flow of urgent requests that are not idempotent.
 Flow MakeNonIdempotent(std::string name, size_t service, double load);
 
-/// @returns requests with long answers.
+/// @returns a flow of bulk requests with a mean service time of `mean`.
 Flow MakeBulk(std::string name, size_t service, Duration mean, double load);
 
-/// @returns the traffic of a deployment's four services, each at `load`.
+/// @returns flows of several traffic classes for the deployment's four
+/// services, with `load` as the load of each service.
 std::vector<Flow> MixedFlows(const Deployment& deployment, double load);
 
-/// @returns a scenario of the readings alone.
+/// @returns a scenario with requests to the readings service only.
 Scenario MakeReadings(const Deployment& deployment, double load);
 
 }  // namespace basilsill::bench
--- a/bench/model/metrics.h
+++ b/bench/model/metrics.h
@@ -8,16 +8,16 @@
 #include "basilsill/base/reason.h"
 #include "basilsill/base/time.h"
 
-/// What one run of the policy bench counts.
+/// Metrics of one run of the policy benchmark.
 
 namespace basilsill::bench {
 
 enum class OutcomeKind : uint8_t {
   kAnswered,
-  kFailed,         ///< An upstream's own error, passed on unchanged.
-  kRefused,        ///< Told to be not run, with a reason.
-  kUnknown,        ///< Told that it may have run, with a reason.
-  kCallerTimeout,  ///< The caller went away without an answer.
+  kFailed,         ///< Error answer of an upstream, passed on unchanged.
+  kRefused,        ///< Refused with a reason; the request did not run.
+  kUnknown,        ///< Failed with a reason; the request may have run.
+  kCallerTimeout,  ///< The caller stopped waiting for the answer.
   kEntryLost,      ///< The entry VM died.
   kCount
 };
@@ -32,8 +32,8 @@
   std::array<uint64_t, static_cast<size_t>(OutcomeKind::kCount)> outcomes{};
   std::array<uint64_t, static_cast<size_t>(Refusal::kCount)> refusals{};
   std::array<uint64_t, static_cast<size_t>(Retry::kCount)> retries{};
-  /// In milliseconds. A request without an answer counts with its deadline,
-  /// so that refusing the slow ones makes nothing look better.
+  /// In milliseconds. A request without an answer counts with its deadline, so
+  /// that a strategy can't improve its percentiles by refusing slow requests.
   std::vector<float> latencies;
 
   uint64_t requests() const { return this->latencies.size(); }
@@ -47,16 +47,19 @@
 
 struct Metrics {
   std::vector<FlowMetrics> flows;
-  uint64_t measuring_messages = 0;  ///< Sent for measuring alone.
+  uint64_t measuring_messages = 0;  ///< Messages sent only to measure load.
   uint64_t measuring_bytes = 0;
-  uint64_t carried_bytes = 0;  ///< Load figures carried on answers.
-  uint64_t submissions = 0;    ///< Attempts that reached an upstream.
-  uint64_t deaths = 0;         ///< Of upstreams, by requests they ran.
-  uint64_t idle_messages = 0;  ///< Measuring messages of the idle time.
+  /// Bytes of load figures piggybacked on answers.
+  uint64_t carried_bytes = 0;
+  uint64_t submissions = 0;  ///< Attempts that reached an upstream.
+  uint64_t deaths = 0;  ///< Crashes of upstreams, caused by requests they ran.
+  /// Measuring messages sent during the idle time.
+  uint64_t idle_messages = 0;
+  /// Attempts that reached a draining instance.
   uint64_t late_submissions = 0;
-  Duration last_late_submission{0};
-  Duration window{0};  ///< Time in which arrivals were counted.
-  Duration idle{0};    ///< Time without arrivals at the end.
+  Duration last_late_submission{0};  ///< Time since its drain began.
+  Duration window{0};                ///< Period whose arrivals are counted.
+  Duration idle{0};  ///< Period without arrivals at the end of the run.
 };
 
 struct Percentiles {
@@ -65,7 +68,7 @@
   double p999 = 0;
 };
 
-/// @returns percentiles of all `flows` together, in milliseconds.
+/// @returns the latency percentiles over all `flows`, in milliseconds.
 Percentiles PercentilesOf(const std::vector<const FlowMetrics*>& flows);
 
 }  // namespace basilsill::bench
--- a/bench/model/probing.cc
+++ b/bench/model/probing.cc
@@ -3,9 +3,9 @@
 
 #include "model/baselines.h"
 
-/// Probing in the manner of Prequal (Wydrowski et al., "Load is not what you
-/// should balance", NSDI 2024): a pool of asynchronous probe answers, and the
-/// hot-cold lexicographic rule on requests in flight and latency.
+/// Probing as in Prequal (Wydrowski et al., "Load is not what you should
+/// balance", NSDI 2024): a pool of asynchronous probe answers, and the hot-cold
+/// lexicographic rule on requests in flight and latency.
 
 namespace basilsill::bench {
 namespace {
@@ -13,11 +13,11 @@
 constexpr uint64_t kProbeSeed = 11;
 constexpr size_t kPoolSize = 16;
 constexpr size_t kProbesPerRequest = 3;
-constexpr size_t kMinPoolSize = 2;  ///< Below it the pick is random.
+constexpr size_t kMinPoolSize = 2;  ///< With fewer probes the pick is random.
 constexpr double kPaperHotQuantile = 0.84;
 constexpr Duration kMaxProbeAge = std::chrono::seconds(1);
 
-/// Bytes of a probe and its answer: two small frames with their heads.
+/// Bytes of a probe and its answer: two small frames with headers.
 constexpr size_t kProbeBytes = 160;
 
 struct Probe {
@@ -29,8 +29,9 @@
 
 class ProbingPicker : public Picker {
  public:
-  /// @param hot_quantile Of the pool's counts in flight: what is above is
-  /// hot. With 0 the least in flight wins and latency breaks ties.
+  /// @param hot_quantile Quantile of the in-flight counts of the pool; an
+  /// instance above it is hot. With 0, the instance with the fewest requests in
+  /// flight wins and latency breaks ties.
   ProbingPicker(SimulatedCluster& cluster, double hot_quantile)
       : cluster(cluster),
         hot_quantile(hot_quantile),
@@ -66,7 +67,7 @@
         best = &probe;
       }
     }
-    // The request that is sent now is not in the probe's count yet.
+    // The probe's count does not include the request that is sent now.
     ++best->in_flight;
     return best->instance;
   }
@@ -92,7 +93,8 @@
     return a_hot ? a.in_flight < b.in_flight : a.latency < b.latency;
   }
 
-  /// Takes one probe out a request: by turns the oldest and the worst.
+  /// Removes one probe per request, alternating between the oldest and the
+  /// worst.
   void Evict(size_t position) {
     std::vector<Probe>& pool = this->pools[position];
     if (pool.size() <= kMinPoolSize) {
--- a/bench/model/random.h
+++ b/bench/model/random.h
@@ -13,8 +13,8 @@
 
 #include "basilsill/base/time.h"
 
-/// Random draws of the policy bench. Every stream has a fixed seed, and what
-/// a draw means for a request does not depend on the strategy under test.
+/// Random draws of the policy benchmark. Every random stream has a fixed seed,
+/// and the draws for a request do not depend on the strategy under test.
 
 namespace basilsill::bench {
 
@@ -48,7 +48,7 @@
 }
 
 /// @param mean Mean of the lognormal distribution itself.
-/// @param sigma Deviation of its logarithm.
+/// @param sigma Standard deviation of the logarithm.
 inline Duration DrawLognormal(Random& random, Duration mean, double sigma) {
   const double mu = std::log(InMilliseconds(mean)) - sigma * sigma / 2;
   boost::random::lognormal_distribution<double> demand(mu, sigma);
--- a/bench/model/scenarios.h
+++ b/bench/model/scenarios.h
@@ -3,11 +3,11 @@
 
 #include "model/world.h"
 
-/// The scenarios of the cases. `load` is the share of slots in use on average.
+/// Scenarios of the benchmark cases. `load` is the mean share of slots in use.
 
 namespace basilsill::bench {
 
-// Load, without faults.
+// Load scenarios without faults.
 Scenario MakeEvenLoad(const Deployment& deployment, double load);
 Scenario MakeBurst(const Deployment& deployment, double load);
 Scenario MakeStraggler(const Deployment& deployment, double load);
@@ -18,7 +18,7 @@
 Scenario MakeDownloads(const Deployment& deployment, double downloads);
 Scenario MakeOverload(const Deployment& deployment);
 
-// Faults.
+// Fault scenarios.
 Scenario MakeFailFast(const Deployment& deployment);
 Scenario MakeCrash(const Deployment& deployment);
 Scenario MakePoison(const Deployment& deployment);
--- a/bench/model/scenarios_fault.cc
+++ b/bench/model/scenarios_fault.cc
@@ -12,10 +12,10 @@
 
 constexpr Duration kDisturbedAt = seconds(3);
 
-/// How much slower an instance is that has just started.
+/// Slowdown of an instance that has just started.
 constexpr double kColdFactor = 4;
 
-/// About two requests a second.
+/// Load of the crashing requests: about two per second.
 constexpr double kPoisonLoad = 0.0005;
 
 Disturbance ModeAt(Duration at,
@@ -35,7 +35,7 @@
           }};
 }
 
-/// @returns the VMs that dispatch the readings.
+/// @returns the VMs that dispatch for the readings service.
 std::set<size_t> DispatchersOf(const Deployment& deployment) {
   const RoutingViewPtr view = MakeView(deployment, 0, 1, AllLive(deployment));
   std::set<size_t> dispatchers;
@@ -62,7 +62,7 @@
   return scenario;
 }
 
-/// One instance is down for 2 s and then cold for another.
+/// One instance is down for 2 s and then slow from a cold start for 1 s.
 Scenario MakeCrash(const Deployment& deployment) {
   Scenario scenario = MakeReadings(deployment, 0.7);
   const Duration back = kDisturbedAt + seconds(2);
@@ -75,8 +75,8 @@
   return scenario;
 }
 
-/// Notices that must not repeat, and beside them one request that kills each
-/// instance which runs it, sent again and again.
+/// Requests that are not idempotent run beside identical requests that crash
+/// each instance that runs them.
 Scenario MakePoison(const Deployment& deployment) {
   Scenario scenario;
   scenario.deployment = deployment;
@@ -90,8 +90,8 @@
   return scenario;
 }
 
-/// All instances of one data centre leave; the configuration says so 5 s
-/// later, to one VM after the other.
+/// All instances of one data centre start to drain. 5 s later the configuration
+/// marks them as leaving; it reaches the VMs one after the other within 1 s.
 Scenario MakeDrain(const Deployment& deployment) {
   Scenario scenario = MakeReadings(deployment, 0.5);
   std::vector<size_t> leaving;
@@ -120,7 +120,7 @@
   return scenario;
 }
 
-/// Everything is refused for 2 s, then served again.
+/// All instances shed all requests for 2 s, then serve again.
 Scenario MakeRecover(const Deployment& deployment) {
   Scenario scenario = MakeReadings(deployment, 0.7);
   const std::vector<size_t>& all =
@@ -131,8 +131,8 @@
   return scenario;
 }
 
-/// A dispatcher dies; its peers notice after `noticed_after`, the VM list
-/// says so 2 s later.
+/// The VM of a dispatcher dies. Its peers detect that after `detection_delay`;
+/// the VM list drops the VM 2 s after its death.
 Scenario MakeVmKilled(const Deployment& deployment, Duration detection_delay) {
   Scenario scenario = MakeReadings(deployment, 0.7);
   const size_t victim = *DispatchersOf(deployment).begin();
@@ -148,7 +148,8 @@
   return scenario;
 }
 
-/// One entry VM reaches no other VM for 3 s, though it reaches upstreams.
+/// One entry VM loses its links to all other VMs for 3 s. It still reaches
+/// upstreams.
 Scenario MakeIsolatedVm(const Deployment& deployment) {
   Scenario scenario = MakeReadings(deployment, 0.7);
   const std::set<size_t> dispatchers = DispatchersOf(deployment);
@@ -167,8 +168,9 @@
   return scenario;
 }
 
-/// The VM list takes all dispatchers of the readings off and puts them back;
-/// each VM hears of it up to 5 s after the first.
+/// The VM list marks all dispatchers of the readings service as leaving, and 6
+/// s later as live again. Each change reaches the VMs one after the other
+/// within 5 s, so that their views differ.
 Scenario MakeDivergentViews(const Deployment& deployment) {
   Scenario scenario = MakeReadings(deployment, 0.7);
   const std::set<size_t> vms = DispatchersOf(deployment);
--- a/bench/model/scenarios_load.cc
+++ b/bench/model/scenarios_load.cc
@@ -12,11 +12,11 @@
 constexpr double kBurstFactor = 3;
 constexpr double kNearSaturation = 0.9;
 
-/// Share of the slots that is the rate limit of the noisy team, and the load
-/// of the quiet one.
+/// Rate limit of the noisy team and load of the quiet team, as a share of the
+/// slots' capacity.
 constexpr double kTeamShare = 0.25;
 
-// Seconds of a quota that may come at once.
+/// Burst of the rate limit, in seconds of its rate.
 constexpr double kQuotaBurst = 0.5;
 
 }  // namespace
@@ -25,7 +25,7 @@
   Scenario scenario;
   scenario.deployment = deployment;
   scenario.flows = MixedFlows(deployment, load);
-  // Near saturation a queue keeps its length for long.
+  // Near saturation queue lengths change slowly, so a longer run is needed.
   scenario.length = load > kNearSaturation ? seconds(40) : seconds(15);
   return scenario;
 }
@@ -40,7 +40,7 @@
   return scenario;
 }
 
-/// Every period another instance of the readings is the slow one.
+/// In each period, another random instance of the readings service is slow.
 Scenario MakeStraggler(const Deployment& deployment, double load) {
   Scenario scenario = MakeReadings(deployment, load);
   scenario.length = seconds(30);
@@ -61,7 +61,8 @@
   return scenario;
 }
 
-/// After a quiet second all teams begin at once, over closed connections.
+/// After 1 s without traffic all teams start at once, without open connections
+/// to upstreams.
 Scenario MakeSimultaneousStart(const Deployment& deployment) {
   Scenario scenario;
   scenario.deployment = deployment;
@@ -75,8 +76,9 @@
   return scenario;
 }
 
-/// Two teams share the instances of the readings. The noisy one's limit is a
-/// quarter of them; it sends `times` that.
+/// Two teams share the instances of the readings service. The rate limit of the
+/// noisy team is a quarter of their capacity; the team sends `times` that rate.
+/// The limit applies only if `limited`.
 Scenario MakeNoisyNeighbour(const Deployment& deployment,
                             double times,
                             bool limited) {
@@ -100,7 +102,7 @@
   return scenario;
 }
 
-/// Long answers without end beside readings from the same instances.
+/// A steady load of long answers runs beside readings on the same instances.
 Scenario MakeDownloads(const Deployment& deployment, double downloads) {
   Scenario scenario = MakeReadings(deployment, 0.3);
   scenario.flows.push_back(
--- a/bench/model/simulation.h
+++ b/bench/model/simulation.h
@@ -7,8 +7,9 @@
 
 #include "basilsill/base/time.h"
 
-/// Virtual time of the policy bench: a queue of events, run in order of time
-/// and, at one time, in the order they were scheduled. Single thread.
+/// Discrete-event simulation in virtual time. Events run in order of time;
+/// events of the same time run in the order in which they were scheduled. Not
+/// thread-safe.
 
 namespace basilsill::bench {
 
@@ -18,14 +19,15 @@
 
   TimePoint now() const { return this->current; }
 
-  /// Runs `action` at `when`, which must not lie in the past.
+  /// Runs `action` at `when`, which must not be in the past.
   void At(TimePoint when, Action action);
   void After(Duration delay, Action action);
 
-  /// Runs `action` every `period` from now on, for as long as events run.
+  /// Runs `action` every `period`, for the first time after one `period`, until
+  /// the simulation ends.
   void Every(Duration period, const Action& action);
 
-  /// Runs all events up to and including `end`; `now` is `end` afterwards.
+  /// Runs all events up to and including `end`, then sets `now` to `end`.
   void RunUntil(TimePoint end);
 
  private:
--- a/bench/model/upstreams.cc
+++ b/bench/model/upstreams.cc
@@ -8,13 +8,14 @@
 namespace basilsill::bench {
 namespace {
 
-/// Time that an error answer or a refusal takes an instance.
+/// Time that an instance takes for an error answer or a refusal.
 constexpr Duration kRefusalTime = std::chrono::microseconds(100);
 
-/// Time until an instance that died serves again.
+/// Time from the crash of an instance until it serves again.
 constexpr Duration kRestartTime = std::chrono::seconds(1);
 
-/// Time after which a dying instance breaks a connection.
+/// Time from the start of a crashing request until the instance crashes, and
+/// time after which kBreakingConnections breaks a connection.
 constexpr Duration kCrashDelay = std::chrono::milliseconds(1);
 
 }  // namespace
@@ -89,7 +90,7 @@
     job.running = true;
     instance.running.push_back(handle);
     if (job.demand.crashes_instance) {
-      // It has no end of its own: it would be answered if it came first.
+      // No end is scheduled: an end before the crash would answer the request.
       this->simulation.After(kCrashDelay, [this, position = job.instance] {
         this->Crash(position);
       });
@@ -209,7 +210,7 @@
   const Instance& instance = this->instances.at(position);
   LoadReport report;
   report.in_flight = this->InFlight(position);
-  // A level that was never seen is as good as the nearest lower one.
+  // A load level without samples uses the nearest lower level that has some.
   size_t level = std::min<size_t>(report.in_flight, kLoadLevels - 1);
   while (level > 0 && instance.latency_at.at(level).count == 0) {
     --level;
--- a/bench/model/upstreams.h
+++ b/bench/model/upstreams.h
@@ -11,24 +11,26 @@
 #include "model/deployment.h"
 #include "model/simulation.h"
 
-/// Upstream instances: slots, a first-come queue for what is beyond them, and
-/// the ways in which they misbehave.
+/// Simulated upstream instances: slots, a FIFO queue for requests beyond the
+/// slots, and failure modes.
 
 namespace basilsill::bench {
 
-/// Connections of one instance; what is beyond them is shed.
+/// Maximum number of connections of one instance; requests beyond them are
+/// shed.
 inline constexpr size_t kConnectionsPerInstance = 200;
 
 struct JobTag;
 using JobHandle = Handle<JobTag>;
 
-/// How an instance treats new work.
+/// Treatment of new work by an instance.
 enum class InstanceMode : uint8_t {
   kServing,
-  kFailFast,             ///< Answers 500 at once, whatever is asked.
-  kDraining,             ///< Ends what it has, refuses new work and says why.
+  kFailFast,  ///< Answers every request with 500 at once.
+  /// Completes accepted work and refuses new work with a drain sign.
+  kDraining,
   kShedding,             ///< Refuses new work before running it.
-  kBreakingConnections,  ///< Accepts work, then breaks its connection.
+  kBreakingConnections,  ///< Accepts requests, then breaks their connections.
   kDown,                 ///< Refuses connections.
   kCount
 };
@@ -37,23 +39,24 @@
   kAnswered,
   kFailed,  ///< Answered with status 500.
   kShed,
-  kDraining,  ///< Shed, with the sign that the instance is leaving.
+  kDraining,  ///< Shed with a drain sign.
   kConnectFailed,
   kDied,
   kCount
 };
 
-/// What a request asks of an instance.
+/// Work that a request causes at an instance.
 struct Demand {
-  Duration time{};  ///< At full speed.
-  bool crashes_instance =
-      false;  ///< The instance dies when it begins to run it.
+  Duration time{};  ///< Service time without slowdown.
+  /// The instance crashes when it starts the request.
+  bool crashes_instance = false;
 };
 
-/// Load that an instance tells of itself when it is probed.
+/// Load that an instance reports when it is probed.
 struct LoadReport {
   uint32_t in_flight = 0;
-  Duration latency{};  ///< Median of recent ones that began at such a load.
+  /// Median latency of recent requests that arrived at a similar load.
+  Duration latency{};
 };
 
 class Upstreams {
@@ -62,28 +65,33 @@
 
   Upstreams(Simulation& simulation, const Deployment& deployment);
 
-  /// A request reaches `instance`. `done` runs once, when the instance has
-  /// ended it, unless it is cancelled before.
+  /// Submits a request to `instance`. `done` runs once, when the instance ends
+  /// the request, unless the request is cancelled first.
+  /// @returns an invalid handle if the instance rejects the request.
   JobHandle Submit(size_t instance, const Demand& demand, Done done);
 
-  /// The request's connection was closed by the other side.
+  /// Cancels a request because the other side closed its connection.
   void Cancel(JobHandle job);
 
-  /// Makes `instance` run `factor` times slower, also what runs by now.
+  /// Makes `instance` run `factor` times slower, including requests that are
+  /// already running.
   void SetSlowdown(size_t instance, double factor);
 
-  /// Changes how new work is treated. kDown also breaks what is there.
+  /// Sets how `instance` treats new work. kDown also breaks the connections of
+  /// queued and running requests.
   void SetMode(size_t instance, InstanceMode mode);
 
   LoadReport Report(size_t instance) const;
   uint32_t InFlight(size_t instance) const;
 
-  /// @returns true unless `instance` refuses work and says so.
+  /// @returns true if `instance` serves requests or answers them with errors,
+  /// false if it refuses, sheds or breaks them.
   bool AcceptsWork(size_t instance) const;
 
   size_t submissions() const { return this->submitted; }
   size_t deaths() const { return this->death_count; }
-  /// Work that reached a draining instance, and when that last happened.
+  /// Requests that reached a draining instance, and the time from the start of
+  /// the drain to the last of them.
   size_t late_submissions() const { return this->late_count; }
   Duration last_late_submission() const { return this->last_late; }
 
@@ -95,13 +103,15 @@
     size_t instance = 0;
     bool running = false;
     uint32_t in_flight_at_start = 0;
-    uint32_t schedule = 0;  ///< Counts the times its end was scheduled.
+    /// Number of times that its end was scheduled; identifies outdated end
+    /// events.
+    uint32_t schedule = 0;
     Demand demand;
     TimePoint submitted{};
     TimePoint ends{};
     Done done;
   };
-  /// The last latencies of requests that began at one load.
+  /// Latest latencies of requests that arrived at one load level.
   struct RecentLatencies {
     std::array<Duration, kRecentLatencies> ring{};
     size_t count = 0;
@@ -116,8 +126,9 @@
     std::array<RecentLatencies, kLoadLevels> latency_at{};
   };
 
-  /// Ends a request that the instance does not serve.
-  /// @returns true if its mode, or its being full, says so.
+  /// Rejects a request if the instance's mode requires it or its connections
+  /// are exhausted.
+  /// @returns true if the request was rejected.
   bool Reject(Instance& instance, const Done& done);
   void StartWaiting(Instance& instance);
   void ScheduleEnd(JobHandle handle, Duration remaining);
--- a/bench/model/world.cc
+++ b/bench/model/world.cc
@@ -5,13 +5,13 @@
 namespace basilsill::bench {
 namespace {
 
-/// Time past the deadline at which a caller stops waiting for its answer.
+/// Time after the deadline at which a caller stops waiting for its answer.
 constexpr Duration kCallerGracePeriod = std::chrono::milliseconds(50);
 
-/// Pause of a caller who was refused and not told when to come back.
+/// Delay before a resend if the refusal has no retry-after time.
 constexpr Duration kDefaultResendDelay = std::chrono::milliseconds(100);
 
-/// Time for the last requests to end before the idle time begins.
+/// Time for the last requests to end before the idle period starts.
 constexpr Duration kSettleTime = std::chrono::seconds(3);
 
 constexpr uint64_t kArrivalStream = 100;
@@ -158,7 +158,8 @@
   const Duration pause = outcome.retry_after > Duration{0}
                              ? outcome.retry_after
                              : kDefaultResendDelay;
-  // Callers add up to a quarter, so that they do not come back together.
+  // Callers add up to a quarter of jitter, so that they do not resend at the
+  // same time.
   const double jitter = 1 + DrawUnit(this->resend_random) / 4;
   this->clock.After(Milliseconds(InMilliseconds(pause) * jitter), [this, id] {
     const Request first = this->requests[id];
--- a/bench/model/world.h
+++ b/bench/model/world.h
@@ -14,13 +14,14 @@
 #include "model/simulation.h"
 #include "model/upstreams.h"
 
-/// One run: callers send requests to entry VMs, a strategy brings them to
-/// upstreams, and what callers see is counted. Arrivals and service demands
-/// depend on the seed alone, so that strategies meet the same work.
+/// One simulated run: callers send requests to entry VMs, a strategy routes
+/// them to upstreams, and the outcomes that callers see are counted. Arrivals
+/// and service demands depend only on the seed, so that all strategies get the
+/// same work.
 
 namespace basilsill::bench {
 
-/// Requests that are alike.
+/// A stream of requests with the same properties.
 struct Flow {
   std::string name;
   size_t service = 0;
@@ -29,24 +30,27 @@
   bool idempotent = true;
   bool hedge = false;
   Duration deadline = std::chrono::seconds(2);
-  Duration mean = std::chrono::milliseconds(5);  ///< Demand at an upstream.
-  double sigma = 1;                              ///< Lognormal shape of it.
-  double load = 0;          ///< Mean share of the service's slots in use.
-  double burst_factor = 1;  ///< Rate inside of bursts over that outside.
-  Duration starts_at{0};    ///< Arrivals begin.
-  unsigned resends = 0;     ///< Times a caller sends a refused one again.
-  bool crashes_instance =
-      false;             ///< All alike; each kills the instance it runs on.
-  bool measured = true;  ///< Counts for the case's own figures.
+  /// Mean service time at an upstream.
+  Duration mean = std::chrono::milliseconds(5);
+  double sigma = 1;  ///< Sigma of the lognormal service time.
+  double load = 0;   ///< Mean share of the service's slots in use.
+  /// Ratio of the arrival rate inside of bursts to that outside.
+  double burst_factor = 1;
+  Duration starts_at{0};  ///< Time of the first arrivals.
+  /// Number of times that a caller resends a refused request.
+  unsigned resends = 0;
+  /// Identical requests, each of which crashes the instance that runs it.
+  bool crashes_instance = false;
+  bool measured = true;  ///< Counts towards the case's main figures.
 };
 
-/// Bursts: the first `kBurstLength` of every `kBurstPeriod`.
+/// Bursts last for the first `kBurstLength` of every `kBurstPeriod`.
 inline constexpr Duration kBurstLength = std::chrono::milliseconds(20);
 inline constexpr Duration kBurstPeriod = std::chrono::milliseconds(100);
 
 class SimulatedCluster;
 
-/// Something that happens to the installation while it runs.
+/// A fault or change that is applied to the installation during the run.
 struct Disturbance {
   Duration at{0};
   std::function<void(SimulatedCluster&)> apply;
@@ -57,38 +61,43 @@
   std::vector<Flow> flows;
   std::vector<Disturbance> disturbances;
   Duration warm_up = std::chrono::seconds(1);
-  Duration length = std::chrono::seconds(10);  ///< Counted, after warm-up.
-  Duration idle = std::chrono::seconds(2);     ///< Without arrivals, after.
-  bool models_connect_time = false;            ///< Opening one takes time.
+  /// Counted period after the warm-up.
+  Duration length = std::chrono::seconds(10);
+  /// Period without arrivals, after the counted one.
+  Duration idle = std::chrono::seconds(2);
+  /// Opening a connection takes kConnectTime.
+  bool models_connect_time = false;
   uint64_t seed = 1;
 };
 
-/// Position in `World::requests`.
+/// Position in `SimulatedCluster::requests`.
 using RequestId = uint32_t;
 
 struct Request {
   uint32_t flow = 0;
-  uint32_t number = 0;  ///< Within its flow, the same for its resends.
-  uint32_t vm = 0;      ///< Entry VM.
-  uint32_t resend = 0;
-  uint32_t attempts = 0;  ///< At upstreams.
+  /// Number within its flow; resends have the number of the original.
+  uint32_t number = 0;
+  uint32_t vm = 0;        ///< Entry VM.
+  uint32_t resend = 0;    ///< 0 for the original, then 1 for the first resend.
+  uint32_t attempts = 0;  ///< Attempts at upstreams.
   TimePoint arrival{};
   TimePoint deadline{};
   bool done = false;
 };
 
-/// Brings requests from entry VMs to upstreams. One object for all VMs; what
-/// it may know where is its own discipline.
+/// Routes requests from entry VMs to upstreams. One object acts for all VMs; an
+/// implementation must not use state of one VM on another without a message.
 class Strategy {
  public:
   virtual ~Strategy() = default;
   virtual void OnArrival(RequestId request) = 0;
-  /// The caller went away.
+  /// The caller stopped waiting for the answer.
   virtual void OnCallerTimeout(RequestId request) = 0;
+  /// `vm` died. Its peers detect that after `detection_delay`.
   virtual void OnVmKilled(size_t vm, Duration detection_delay) = 0;
-  /// `vm` is cut off from all other VMs, or reaches them again.
+  /// `vm` lost its links to all other VMs, or regained them.
   virtual void OnIsolated(size_t vm, bool isolated) = 0;
-  /// The VM list or the configuration says something new to `vm`.
+  /// The VM list or the configuration that `vm` sees changed.
   virtual void OnClusterState(size_t vm, const ClusterState& cluster_state) = 0;
 };
 
@@ -97,6 +106,7 @@
   explicit SimulatedCluster(const Scenario& scenario);
 
   /// Runs the scenario to its end.
+  /// @returns the metrics of the run.
   Metrics Run(Strategy& strategy);
 
   Simulation& simulation() { return this->clock; }
@@ -111,50 +121,54 @@
   TimePoint now() const { return this->clock.now(); }
   ClusterState& current_state() { return this->state; }
 
-  /// Ends `request`; later calls for it are ignored.
+  /// Ends `request`. Later calls for the same request are ignored.
   void Finish(RequestId request, const Outcome& outcome);
   void CountRetry(RequestId request, Retry reason);
-  /// Counts messages sent for measuring alone.
+  /// Counts messages that are sent only to measure load.
   void CountMeasuring(size_t messages, size_t bytes);
+  /// Counts bytes of load figures that are piggybacked on answers.
   void CountCarriedBytes(size_t bytes);
 
   Duration VmToVmLatency(size_t from, size_t to) const;
   Duration VmToInstanceLatency(size_t vm, size_t instance) const;
 
   /// Sends the next attempt of `request` from `vm` to `instance`. `done` runs
-  /// when its answer is back at `vm`.
-  /// @returns the attempt's number for `CancelAttempt`.
+  /// when the answer arrives at `vm`.
+  /// @returns the number of the attempt, for `CancelAttempt`.
   uint32_t StartAttempt(RequestId request,
                         size_t vm,
                         size_t instance,
                         Upstreams::Done done);
   void CancelAttempt(uint32_t attempt);
 
-  /// @returns the requests at `instance` and on their way to it. No strategy
-  /// but the oracle may ask.
+  /// @returns the number of requests at `instance` and in transit to it. Only
+  /// the oracle may use it: no real VM has this information.
   uint32_t ActualInFlight(size_t instance) const;
 
-  // What disturbances call.
+  // Called by disturbances.
   void KillVm(size_t vm, Duration detection_delay);
-  /// Cuts `vm` off from the other VMs, not from upstreams; or mends that.
+  /// Breaks the links of `vm` to all other VMs, or restores them. Upstreams
+  /// stay reachable.
   void SetIsolated(size_t vm, bool isolated) {
     this->strategy->OnIsolated(vm, isolated);
   }
-  /// Tells what is true now to each VM, `spread` over time.
+  /// Delivers the current state to all live VMs, one after the other over a
+  /// period of `spread`.
   void PublishState(Duration spread);
 
  private:
   struct Attempt {
     uint32_t vm = 0;
     uint32_t instance = 0;
-    bool open = false;  ///< Its answer is still wanted.
+    bool open = false;  ///< The answer is still awaited.
     JobHandle job;
     Upstreams::Done done;
   };
 
   void ScheduleArrival(uint32_t flow);
   void OnArrivalTime(uint32_t flow);
-  double PeakRate(const Flow& flow) const;  ///< Highest, requests a second.
+  /// Highest arrival rate, in requests per second.
+  double PeakRate(const Flow& flow) const;
   bool AcceptsArrival(const Flow& flow, Random& random) const;
   RequestId NewRequest(uint32_t flow, uint32_t number, uint32_t resend);
   void Resend(RequestId request, const Outcome& outcome);
@@ -176,10 +190,10 @@
   std::vector<Request> requests;
   std::vector<Attempt> attempts;
   std::vector<Random> arrivals;  ///< By flow.
-  std::vector<uint32_t> sent;    ///< Requests so far, by flow.
+  std::vector<uint32_t> sent;    ///< Requests sent so far, by flow.
   Random resend_random;
   std::vector<uint32_t> idle_connections;  ///< By VM and instance.
-  std::vector<uint32_t> in_transit;        ///< Attempts, by instance.
+  std::vector<uint32_t> in_transit;  ///< Attempts in transit, by instance.
 };
 
 }  // namespace basilsill::bench
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -14,7 +14,7 @@
 #include "report.h"
 #include "runner.h"
 
-/// The policy bench: every case under every strategy in virtual time.
+/// Policy benchmark: runs every case with every strategy in virtual time.
 
 namespace basilsill::bench {
 namespace {
@@ -34,7 +34,7 @@
 };
 
 Options ParseOptions(int argc, char** argv) {
-  TCLAP::CmdLine line("Policy bench of basilsill, in virtual time");
+  TCLAP::CmdLine line("Policy benchmark of basilsill, in virtual time");
   TCLAP::MultiArg<std::string> cases("", "case", "Run this case only", false,
                                      "name", line);
   TCLAP::MultiArg<std::string> strategies(
@@ -50,18 +50,18 @@
                                      "Write bounds from this run", false, "",
                                      "file", line);
   TCLAP::ValueArg<unsigned> threads(
-      "", "threads", "Runs side by side", false,
+      "", "threads", "Number of parallel runs", false,
       std::max(1U, std::thread::hardware_concurrency()), "count", line);
   TCLAP::ValueArg<std::string> summary("", "summary",
                                        "Write tables of all cases to a file",
                                        false, "", "file", line);
-  TCLAP::ValueArg<uint64_t> seed("", "seed",
-                                 "Of arrivals and demands; bounds hold for 1",
-                                 false, 1, "number", line);
-  TCLAP::SwitchArg ablate("", "ablate",
-                          "Switch each mechanism off in turn instead", line);
-  TCLAP::SwitchArg checked("", "checked-only",
-                           "Leave out runs that no check looks at", line);
+  TCLAP::ValueArg<uint64_t> seed(
+      "", "seed", "Seed of arrivals and demands; bounds hold for seed 1", false,
+      1, "number", line);
+  TCLAP::SwitchArg ablate(
+      "", "ablate", "Compare with the policy without each mechanism", line);
+  TCLAP::SwitchArg checked("", "checked-only", "Skip runs that no check uses",
+                           line);
   line.parse(argc, argv);
   Options options;
   options.cases = cases.getValue();
--- a/bench/report.cc
+++ b/bench/report.cc
@@ -51,7 +51,7 @@
   out << "\n### " << figures.case_name << ", " << figures.deployment << "\n\n";
   for (const CaseSpec& spec : Cases()) {
     if (spec.name == figures.case_name) {
-      out << "Story: " << spec.description << ".\n\n";
+      out << "Case: " << spec.description << ".\n\n";
     }
   }
   out << "| strategy | p50 | p99 | p99.9 | answered | errors | not run |"
@@ -95,7 +95,7 @@
          Fixed(figures.idle_messages, 0) + "/s";
 }
 
-/// Writes a row for each case and deployment, a column for each strategy.
+/// Writes a row for each case and deployment, with a column for each strategy.
 void WriteSummaryTable(std::ostream& out,
                        std::string_view title,
                        const std::vector<Figures>& results,
--- a/bench/report.h
+++ b/bench/report.h
@@ -9,21 +9,21 @@
 
 #include "figures.h"
 
-/// The report of the policy bench, for people and for programs.
+/// Report of the policy benchmark as Markdown and as JSON.
 
 namespace basilsill::bench {
 
-/// Writes one table a case and deployment, in Markdown.
+/// Writes one Markdown table for each case and deployment.
 void WriteTables(std::ostream& out, const std::vector<Figures>& results);
 
-/// Writes the figures of all cases beside each other, in Markdown: p99 and
-/// what measuring costs, by strategy.
+/// Writes Markdown tables over all cases: latency percentiles, requests without
+/// an answer and measuring cost, with a column for each strategy.
 void WriteSummary(std::ostream& out, const std::vector<Figures>& results);
 
-/// @returns all figures, flow by flow.
+/// @returns all figures of each run and its flows.
 boost::json::value ToJson(const std::vector<Figures>& results);
 
-/// Writes `value` with line breaks and in the order of its members.
+/// Writes `value` with line breaks and keeps the order of its members.
 void WriteJson(std::ostream& out,
                const boost::json::value& value,
                const std::string& indent = "");
--- a/bench/runner.h
+++ b/bench/runner.h
@@ -9,8 +9,8 @@
 #include "figures.h"
 #include "model/cases.h"
 
-/// Runs many scenarios side by side. Every run has its own world, so that
-/// the figures do not depend on the number of threads.
+/// Runs many scenarios in parallel. Every run has its own simulated cluster, so
+/// that the figures do not depend on the number of threads.
 
 namespace basilsill::bench {
 
@@ -22,7 +22,7 @@
   std::function<std::unique_ptr<Strategy>(SimulatedCluster&)> make;
 };
 
-/// @returns the baselines, the oracle, and the project's own policy last.
+/// @returns the baselines, the oracle, and last the policy under test.
 std::vector<StrategySpec> AllStrategies();
 
 struct Job {
@@ -32,7 +32,7 @@
   uint64_t seed = 1;
 };
 
-/// @returns figures in the order of `jobs`.
+/// @returns the figures of each job, in the order of `jobs`.
 std::vector<Figures> RunJobs(const std::vector<Job>& jobs, unsigned threads);
 
 }  // namespace basilsill::bench
--- a/bench/test/bounds_test.cc
+++ b/bench/test/bounds_test.cc
@@ -1,4 +1,4 @@
-// Tests of the verdict on figures.
+// Tests of bars, bounds and checks of benchmark figures.
 
 #include <vector>
 
@@ -42,7 +42,8 @@
   CHECK(check.BreaksBound());
 }
 
-// A strategy that refuses its slow requests must not look fast.
+// Failure: a strategy improves its latency figures by refusing slow requests,
+// because requests without an answer are not checked.
 TEST(Bounds, MakeChecks_RequestsLost_BarMissed) {
   Figures own;
   own.case_name = "fail_fast";
--- a/bench/test/model_test.cc
+++ b/bench/test/model_test.cc
@@ -1,5 +1,5 @@
-// Tests of the model: virtual time, upstream instances, equal work for all
-// strategies.
+// Tests of the simulation: virtual time, upstream instances, and equal work for
+// all strategies and thread counts.
 
 #include <string>
 #include <vector>
@@ -42,7 +42,7 @@
   CHECK(this->simulation.now() == TimePoint(seconds(1)));
 }
 
-/// One instance of 2 slots.
+/// One upstream instance with 2 slots.
 TEST_GROUP(Upstreams) {
   Simulation simulation;
   Deployment deployment = MakeManyTeams(1, 1);
@@ -100,8 +100,9 @@
   CHECK(this->ends[0] == JobEnd::kShed);
 }
 
-// An upstream gets a request that crashes it. The request beside it loses its
-// connection too; a second later the upstream serves again.
+// Failure: a request that crashes its upstream ends alone, although the crash
+// breaks the connections of all requests there, or the upstream does not serve
+// again after its restart time of 1 s.
 TEST(Upstreams, Submit_CrashingRequest_BreaksAllAndRestarts) {
   this->Submit(milliseconds(100));
   this->upstreams.Submit(0, {std::chrono::microseconds(1), true},
@@ -115,7 +116,7 @@
   CHECK(this->upstreams.AcceptsWork(0));
 }
 
-/// A short run of one case.
+/// Short runs of one case with all strategies.
 TEST_GROUP(Runner){
     std::vector<Job> JobsOf(const CaseSpec& spec){std::vector<Job> jobs;
 for (const StrategySpec& strategy : AllStrategies()) {
