--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -60,8 +60,8 @@
       1, "number", line);
   TCLAP::SwitchArg ablate(
       "", "ablate", "Compare with the policy without each mechanism", line);
-  TCLAP::SwitchArg checked("", "checked-only", "Skip runs that no check uses",
-                           line);
+  TCLAP::SwitchArg checked("", "checked-only",
+                           "Skip runs that no check looks at", line);
   line.parse(argc, argv);
   Options options;
   options.cases = cases.getValue();
--- a/bench/report.h
+++ b/bench/report.h
@@ -16,8 +16,8 @@
 /// Writes one Markdown table for each case and deployment.
 void WriteTables(std::ostream& out, const std::vector<Figures>& results);
 
-/// Writes Markdown tables over all cases: latency percentiles, requests without
-/// an answer and measuring cost, with a column for each strategy.
+/// Writes Markdown tables over all cases: p99 and p99.9 latency, requests
+/// without an answer and measuring cost, with a column for each strategy.
 void WriteSummary(std::ostream& out, const std::vector<Figures>& results);
 
 /// @returns all figures of each run and its flows.
