--- a/bench/figures.h
+++ b/bench/figures.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "model/world.h"
+#include "model/simulated_cluster.h"
 
 /// Figures of one run, used by the report and the bounds checks.
 
--- a/bench/model/baselines.h
+++ b/bench/model/baselines.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "model/world.h"
+#include "model/simulated_cluster.h"
 
 /// Baselines that the policy is compared with. Each entry VM picks an upstream
 /// on its own and sends the request directly to it; excess requests queue at
--- a/bench/model/cases.h
+++ b/bench/model/cases.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "model/world.h"
+#include "model/simulated_cluster.h"
 
 /// Cases of the policy benchmark.
 
--- a/bench/model/fleet.h
+++ b/bench/model/fleet.h
@@ -6,7 +6,7 @@
 #include "basilsill/decision/dispatch.h"
 #include "basilsill/decision/entry.h"
 #include "basilsill/decision/mechanism.h"
-#include "model/world.h"
+#include "model/simulated_cluster.h"
 
 /// The policy under test: every simulated VM runs the production EntryRouter
 /// and Dispatcher, and messages between VMs take the simulated network latency.
--- a/bench/model/flows.h
+++ b/bench/model/flows.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "model/world.h"
+#include "model/simulated_cluster.h"
 
 /// Traffic flows of the benchmark cases.
 
--- a/bench/model/scenarios.h
+++ b/bench/model/scenarios.h
@@ -1,7 +1,7 @@
 #ifndef BASILSILL_BENCH_MODEL_SCENARIOS_H_
 #define BASILSILL_BENCH_MODEL_SCENARIOS_H_
 
-#include "model/world.h"
+#include "model/simulated_cluster.h"
 
 /// Scenarios of the benchmark cases. `load` is the mean share of slots in use.
 
--- a/bench/model/world.cc
+++ b/bench/model/simulated_cluster.cc
@@ -1,4 +1,4 @@
-#include "model/world.h"
+#include "model/simulated_cluster.h"
 
 #include <algorithm>
 
--- a/bench/model/world.h
+++ b/bench/model/simulated_cluster.h
@@ -1,5 +1,5 @@
-#ifndef BASILSILL_BENCH_MODEL_WORLD_H_
-#define BASILSILL_BENCH_MODEL_WORLD_H_
+#ifndef BASILSILL_BENCH_MODEL_SIMULATED_CLUSTER_H_
+#define BASILSILL_BENCH_MODEL_SIMULATED_CLUSTER_H_
 
 #include <cstdint>
 #include <functional>
@@ -198,4 +198,4 @@
 
 }  // namespace basilsill::bench
 
-#endif  // BASILSILL_BENCH_MODEL_WORLD_H_
+#endif  // BASILSILL_BENCH_MODEL_SIMULATED_CLUSTER_H_
