--- a/bench/model/cases.cc
+++ b/bench/model/cases.cc
@@ -47,7 +47,7 @@
        MakeFailFast,
        {}},
       {"crash",
-       "load 0.7, one instance down for 2 s, then slow for 1 s",
+       "load 0.7, one instance down for 2 s, then cold for 1 s",
        MakeCrash,
        {}},
       {"poison",
--- a/bench/model/simulated_cluster.h
+++ b/bench/model/simulated_cluster.h
@@ -37,7 +37,8 @@
   /// Ratio of the arrival rate inside of bursts to that outside.
   double burst_factor = 1;
   Duration starts_at{0};  ///< Time of the first arrivals.
-  /// Number of times that a caller resends a refused request.
+  /// Number of times that a caller resends a request that was refused or timed
+  /// out.
   unsigned resends = 0;
   /// Identical requests, each of which crashes the instance that runs it.
   bool crashes_instance = false;
