--- a/packages/base/include/basilsill/base/limits.h
+++ b/packages/base/include/basilsill/base/limits.h
@@ -125,8 +125,8 @@
 inline constexpr size_t kMaxChangeBytes = 60 * 1024;
 inline constexpr size_t kMaxCheckpointParts = 1024;
 
-/// Checkpoints assembled from parts at the same time; parts of further ones are
-/// dropped.
+/// Maximum number of checkpoints assembled from parts at the same time; a
+/// further one replaces the oldest.
 inline constexpr size_t kMaxOpenCheckpoints = 4;
 
 /// Number of records after which a checkpoint is due, and the number of records
--- a/packages/base/include/basilsill/base/text.h
+++ b/packages/base/include/basilsill/base/text.h
@@ -28,8 +28,8 @@
 /// @returns `text` without leading and trailing characters of `blanks`.
 std::string_view Trimmed(std::string_view text, std::string_view blanks);
 
-/// @returns `text` with the letters A to Z in lower case, as host names are
-/// compared.
+/// @returns `text` with the letters A to Z in lower case, the form in which
+/// host names are compared.
 std::string ToLowerAscii(std::string_view text);
 
 }  // namespace basilsill
--- a/packages/base/include/basilsill/base/time.h
+++ b/packages/base/include/basilsill/base/time.h
@@ -4,8 +4,9 @@
 #include <chrono>
 #include <cstdint>
 
-/// The clocks of the project. Decision code never reads a clock: the shell, or
-/// a test with virtual time, passes it a time point.
+/// The clocks of the project. Decision code never reads a clock: its caller
+/// passes it a time point. The caller is a test with virtual time or the shell,
+/// which is the code that does input and output.
 
 namespace basilsill {
 
--- a/packages/decision/include/basilsill/decision/announcement.h
+++ b/packages/decision/include/basilsill/decision/announcement.h
@@ -70,12 +70,12 @@
   bool done() const { return this->state == State::kDone; }
 
  private:
-  enum class State : uint8_t { kIdle, kWaiting, kAsked, kWriting, kDone };
+  enum class State : uint8_t { kIdle, kWaiting, kRequested, kWriting, kDone };
 
   std::vector<VmHandle> peers;
-  size_t turn = 0;
+  size_t next_peer = 0;
   State state = State::kIdle;
-  VmHandle asked;
+  VmHandle requested_helper;
   uint64_t number = 0;
   TimePoint direct_write_at{};
   uint64_t spread = 0;
--- a/packages/decision/include/basilsill/decision/data_centre_drains.h
+++ b/packages/decision/include/basilsill/decision/data_centre_drains.h
@@ -26,7 +26,7 @@
   /// a newer record is known.
   bool OnRecord(uint64_t offset, std::string_view data_centre, bool drained);
 
-  /// Mark the begin and end of a complete listing. The drain of a data centre
+  /// Mark the start and end of a complete listing. The drain of a data centre
   /// for which no record arrives between the two calls ends.
   void BeginListing();
   void EndListing();
--- a/packages/decision/include/basilsill/decision/declared_configuration.h
+++ b/packages/decision/include/basilsill/decision/declared_configuration.h
@@ -16,7 +16,8 @@
 /// Configuration of installations whose platform declares it completely: one
 /// document with all routes, and a registry in which upstreams list themselves.
 /// It is converted to the same state that other installations build from their
-/// log, so that one view builder and one decision code serve both.
+/// log, so that both kinds of installation share the view builder and the
+/// decision code.
 
 namespace basilsill {
 
@@ -77,9 +78,9 @@
 std::vector<Failure> CheckDeclared(const DeclaredConfiguration& configuration);
 
 /// The state from which routing views are built. The cost of an upstream change
-/// depends on the size of its set, not on the number of all upstreams: a full
-/// update with 3,000 upstreams takes 3 ms of a core, on every VM and ten times
-/// a second while many upstreams change.
+/// depends on the size of its set, not on the number of all upstreams. A full
+/// update with 3,000 upstreams takes 3 ms of a core, and would be repeated on
+/// every VM ten times a second while many upstreams change.
 class DeclaredState {
  public:
   /// Updates the state from `sources`.
--- a/packages/decision/include/basilsill/decision/propagation_plan.h
+++ b/packages/decision/include/basilsill/decision/propagation_plan.h
@@ -15,11 +15,11 @@
 ///
 /// Failure: a few VMs send every change to all others, whatever their data
 /// centre. In a large fleet a single change then occupies a link for so long
-/// that the last receivers take the sender for silent and read for themselves,
-/// and the traffic between data centres grows with the square of the fleet.
-/// With relays, a change is sent to each other data centre twice, whatever the
-/// number of VMs, and no VM sends it to more than the VMs of its own data
-/// centre and the relays.
+/// that the last receivers take the sender for silent and read the platform
+/// themselves, and the traffic between data centres grows with the square of
+/// the fleet. With relays, a change is sent to each other data centre twice,
+/// whatever the number of VMs, and no VM sends it to more than the VMs of its
+/// own data centre and the relays.
 
 namespace basilsill {
 
--- a/packages/decision/include/basilsill/decision/state_fetch.h
+++ b/packages/decision/include/basilsill/decision/state_fetch.h
@@ -18,8 +18,8 @@
 /// others. The VM refuses all requests of callers, although its peers have the
 /// state that it lacks. It knows no other VM, but the others know it from an
 /// earlier announcement, and some of them keep links to it. So it asks over any
-/// link, whichever side opened it. The state that it receives is the one by
-/// which the others serve.
+/// link, whichever side opened it. It receives the same state that its peers
+/// use to route requests.
 
 namespace basilsill {
 
@@ -40,9 +40,9 @@
  private:
   std::vector<VmHandle> peers;  ///< Asked in turn.
   std::vector<VmHandle> others;
-  size_t turn = 0;
+  size_t next_peer = 0;
   TimePoint include_others_at = kNever;  ///< When `others` join `peers`.
-  VmHandle asked;
+  VmHandle pending_peer;
   TimePoint next_at{};  ///< When the next peer is asked if no answer comes.
 };
 
--- a/packages/decision/include/basilsill/decision/state_send_budget.h
+++ b/packages/decision/include/basilsill/decision/state_send_budget.h
@@ -10,10 +10,11 @@
 ///
 /// Failure: a VM with a narrow link becomes the first in the order of
 /// RankLiveVms, because larger VMs restart or because it started before them.
-/// It sends the full state, megabytes, to every linked VM, which saturates its
-/// link: its own calls get no answer and other VMs suspect it although it
-/// works. With requests of one VM after the other and a limit by bandwidth it
-/// serves few VMs, and the others are declined at once and ask elsewhere.
+/// It sends the full state, which is megabytes long, to every linked VM and
+/// thereby saturates its link: its own calls get no answer, and other VMs
+/// suspect it although it works. Starting VMs therefore ask one VM at a time,
+/// and this limit lets a VM with a narrow link serve only a few of them. It
+/// declines the others at once, and they ask elsewhere.
 
 namespace basilsill {
 
@@ -31,7 +32,7 @@
 
  private:
   double rate;  ///< Octets per second for starting VMs; also the burst.
-  double room;  ///< Octets that may be sent now.
+  double available_bytes;  ///< Octets that may be sent now.
   TimePoint filled_at{};
 };
 
--- a/packages/decision/include/basilsill/decision/topic_follower.h
+++ b/packages/decision/include/basilsill/decision/topic_follower.h
@@ -17,8 +17,8 @@
 /// has received no update for a delay that grows with its rank in an order
 /// common to all VMs. So the first VM reads, and the second takes over when the
 /// first falls silent, without any agreement between them. A VM that receives
-/// no updates, whatever the cause, reads for itself soon enough for every bound
-/// on staleness.
+/// no updates, whatever the cause, reads for itself soon enough to meet every
+/// bound on staleness.
 
 namespace basilsill {
 
@@ -40,7 +40,7 @@
 };
 
 struct TopicFollowerOptions {
-  /// Between two reads of the VM that reads for the fleet (rank 0).
+  /// Time between two reads of the VM that reads for the fleet (rank 0).
   Duration interval{0};
   /// Replaces `interval` while new records keep coming; 0: not used.
   Duration busy_interval{0};
@@ -86,7 +86,7 @@
   /// A read returned the records before `next`, of a topic that ends at `end`.
   void OnRecords(TimePoint now, uint64_t next, uint64_t end);
 
-  /// A peer was asked for the records that this VM may lack.
+  /// A peer was sent a request for the records that this VM may lack.
   void OnAskedPeer(TimePoint now);
 
   /// The peer declined: it has received nothing new itself, or this VM is too
@@ -131,13 +131,13 @@
 
   /// Starts an update to the other VMs, which contains the records from the
   /// returned offset up to `offset()`. It leaves out the records before
-  /// `settled()`, which every VM that received an update lately has, and those
-  /// that the last two updates contained: a VM that missed both detects the gap
-  /// and reads for itself. Without the latter rule each record would be sent
-  /// four to five times over the links to all VMs.
+  /// `settled()`, which every VM that recently received an update has, and
+  /// those that the last two updates contained: a VM that missed both detects
+  /// the gap and reads for itself. Without the latter rule each record would be
+  /// sent four to five times over the links to all VMs.
   uint64_t BeginNews();
 
-  /// @returns an offset such that every VM that received an update lately has
+  /// @returns an offset such that every VM that recently received an update has
   /// all records before it.
   uint64_t settled() const { return this->settled_offset; }
 
@@ -154,7 +154,7 @@
   /// rank.
   Duration ByRank(Duration first, Duration last) const;
   void Advance(TimePoint now, uint64_t next);
-  bool ShouldAskPeer() const;
+  bool ShouldRequestFromPeer() const;
 
   TopicFollowerOptions options;
   bool listed_once = false;
@@ -174,7 +174,7 @@
   size_t rank = 0;
   uint32_t failures = 0;
   bool has_peers = false;
-  uint32_t peers_asked = 0;  ///< Since the last update or read.
+  uint32_t requests_to_peers = 0;  ///< Since the last update or read.
   bool peers_declined = false;
   TimePoint fresh_at{};
   size_t read_bytes;  ///< Limit on the next read.
--- a/packages/decision/include/basilsill/decision/topic_records.h
+++ b/packages/decision/include/basilsill/decision/topic_records.h
@@ -30,7 +30,7 @@
   /// Replaces the record kept for the key if `record` is newer.
   void Keep(const KeyedRecord& record);
 
-  /// Mark the begin and end of a complete listing. A key for which OnListed is
+  /// Mark the start and end of a complete listing. A key for which OnListed is
   /// not called between them is removed: the store no longer has the record of
   /// its removal.
   void BeginListing();
--- a/packages/decision/include/basilsill/decision/upstream_registry.h
+++ b/packages/decision/include/basilsill/decision/upstream_registry.h
@@ -112,15 +112,16 @@
   /// id, or of an earlier start, are ignored.
   EntryResult OnEntry(TimePoint now, uint64_t offset, RegisteredUpstream entry);
 
-  /// The entry under `id` can't be read or is not an upstream's, because
-  /// another writer put it there. The known upstream is kept until its entry is
-  /// removed: if it lives, it renews its entry within a heartbeat.
+  /// The entry under `id` can't be read or does not describe an upstream,
+  /// because another writer put it there. The known upstream is kept until its
+  /// entry is removed: if it is running, it renews its entry within a
+  /// heartbeat.
   void OnUnreadable(std::string_view id);
 
   /// The entry of `id` was removed at `offset`.
   void OnRemoved(TimePoint now, uint64_t offset, std::string_view id);
 
-  /// Mark the begin and end of a complete listing. An upstream that is not
+  /// Mark the start and end of a complete listing. An upstream that is not
   /// listed between the two calls counts as removed: the store may no longer
   /// have the record of its removal.
   void BeginListing();
--- a/packages/decision/include/basilsill/decision/view.h
+++ b/packages/decision/include/basilsill/decision/view.h
@@ -187,7 +187,7 @@
 
 enum class VmState : uint8_t {
   kLive,
-  kSuspected,  ///< Gets no new work until it is heard from again.
+  kSuspected,  ///< Gets no new work until it is trusted again.
   kLeaving,    ///< Finishes work in flight, takes no new work.
   kCount
 };
--- a/packages/decision/include/basilsill/decision/view_build_throttle.h
+++ b/packages/decision/include/basilsill/decision/view_build_throttle.h
@@ -8,8 +8,8 @@
 /// Limits how often a VM builds a routing view. The cost of a view grows with
 /// the number of upstreams and VMs, and in a large fleet something changes all
 /// the time: a view at each tick would use the whole processor of a small VM.
-/// So views take a bounded share of its time, whatever one costs, as long as no
-/// change waits longer than kMaxWait.
+/// So the builds take at most a fixed share of the time, whatever one build
+/// costs, unless a change would then wait longer than kMaxWait.
 class ViewBuildThrottle {
  public:
   /// Maximum time that a change waits for the next view after a build.
--- a/packages/decision/src/announcement.cc
+++ b/packages/decision/src/announcement.cc
@@ -41,22 +41,23 @@
 
 AnnouncementStep Announcement::Next(TimePoint now) {
   const bool open =
-      this->state == State::kWaiting || this->state == State::kAsked;
+      this->state == State::kWaiting || this->state == State::kRequested;
   if (open && now >= this->direct_write_at) {
     this->state = State::kWriting;
     return {AnnouncementStepKind::kWriteDirectly, {}, 0};
   }
-  if (this->state != State::kWaiting || this->turn >= this->peers.size()) {
+  if (this->state != State::kWaiting || this->next_peer >= this->peers.size()) {
     return {};
   }
-  this->state = State::kAsked;
-  this->asked = this->peers[this->turn++];
-  return {AnnouncementStepKind::kAskHelper, this->asked, ++this->number};
+  this->state = State::kRequested;
+  this->requested_helper = this->peers[this->next_peer++];
+  return {AnnouncementStepKind::kAskHelper, this->requested_helper,
+          ++this->number};
 }
 
 TimePoint Announcement::due() const {
   const bool open =
-      this->state == State::kWaiting || this->state == State::kAsked;
+      this->state == State::kWaiting || this->state == State::kRequested;
   return open ? this->direct_write_at : kNever;
 }
 
@@ -64,7 +65,7 @@
                                   VmHandle vm,
                                   uint64_t answered,
                                   bool written) {
-  if (this->state != State::kAsked || vm != this->asked ||
+  if (this->state != State::kRequested || vm != this->requested_helper ||
       answered != this->number) {
     return;
   }
@@ -79,7 +80,7 @@
   // The platform may serve a peer although it refuses this VM, so all peers are
   // asked again.
   this->state = State::kWaiting;
-  this->turn = 0;
+  this->next_peer = 0;
   this->direct_write_at = now + kRetryInterval;
 }
 
@@ -87,7 +88,7 @@
   if (is_current && this->state != State::kWriting) {
     this->state = State::kDone;
   } else if (!is_current && this->state == State::kDone) {
-    this->turn = 0;
+    this->next_peer = 0;
     this->Begin(now, !this->peers.empty(), this->spread);
   }
 }
--- a/packages/decision/src/declared_configuration.cc
+++ b/packages/decision/src/declared_configuration.cc
@@ -11,8 +11,7 @@
 namespace {
 
 // Requests without an API key belong to this common team, as do all services.
-// No declared team can have this name, because a name with a space can't be
-// carried in a header as a whole.
+// No declared team can have this name: CheckTeams reports it as a duplicate.
 constexpr std::string_view kCommonTeam = "all callers";
 
 // Declared teams have no concurrency or queue limit. Their requests are bounded
--- a/packages/decision/src/membership.cc
+++ b/packages/decision/src/membership.cc
@@ -191,8 +191,8 @@
 }
 
 // The platform's list may lack a VM that works: such a VM is kept while
-// messages arrive from it. A VM that announced its leaving is removed once its
-// link is closed.
+// messages arrive from it. A VM that announced that it is leaving is removed
+// once its link is closed.
 bool MembershipTable::IsActive(TimePoint now, const Member& member) const {
   const bool left = member.announced_leaving && member.link == PeerLink::kNone;
   return member.incarnation != 0 && !left &&
--- a/packages/decision/src/peer_silence.h
+++ b/packages/decision/src/peer_silence.h
@@ -9,15 +9,15 @@
 
 /// Detects dispatchers that have gone silent, by the requests that are in
 /// flight to them anyway. A VM that is paused or cut off keeps its links open
-/// for a long time, and every request sent to it until they break would be
-/// stuck.
+/// for a long time, and every request sent to it before the links break would
+/// be stuck.
 
 namespace basilsill {
 
 class PeerSilence {
  public:
   /// A request that should be answered soon was sent to `vm`. Each call must be
-  /// followed by one of OnDone.
+  /// followed by one call of OnDone.
   void OnSent(TimePoint now, VmHandle vm);
   void OnDone(VmHandle vm);
 
--- a/packages/decision/src/start_plan.cc
+++ b/packages/decision/src/start_plan.cc
@@ -32,8 +32,8 @@
 // Rank at which the additional wait is half of kRankSpread.
 constexpr int64_t kHalfSpreadRank = 64;
 
-// Spreads the VMs of a fleet of hundreds at about one a millisecond, which is
-// far below the time in which an installation is set up.
+// Spreads the first calls of hundreds of VMs to about one call per millisecond.
+// The delay is far shorter than the time in which an installation is set up.
 constexpr Duration kFirstStartSpread = std::chrono::milliseconds(300);
 
 // A VM of at most this capacity (a tenth of a core) waits up to the whole
--- a/packages/decision/src/state_fetch.cc
+++ b/packages/decision/src/state_fetch.cc
@@ -10,8 +10,8 @@
 // is asked, even if the previous one has promised to send the state later.
 constexpr Duration kAnswerTimeout = std::chrono::milliseconds(200);
 
-// Pause between two rounds of all peers, so that a VM that no peer can serve
-// does not keep all peers busy.
+// Pause between two rounds of requests to all peers, so that a VM that no peer
+// can serve does not keep all peers busy.
 constexpr Duration kRoundPause = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -27,11 +27,12 @@
 }
 
 void StateFetch::OnDeclined(TimePoint now, VmHandle vm, bool later) {
-  if (vm != this->asked || later) {
+  if (vm != this->pending_peer || later) {
     return;
   }
-  this->asked = VmHandle{};
-  this->next_at = this->turn < this->peers.size() ? now : now + kRoundPause;
+  this->pending_peer = VmHandle{};
+  this->next_at =
+      this->next_peer < this->peers.size() ? now : now + kRoundPause;
 }
 
 VmHandle StateFetch::Next(TimePoint now) {
@@ -40,16 +41,17 @@
                        this->others.end());
     this->others.clear();
   }
-  const bool waits = IsValid(this->asked) || this->turn == this->peers.size();
+  const bool waits =
+      IsValid(this->pending_peer) || this->next_peer == this->peers.size();
   if (this->peers.empty() || (waits && now < this->next_at)) {
     return VmHandle{};
   }
-  if (this->turn == this->peers.size()) {
-    this->turn = 0;
+  if (this->next_peer == this->peers.size()) {
+    this->next_peer = 0;
   }
-  this->asked = this->peers[this->turn++];
+  this->pending_peer = this->peers[this->next_peer++];
   this->next_at = now + kAnswerTimeout;
-  return this->asked;
+  return this->pending_peer;
 }
 
 }  // namespace basilsill
--- a/packages/decision/src/state_send_budget.cc
+++ b/packages/decision/src/state_send_budget.cc
@@ -19,21 +19,21 @@
 }  // namespace
 
 StateSendBudget::StateSendBudget(double link_bytes_per_second)
-    : rate(RateOf(link_bytes_per_second)), room(this->rate) {}
+    : rate(RateOf(link_bytes_per_second)), available_bytes(this->rate) {}
 
 bool StateSendBudget::HasRoom(TimePoint now, size_t bytes) {
   const std::chrono::duration<double> since = now - this->filled_at;
   this->filled_at = now;
   const double gained = this->rate * std::max(0.0, since.count());
-  this->room = std::min(this->rate, this->room + gained);
-  return static_cast<double>(bytes) <= this->room;
+  this->available_bytes = std::min(this->rate, this->available_bytes + gained);
+  return static_cast<double>(bytes) <= this->available_bytes;
 }
 
 bool StateSendBudget::Take(TimePoint now, size_t bytes) {
   if (!this->HasRoom(now, bytes)) {
     return false;
   }
-  this->room -= static_cast<double>(bytes);
+  this->available_bytes -= static_cast<double>(bytes);
   return true;
 }
 
--- a/packages/decision/src/topic_follower.cc
+++ b/packages/decision/src/topic_follower.cc
@@ -14,8 +14,9 @@
 constexpr size_t kMaxReadBytes = 1024 * 1024;
 constexpr size_t kMinReadBytes = 64 * 1024;
 
-// Number of peers asked in a row, and the time that each has to answer.
-constexpr uint32_t kMaxPeersAsked = 2;
+// Number of peers from which records are requested in a row, and the time that
+// each has to answer.
+constexpr uint32_t kMaxRequestsToPeers = 2;
 constexpr Duration kPeerTimeout = std::chrono::milliseconds(200);
 
 // Minimum time for which records are retained for other VMs: longer than a VM
@@ -23,8 +24,8 @@
 constexpr Duration kRetention = std::chrono::seconds(10);
 
 // Interval between the reads of VMs whose peers declined: some dozens of reads
-// a second, each of a second's worth of a large topic, whatever the size of the
-// fleet.
+// a second, each of the records that a large topic gains in a second, whatever
+// the size of the fleet.
 constexpr Duration kReaderStagger = std::chrono::milliseconds(40);
 constexpr Duration kMaxReaderWait = std::chrono::seconds(10);
 
@@ -65,7 +66,7 @@
   call.after = this->after;
   call.from = this->from;
   call.max_bytes = this->read_bytes;
-  if (this->ShouldAskPeer()) {
+  if (this->ShouldRequestFromPeer()) {
     call.kind = TopicCallKind::kAskPeer;
   }
   if (call.kind == TopicCallKind::kReadOn && this->CanHoldRead()) {
@@ -78,13 +79,13 @@
 // reads what it has missed. Together the reads exceed what the store can serve,
 // so every call times out; each VM retries, by then for more records, and the
 // store stays overloaded until the fleet is stopped.
-bool TopicFollower::ShouldAskPeer() const {
+bool TopicFollower::ShouldRequestFromPeer() const {
   return this->options.is_bulk && !this->listing && this->has_peers &&
-         !this->peers_declined && this->peers_asked < kMaxPeersAsked;
+         !this->peers_declined && this->requests_to_peers < kMaxRequestsToPeers;
 }
 
 void TopicFollower::OnAskedPeer(TimePoint now) {
-  ++this->peers_asked;
+  ++this->requests_to_peers;
   this->next_at = now + kPeerTimeout;
 }
 
@@ -92,7 +93,7 @@
 // other. A VM whose peers do not answer at all is cut off, and reads after the
 // time-outs.
 void TopicFollower::OnPeerDeclined(TimePoint now) {
-  if (this->peers_asked == 0 || this->peers_declined) {
+  if (this->requests_to_peers == 0 || this->peers_declined) {
     return;
   }
   this->peers_declined = true;
@@ -162,7 +163,7 @@
     return;
   }
   this->fresh_at = now;
-  this->peers_asked = 0;
+  this->requests_to_peers = 0;
   this->peers_declined = false;
   this->next_at =
       now + (this->CanHoldRead() ? kHoldPause : this->ReadDelay(now));
@@ -198,8 +199,8 @@
 // last ranks are close together, since these VMs hardly ever read.
 Duration TopicFollower::ByRank(Duration first, Duration last) const {
   const auto place = static_cast<int64_t>(this->rank);
-  const Duration room = std::max(Duration(0), last - first);
-  return first + room * place / (place + kHalfSpreadRank);
+  const Duration range = std::max(Duration(0), last - first);
+  return first + range * place / (place + kHalfSpreadRank);
 }
 
 Duration TopicFollower::ReadDelay(TimePoint now) const {
@@ -232,7 +233,7 @@
   const bool is_new = next > this->from;
   this->Advance(now, next);
   this->fresh_at = now;
-  this->peers_asked = 0;
+  this->requests_to_peers = 0;
   this->peers_declined = false;
   if (this->options.is_bulk && this->has_peers) {
     this->failures = 0;
@@ -258,14 +259,14 @@
   ++this->failures;
   this->degraded_until = now + kDegradedPeriod;
   this->read_bytes = kMinReadBytes;
-  this->peers_asked = 0;
+  this->requests_to_peers = 0;
   this->peers_declined = false;
 }
 
 // After a failure a listing continues after the last page received. Restarted
 // from the beginning, a long one would never end while the store is overloaded.
 //
-// Failure: the store is down, and each of a hundred VMs retries some times a
+// Failure: the store is down, and each of a hundred VMs retries several times a
 // second, which makes thousands of refused calls. So VMs of higher rank retry
 // less often: the first VMs detect early enough for the fleet that the store is
 // back, and send updates to the others; a VM that receives none still detects
--- a/packages/decision/src/topic_records.cc
+++ b/packages/decision/src/topic_records.cc
@@ -41,11 +41,11 @@
 }
 
 // Failure: the store drops its history, including the record that removed a
-// key. This VM lists the topic and no longer serves by the key, but keeps its
-// last record and sends it to every starting VM, which then serves by a removed
-// key. So a key that is missing from a listing is erased here too. A second
-// EndListing, which happens if another VM sent the whole topic meanwhile,
-// erases nothing.
+// key. This VM lists the topic and stops using the key, but keeps the last
+// record of the key and sends it to every starting VM, which then uses a
+// removed key. So a key that is missing from a listing is erased here too. A
+// second EndListing, which happens if another VM sent the whole topic
+// meanwhile, erases nothing.
 void TopicRecords::EndListing() {
   if (!std::exchange(this->listing, false)) {
     return;
--- a/packages/decision/src/upstream_registry.cc
+++ b/packages/decision/src/upstream_registry.cc
@@ -54,7 +54,7 @@
   // a change.
   entry.cold_for = std::chrono::milliseconds(0);
   const bool changed = is_new || cold != row.cold || !(entry == row.entry);
-  const bool had_lapsed = row.removal_pending;
+  const bool had_pending_removal = row.removal_pending;
   const bool begins_to_leave = entry.leaving && (is_new || !row.entry.leaving);
   const bool moved = !is_new && !(entry.endpoint == row.entry.endpoint);
   if (!is_new && changed) {
@@ -77,13 +77,14 @@
                                      : UpstreamTransitionKind::kListed,
                         row);
   }
-  if (had_lapsed) {
+  if (had_pending_removal) {
     this->AddTransition(UpstreamTransitionKind::kBack, row);
   }
   if (begins_to_leave) {
     this->AddTransition(UpstreamTransitionKind::kLeaving, row);
   }
-  return changed || had_lapsed ? EntryResult::kNew : EntryResult::kRenewal;
+  return changed || had_pending_removal ? EntryResult::kNew
+                                        : EntryResult::kRenewal;
 }
 
 void UpstreamRegistry::OnUnreadable(std::string_view id) {
@@ -103,7 +104,7 @@
          entry.started < latest->second;
 }
 
-// Starts are remembered also after the entry is removed; otherwise a late entry
+// Starts are remembered even after the entry is removed; otherwise a late entry
 // of an earlier start would list the upstream again. The number is bounded: the
 // id that was recorded first is evicted.
 void UpstreamRegistry::RecordStart(const RegisteredUpstream& entry) {
@@ -149,8 +150,8 @@
     return;
   }
   found->second.offset = offset;
-  // An upstream that announced its leaving has not merely expired, so its
-  // removal is not deferred.
+  // The entry of an upstream that announced that it is leaving has not merely
+  // expired, so its removal is not deferred.
   if (this->DefersRemovals(now) && !found->second.entry.leaving) {
     if (!found->second.removal_pending) {
       this->AddTransition(UpstreamTransitionKind::kDoubted, found->second);
--- a/packages/decision/src/view_builder.cc
+++ b/packages/decision/src/view_builder.cc
@@ -115,7 +115,7 @@
   }
 }
 
-// Returns true if shards may have other owners than in the previous view.
+// @returns true if shards may have other owners than in the previous view.
 bool ViewBuilderImpl::UpdatePlacements(const std::vector<VmRow>& vms) {
   std::vector<VmPlacement> now;
   now.reserve(vms.size());
