--- a/packages/base/include/basilsill/base/limits.h
+++ b/packages/base/include/basilsill/base/limits.h
@@ -76,7 +76,7 @@
 
 /// Octets of platform records that a VM relays to others in one message. VMs
 /// read larger amounts from the platform themselves.
-inline constexpr size_t kMaxNewsBytes = 128 * 1024;
+inline constexpr size_t kMaxUpdateBytes = 128 * 1024;
 
 /// Topics of the platform whose records VMs relay to each other.
 inline constexpr size_t kMaxTopics = 16;
--- a/packages/decision/include/basilsill/decision/announcement.h
+++ b/packages/decision/include/basilsill/decision/announcement.h
@@ -23,7 +23,7 @@
 
 enum class AnnouncementStepKind : uint8_t {
   kNone,           ///< Nothing to do now.
-  kAskHelper,      ///< Ask `helper` to write the entry, as request `number`.
+  kRequestWrite,   ///< Ask `helper` to write the entry, as request `number`.
   kWriteDirectly,  ///< Write the entry without a helper.
   kCount
 };
--- a/packages/decision/include/basilsill/decision/topic_follower.h
+++ b/packages/decision/include/basilsill/decision/topic_follower.h
@@ -23,9 +23,9 @@
 namespace basilsill {
 
 enum class TopicCallKind : uint8_t {
-  kListNewest,  ///< The newest record of each key after `after`.
-  kReadOn,      ///< Records from offset `from`.
-  kAskPeer,     ///< Ask a relay VM for records from offset `from`.
+  kListNewest,       ///< The newest record of each key after `after`.
+  kReadOn,           ///< Records from offset `from`.
+  kRequestFromPeer,  ///< Ask a relay VM for records from offset `from`.
   kCount
 };
 
@@ -87,7 +87,7 @@
   void OnRecords(TimePoint now, uint64_t next, uint64_t end);
 
   /// A peer was sent a request for the records that this VM may lack.
-  void OnAskedPeer(TimePoint now);
+  void OnPeerRequestSent(TimePoint now);
 
   /// The peer declined: it has received nothing new itself, or this VM is too
   /// far behind.
@@ -100,7 +100,7 @@
   /// @returns true if the records must be applied: they contain something new
   /// and leave no gap. False if they are known, or if records before `first`
   /// are missing here; in that case the next read is due at once.
-  bool OnNews(TimePoint now, uint64_t first, uint64_t next);
+  bool OnPeerUpdate(TimePoint now, uint64_t first, uint64_t next);
 
   /// Sets the number of VMs before this one in the common order.
   void SetRank(size_t rank) { this->rank = rank; }
@@ -135,7 +135,7 @@
   /// those that the last two updates contained: a VM that missed both detects
   /// the gap and reads for itself. Without the latter rule each record would be
   /// sent four to five times over the links to all VMs.
-  uint64_t BeginNews();
+  uint64_t BeginUpdate();
 
   /// @returns an offset such that every VM that recently received an update has
   /// all records before it.
--- a/packages/decision/include/basilsill/decision/upstream_registry.h
+++ b/packages/decision/include/basilsill/decision/upstream_registry.h
@@ -61,8 +61,8 @@
   kLeaving,       ///< The upstream announced that it is leaving.
   /// Removed while the platform was unreachable or had just come back; the
   /// removal is deferred.
-  kDoubted,
-  kBack,  ///< Listed again after kDoubted.
+  kRemovalDeferred,
+  kListedAgain,  ///< Listed again after kDoubted.
   kGone,
   kCount
 };
@@ -138,7 +138,7 @@
 
   /// @returns the transitions since the last call, for the log. Those of the
   /// first listing are left out, since all upstreams are new then.
-  std::vector<UpstreamTransition> TakeNews();
+  std::vector<UpstreamTransition> TakeTransitions();
 
   /// @returns the sets whose contents in a routing view changed since the last
   /// call.
--- a/packages/decision/src/announcement.cc
+++ b/packages/decision/src/announcement.cc
@@ -51,7 +51,7 @@
   }
   this->state = State::kRequested;
   this->requested_helper = this->peers[this->next_peer++];
-  return {AnnouncementStepKind::kAskHelper, this->requested_helper,
+  return {AnnouncementStepKind::kRequestWrite, this->requested_helper,
           ++this->number};
 }
 
--- a/packages/decision/src/topic_follower.cc
+++ b/packages/decision/src/topic_follower.cc
@@ -67,7 +67,7 @@
   call.from = this->from;
   call.max_bytes = this->read_bytes;
   if (this->ShouldRequestFromPeer()) {
-    call.kind = TopicCallKind::kAskPeer;
+    call.kind = TopicCallKind::kRequestFromPeer;
   }
   if (call.kind == TopicCallKind::kReadOn && this->CanHoldRead()) {
     call.hold = this->options.hold;
@@ -84,7 +84,7 @@
          !this->peers_declined && this->requests_to_peers < kMaxRequestsToPeers;
 }
 
-void TopicFollower::OnAskedPeer(TimePoint now) {
+void TopicFollower::OnPeerRequestSent(TimePoint now) {
   ++this->requests_to_peers;
   this->next_at = now + kPeerTimeout;
 }
@@ -186,7 +186,7 @@
   this->from = std::max(this->from, next);
 }
 
-uint64_t TopicFollower::BeginNews() {
+uint64_t TopicFollower::BeginUpdate() {
   const uint64_t start =
       std::max(this->settled_offset, this->previous_sent_offset);
   this->previous_sent_offset = this->sent_offset;
@@ -222,7 +222,7 @@
 
 // An old update, e.g. of a VM that was paused before it sent it, does not show
 // that there are no newer records, so it does not delay the next read.
-bool TopicFollower::OnNews(TimePoint now, uint64_t first, uint64_t next) {
+bool TopicFollower::OnPeerUpdate(TimePoint now, uint64_t first, uint64_t next) {
   if (!this->listed_once || this->listing || next < this->from) {
     return false;
   }
--- a/packages/decision/src/upstream_registry.cc
+++ b/packages/decision/src/upstream_registry.cc
@@ -78,7 +78,7 @@
                         row);
   }
   if (had_pending_removal) {
-    this->AddTransition(UpstreamTransitionKind::kBack, row);
+    this->AddTransition(UpstreamTransitionKind::kListedAgain, row);
   }
   if (begins_to_leave) {
     this->AddTransition(UpstreamTransitionKind::kLeaving, row);
@@ -138,7 +138,7 @@
   }
 }
 
-std::vector<UpstreamTransition> UpstreamRegistry::TakeNews() {
+std::vector<UpstreamTransition> UpstreamRegistry::TakeTransitions() {
   return std::exchange(this->transitions, {});
 }
 
@@ -154,7 +154,8 @@
   // expired, so its removal is not deferred.
   if (this->DefersRemovals(now) && !found->second.entry.leaving) {
     if (!found->second.removal_pending) {
-      this->AddTransition(UpstreamTransitionKind::kDoubted, found->second);
+      this->AddTransition(UpstreamTransitionKind::kRemovalDeferred,
+                          found->second);
     }
     found->second.removal_pending = true;
     return;
--- a/packages/decision/test/start_fleet_test.cc
+++ b/packages/decision/test/start_fleet_test.cc
@@ -218,7 +218,7 @@
     }
     const AnnouncementStep step = node.announcement.Next(this->now);
     const KeyedRecord own{NameOf(i), node.entry, 0, false};
-    if (step.kind == AnnouncementStepKind::kAskHelper) {
+    if (step.kind == AnnouncementStepKind::kRequestWrite) {
       Node& helper = this->nodes[step.helper.index];
       if (this->IsUp(step.helper.index)) {
         helper.group.Add(this->now, {HandleOf(i), step.number, own});
--- a/packages/decision/test/start_test.cc
+++ b/packages/decision/test/start_test.cc
@@ -243,7 +243,7 @@
   CHECK(this->announcement.Next(this->now).kind == AnnouncementStepKind::kNone);
   this->announcement.OnLinked(kFirst);
   const AnnouncementStep step = this->announcement.Next(this->now);
-  CHECK(step.kind == AnnouncementStepKind::kAskHelper);
+  CHECK(step.kind == AnnouncementStepKind::kRequestWrite);
   CHECK(step.helper == kFirst);
   this->announcement.OnHelperAnswer(this->now, kFirst, step.number, true);
   CHECK(this->announcement.done());
@@ -288,7 +288,7 @@
   this->announcement.Next(this->now);
   this->announcement.OnDirectWriteDone(this->now, false);
   CHECK(this->announcement.Next(this->now).kind ==
-        AnnouncementStepKind::kAskHelper);
+        AnnouncementStepKind::kRequestWrite);
 }
 
 // Failure: a helper writes the entry of an earlier start late, over that of the
--- a/packages/decision/test/topic_follower_test.cc
+++ b/packages/decision/test/topic_follower_test.cc
@@ -113,17 +113,17 @@
   CHECK(this->follower.due() <= this->now);
 }
 
-TEST(TopicFollower, OnNews_Contiguous_AppliedAndReadDelayed) {
+TEST(TopicFollower, OnPeerUpdate_Contiguous_AppliedAndReadDelayed) {
   this->follower.OnRecords(this->now, 10, 10);
   this->now += 500ms;
-  CHECK(this->follower.OnNews(this->now, 10, 12));
+  CHECK(this->follower.OnPeerUpdate(this->now, 10, 12));
   CHECK_EQUAL(12, this->follower.offset());
   CHECK(this->follower.due() >= this->now + 600ms);
 }
 
-TEST(TopicFollower, OnNews_NothingNew_DelaysRead) {
+TEST(TopicFollower, OnPeerUpdate_NothingNew_DelaysRead) {
   this->now += 500ms;
-  CHECK_FALSE(this->follower.OnNews(this->now, 10, 10));
+  CHECK_FALSE(this->follower.OnPeerUpdate(this->now, 10, 10));
   CHECK(this->follower.due() >= this->now + 600ms);
 }
 
@@ -133,7 +133,7 @@
 TEST(TopicFollower, Settled_OthersReadMeanwhile_AdvancesLater) {
   this->follower.OnRecords(this->now, 12, 12);
   this->now += 600ms;
-  this->follower.OnNews(this->now, 10, 15);
+  this->follower.OnPeerUpdate(this->now, 10, 15);
   CHECK_EQUAL(10, this->follower.settled());
   for (int i = 0; i < 6; ++i) {
     this->now += 600ms;
@@ -143,20 +143,20 @@
 }
 
 // An update was lost, or its records did not fit into one message.
-TEST(TopicFollower, OnNews_WithGap_ReadsAtOnce) {
+TEST(TopicFollower, OnPeerUpdate_WithGap_ReadsAtOnce) {
   this->follower.OnRecords(this->now, 10, 10);
-  CHECK_FALSE(this->follower.OnNews(this->now, 11, 12));
+  CHECK_FALSE(this->follower.OnPeerUpdate(this->now, 11, 12));
   CHECK(this->follower.due() <= this->now);
   CHECK_EQUAL(10, this->follower.offset());
 }
 
 // Failure: the VM that reads for the fleet is paused between its read and its
 // update. The update is then old and does not show that there is nothing newer.
-TEST(TopicFollower, OnNews_OlderThanKnown_DoesNotDelayRead) {
+TEST(TopicFollower, OnPeerUpdate_OlderThanKnown_DoesNotDelayRead) {
   this->follower.OnRecords(this->now, 12, 12);
   const TimePoint due = this->follower.due();
   this->now += 300ms;
-  CHECK_FALSE(this->follower.OnNews(this->now, 9, 11));
+  CHECK_FALSE(this->follower.OnPeerUpdate(this->now, 9, 11));
   CHECK(this->follower.due() == due);
 }
 
@@ -232,7 +232,7 @@
       if (i == reader) {
         this->vms[i].OnRecords(this->now, 0, 0);
       } else {
-        this->vms[i].OnNews(this->now, 0, 0);
+        this->vms[i].OnPeerUpdate(this->now, 0, 0);
       }
       this->longest_silence =
           std::max(this->longest_silence, this->now - this->last_fresh[i]);
@@ -315,12 +315,12 @@
 
 // Failure: each update repeats records until all VMs are known to have them, so
 // each record goes to a hundred VMs four or five times.
-TEST(TopicFollower, BeginNews_OneReader_SendsEachRecordTwice) {
+TEST(TopicFollower, BeginUpdate_OneReader_SendsEachRecordTwice) {
   uint64_t records_sent = 0;
   for (uint64_t next = 20; next <= 1000; next += 10) {
     this->now += 600ms;
     this->follower.OnRecords(this->now, next, next);
-    records_sent += next - this->follower.BeginNews();
+    records_sent += next - this->follower.BeginUpdate();
   }
   CHECK(records_sent <= 2 * 990);
 }
@@ -328,7 +328,7 @@
 // Failure: a VM receives updates from one reader; that reader dies, and another
 // VM, which has not sent an update for long, takes over. Its first update must
 // leave no gap.
-TEST(TopicFollower, BeginNews_NextReader_LeavesNoGap) {
+TEST(TopicFollower, BeginUpdate_NextReader_LeavesNoGap) {
   TopicFollower receiver(DefaultOptions());
   TopicFollower next_reader(DefaultOptions());
   receiver.OnPage(this->now, 10, false, "k");
@@ -338,25 +338,26 @@
     this->now += 600ms;
     offset += 10;
     this->follower.OnRecords(this->now, offset, offset);
-    const uint64_t start = this->follower.BeginNews();
-    CHECK(next_reader.OnNews(this->now, start, offset));
-    CHECK(receiver.OnNews(this->now, start, offset));
+    const uint64_t start = this->follower.BeginUpdate();
+    CHECK(next_reader.OnPeerUpdate(this->now, start, offset));
+    CHECK(receiver.OnPeerUpdate(this->now, start, offset));
   }
   this->now += 900ms;
   next_reader.OnRecords(this->now, offset + 10, offset + 10);
-  CHECK(receiver.OnNews(this->now, next_reader.BeginNews(), offset + 10));
+  CHECK(
+      receiver.OnPeerUpdate(this->now, next_reader.BeginUpdate(), offset + 10));
 }
 
 // Every second update is lost. The next one still contains its records.
-TEST(TopicFollower, BeginNews_OneUpdateLost_NextContainsIt) {
+TEST(TopicFollower, BeginUpdate_OneUpdateLost_NextContainsIt) {
   TopicFollower receiver(DefaultOptions());
   receiver.OnPage(this->now, 10, false, "k");
   for (uint64_t next = 20; next <= 400; next += 10) {
     this->now += 600ms;
     this->follower.OnRecords(this->now, next, next);
-    const uint64_t start = this->follower.BeginNews();
+    const uint64_t start = this->follower.BeginUpdate();
     if (next % 20 == 0) {
-      CHECK(receiver.OnNews(this->now, start, next));
+      CHECK(receiver.OnPeerUpdate(this->now, start, next));
     }
   }
 }
@@ -382,9 +383,9 @@
 // it has missed, which is repeatedly more than the store can serve in time.
 TEST(BulkTopic, NextCall_NoUpdates_AsksPeersBeforeStore) {
   this->now = this->follower.due();
-  CHECK(this->follower.NextCall().kind == TopicCallKind::kAskPeer);
-  this->follower.OnAskedPeer(this->now);
-  CHECK(this->follower.OnNews(this->now, 10, 12));
+  CHECK(this->follower.NextCall().kind == TopicCallKind::kRequestFromPeer);
+  this->follower.OnPeerRequestSent(this->now);
+  CHECK(this->follower.OnPeerUpdate(this->now, 10, 12));
   CHECK_EQUAL(12, this->follower.offset());
   CHECK(this->follower.due() > this->now + 500ms);
 }
@@ -393,8 +394,8 @@
 // staleness.
 TEST(BulkTopic, NextCall_PeersSilent_ReadsSoon) {
   this->now = this->follower.due();
-  while (this->follower.NextCall().kind == TopicCallKind::kAskPeer) {
-    this->follower.OnAskedPeer(this->now);
+  while (this->follower.NextCall().kind == TopicCallKind::kRequestFromPeer) {
+    this->follower.OnPeerRequestSent(this->now);
     this->now = this->follower.due();
   }
   CHECK(this->follower.NextCall().kind == TopicCallKind::kReadOn);
@@ -409,7 +410,7 @@
     vm.OnPage(this->now, 10, false, "k");
     vm.SetRank(rank);
     vm.SetPeers(true);
-    vm.OnAskedPeer(this->now);
+    vm.OnPeerRequestSent(this->now);
     vm.OnPeerDeclined(this->now);
     return vm.due() - this->now;
   };
--- a/packages/decision/test/upstream_registry_test.cc
+++ b/packages/decision/test/upstream_registry_test.cc
@@ -188,7 +188,7 @@
   this->registry.BeginListing();
   this->Write(Entry("a"));
   this->registry.EndListing(this->now);
-  CHECK(this->registry.TakeNews().empty());
+  CHECK(this->registry.TakeTransitions().empty());
   this->Write(Entry("b", 81));
   RegisteredUpstream leaving = Entry("a");
   leaving.leaving = true;
@@ -196,17 +196,18 @@
   this->Write(leaving);
   this->registry.OnPlatformLost();
   this->Remove("b");
-  const auto transitions = this->registry.TakeNews();
+  const auto transitions = this->registry.TakeTransitions();
   CHECK_EQUAL(3, transitions.size());
   CHECK(transitions[0].transition_kind == UpstreamTransitionKind::kListed);
   CHECK(transitions[1].transition_kind == UpstreamTransitionKind::kLeaving);
   STRCMP_EQUAL("a", transitions[1].id.c_str());
-  CHECK(transitions[2].transition_kind == UpstreamTransitionKind::kDoubted);
+  CHECK(transitions[2].transition_kind ==
+        UpstreamTransitionKind::kRemovalDeferred);
   this->Write(Entry("b", 81));
   this->Remove("a");
-  const auto later = this->registry.TakeNews();
+  const auto later = this->registry.TakeTransitions();
   CHECK_EQUAL(2, later.size());
-  CHECK(later[0].transition_kind == UpstreamTransitionKind::kBack);
+  CHECK(later[0].transition_kind == UpstreamTransitionKind::kListedAgain);
   CHECK(later[1].transition_kind == UpstreamTransitionKind::kGone);
 }
 
@@ -276,7 +277,7 @@
   this->registry.EndListing(this->now);
   this->Write(Started("a", 200ms));
   this->Write(Started("a", 200ms));
-  const auto transitions = this->registry.TakeNews();
+  const auto transitions = this->registry.TakeTransitions();
   CHECK_EQUAL(1, transitions.size());
   CHECK(transitions[0].transition_kind ==
         UpstreamTransitionKind::kStartedAgain);
--- a/packages/wire/src/message_check.cc
+++ b/packages/wire/src/message_check.cc
@@ -218,7 +218,7 @@
 
 void Check(Checker& check, const StateNews& news) {
   check.Require(news.from <= news.next, "/next", "must not be less than from");
-  check.Require(news.records.size() <= limits::kMaxNewsBytes, "/records",
+  check.Require(news.records.size() <= limits::kMaxUpdateBytes, "/records",
                 "too long");
 }
 
--- a/packages/wire/src/message_reader.cc
+++ b/packages/wire/src/message_reader.cc
@@ -245,7 +245,7 @@
   news.whole = reader.getWhole();
   news.more = reader.getMore();
   const capnp::Data::Reader records = reader.getRecords();
-  CheckedSize(records.size(), limits::kMaxNewsBytes, "/records");
+  CheckedSize(records.size(), limits::kMaxUpdateBytes, "/records");
   news.records.assign(records.asChars().begin(), records.asChars().end());
   if (reader.hasVouch()) {
     const schema::FreshnessVouch::Reader vouch = reader.getVouch();
