--- a/packages/decision/include/basilsill/decision/upstream_registry.h
+++ b/packages/decision/include/basilsill/decision/upstream_registry.h
@@ -62,7 +62,7 @@
   /// Removed while the platform was unreachable or had just come back; the
   /// removal is deferred.
   kRemovalDeferred,
-  kListedAgain,  ///< Listed again after kDoubted.
+  kListedAgain,  ///< Listed again after kRemovalDeferred.
   kGone,
   kCount
 };
