--- a/packages/node/include/basilsill/node/state_source.h
+++ b/packages/node/include/basilsill/node/state_source.h
@@ -21,7 +21,7 @@
   kList,      ///< Reads the newest records of a topic.
   kRead,      ///< Reads the records that came later.
   kAnnounce,  ///< Writes entries of the list of VMs.
-  kRenew,     ///< Rewrites entries that older ones have replaced.
+  kRenew,     ///< Writes entries again that older versions have replaced.
   kRetry,     ///< Repeats any of these after a failure.
   kLease,     ///< Reads or writes the lease of a quota share.
   kCount
--- a/packages/node/src/caller_exchange.cc
+++ b/packages/node/src/caller_exchange.cc
@@ -289,9 +289,9 @@
 }
 
 // A request takes its credit before it is passed on, wherever it is queued
-// afterwards. It was sent before this point and reaches an upstream after it,
-// so the count of a window here is at least the count of that window at the
-// upstreams.
+// afterwards. The caller sent it before that moment, and an upstream receives
+// it later, so the requests counted here in a window are at least those that
+// the upstreams count in it.
 Task<ServeOutcome> CallerExchange::ServeWithinQuota() {
   const TeamRow* team = FindTeam(*this->host.view(), this->request.entry.team);
   if (team == nullptr || team->limits.requests_per_second <= 0) {
--- a/packages/node/src/caller_session.cc
+++ b/packages/node/src/caller_session.cc
@@ -91,8 +91,8 @@
   const bool keep = this->reader.message().keep_alive();
   const bool whole = co_await this->ReadWholeBody(*exchange);
   if (this->broken) {
-    // The request was counted when its head arrived but never served. Without
-    // its end the worker would never become idle.
+    // The request was counted when its head arrived but never served. Unless
+    // its end is counted too, the worker never becomes idle.
     exchange->Abandon();
     co_await this->ServeInline(exchange);
     co_return false;
@@ -323,9 +323,9 @@
 }
 
 // Failure: a VM that shuts down closes connections without a request in flight
-// while the last answer is still on its way. With unread bytes of the caller
-// behind it, the caller receives half an answer. A connection that lingers
-// closes by itself.
+// while the last answer is still on its way. If bytes of the caller are unread,
+// the close resets the connection, and the caller gets a truncated answer.
+// Connections that linger are left alone, since they close by themselves.
 void CallerSession::Drain() {
   const bool is_lingering = this->lingering_since != kNever;
   if (!is_lingering && this->exchanges.empty() && !this->reader.has_more()) {
--- a/packages/node/src/dispatch_host.cc
+++ b/packages/node/src/dispatch_host.cc
@@ -436,10 +436,9 @@
   job.Drop(attempt);
   const bool goes_on =
       this->dispatcher->OnAttemptEnd(MonotonicClock::now(), attempt, report);
-  // An attempt that this host cancelled is no longer known to the dispatcher,
-  // for which OnAttemptEnd returns true. If an attempt ends as cancelled by
-  // itself, its caller has disconnected, and nothing else would end the
-  // request.
+  // OnAttemptEnd returns true for an attempt that this host cancelled, since
+  // the dispatcher no longer knows that attempt. An attempt that cancelled
+  // itself has lost its caller, and nothing else would end the request.
   if (!goes_on) {
     const bool answered =
         report.end == AttemptEnd::kAnswered || report.answer_started;
@@ -457,7 +456,8 @@
   }
 }
 
-// The dispatcher times out its own attempts.
+// Times out the attempts of ServeDirect. The dispatcher times out the attempts
+// that it started itself.
 void DispatchHost::ExpireDirectAttempts(TimePoint now) {
   for (const DirectAttempt& direct : this->direct_attempts) {
     if (now >= direct.deadline && !direct.attempt->answer_started()) {
--- a/packages/node/src/link_stream.h
+++ b/packages/node/src/link_stream.h
@@ -33,8 +33,10 @@
   wire::StreamId id;
   std::deque<wire::LinkEvent> events;  ///< Not yet processed, in order.
   AsyncEvent arrived;                  ///< An event was added.
-  AsyncEvent writable;  ///< The window has opened, or the stream is over.
-  bool over = false;  ///< The peer ended the stream; nothing more can be sent.
+  AsyncEvent writable;  ///< The window has opened, or the stream is closed.
+  /// Nothing more is sent: either side has ended the stream, or the link was
+  /// lost.
+  bool over = false;
   /// Called for an event that ends the stream before its answer is complete.
   std::function<void()> on_over;
 };
@@ -46,7 +48,7 @@
   LinkBodyWriter(std::shared_ptr<PeerLink> link, LinkStreamPtr stream);
 
   /// Waits for the window as necessary.
-  /// @returns false if the stream is over or the link failed.
+  /// @returns false if the stream is closed or the link failed.
   Task<bool> Write(std::span<const char> piece);
 
   /// Sends the end of the body.
--- a/packages/node/src/link_table.cc
+++ b/packages/node/src/link_table.cc
@@ -43,9 +43,9 @@
 }
 
 // Failure: a VM that shuts down has sent GoAway on each link, and a peer that
-// does not know yet that it is leaving opens another one. Requests then keep
-// arriving until the process ends, and are lost with it. So GoAway is sent on
-// such a link too, before it can carry a request.
+// does not know yet that the VM is leaving opens another one. Requests then
+// keep arriving until the process ends, and are lost with it. So GoAway is sent
+// on such a link too, before it can carry a request.
 void LinkTable::Accept(Socket socket) {
   const PeerLinkPtr link =
       this->Add(std::move(socket), wire::LinkSide::kAcceptor, VmHandle{});
--- a/packages/node/src/node.cc
+++ b/packages/node/src/node.cc
@@ -21,9 +21,9 @@
 
 constexpr std::chrono::milliseconds kDrainPoll{20};
 
-// Time limit for the traffic threads to answer whether they take callers. It is
-// shorter than the time that balancers wait for a readiness answer, so that the
-// balancers get one.
+// Time limit for the traffic threads to answer whether they accept callers. It
+// is shorter than the time that balancers wait for a readiness answer, so that
+// the balancers get one.
 constexpr std::chrono::milliseconds kTakesCallersLimit{400};
 
 // Collects the answers of the traffic threads, on the control thread.
@@ -267,7 +267,7 @@
 
 // Failure: the control thread answers that the node is ready while its traffic
 // threads hang, spin or have no room for callers. The balancer then keeps
-// sending callers to a VM that takes none of them.
+// sending callers to a VM that accepts none of them.
 boost::asio::awaitable<NodePhase> Node::QueryPhase() {
   const NodePhase before = this->phase();
   if (before != NodePhase::kReady) {
--- a/packages/node/src/upstream_attempt.h
+++ b/packages/node/src/upstream_attempt.h
@@ -22,7 +22,8 @@
 /// Decisions that the host of an attempt makes while the attempt runs.
 struct AttemptHooks {
   /// Called when an answer begins that is too long to buffer.
-  /// @returns false if another attempt answers already; this attempt then ends.
+  /// @returns false if another attempt is already answering; this attempt then
+  /// ends.
   std::function<bool()> on_answer;
   /// Called when a reused connection broke before any answer, which happens if
   /// the upstream closes it while the request is being sent.
--- a/packages/node/src/worker.cc
+++ b/packages/node/src/worker.cc
@@ -521,12 +521,13 @@
   this->ReportRateLimits(now);
 }
 
-// Both the dispatcher and the entry router grant and deny retries.
+// Updates the metrics from the counters of the components. Both the dispatcher
+// and the entry router count retries, because both grant and deny them.
 void Worker::TakeCounters() {
   const auto& dispatched = this->dispatch_host.counters().retries;
   const auto& entered = this->entry_host.counters().retries;
   for (size_t i = 0; i < dispatched.size(); ++i) {
-    // The attempt itself counts this one.
+    // UpstreamAttempt counts the retries after a stale connection itself.
     if (i != static_cast<size_t>(Retry::kStaleConnection)) {
       this->counts->retries[i].Set(dispatched[i] + entered[i]);
     }
--- a/packages/node/test/leave_test.cc
+++ b/packages/node/test/leave_test.cc
@@ -44,7 +44,8 @@
 constexpr int kSmallBuffer = 4096;
 constexpr int kSummaries = 20'000;
 // A draining VM checks about every 20 ms whether it may exit. Only waiting for
-// several checks shows that it does not; a slow machine can't fail the test.
+// several checks shows that it does not exit. A slow machine makes fewer checks
+// in this time, which does not fail the test.
 constexpr std::chrono::milliseconds kSeveralDrainPolls{200};
 // Callers are accepted for this long after the drain has started.
 constexpr std::chrono::milliseconds kReadyDelay{200};
--- a/packages/node/test/path_test.cc
+++ b/packages/node/test/path_test.cc
@@ -239,8 +239,8 @@
 
 // Failure: an upstream reads part of a long streamed body and refuses the
 // request. The VM no longer has that part; sent to a second upstream, the body
-// would lack its beginning and still look complete. The caller must get its
-// complete body back or the promise `not-run`.
+// would lack its beginning and still look complete. The caller must either get
+// its complete body back, as the upstream echoes it, or the promise `not-run`.
 TEST(Path, LongBody_ShedByOneUpstream_NeverPartlySentToAnother) {
   this->upstreams->Change(
       0, [](basilsill::ctl::UpstreamBehaviour& b) { b.shed = true; });
--- a/packages/node/test/settings_test.cc
+++ b/packages/node/test/settings_test.cc
@@ -160,8 +160,8 @@
       const json::value value = is_real
                                     ? json::value(bound)
                                     : json::value(static_cast<int64_t>(bound));
-      // The bound of one setting may conflict with the default of another. The
-      // check for that reports the path, but not as a wrong type.
+      // The bound of one setting may conflict with the default of another. That
+      // conflict is reported at the same path, but not as kWrongType.
       const auto faults = FaultsOf(TextWith(field.path, value));
       CHECK_TEXT(!Reports(faults, FailureKind::kWrongType, field.path),
                  Describe(faults).c_str());
