--- a/packages/node/src/caller_exchange.cc
+++ b/packages/node/src/caller_exchange.cc
@@ -61,11 +61,11 @@
 // The deadline that a caller requests replaces that of the rule, up to the
 // limit of the system.
 milliseconds DeadlineOf(std::string_view text, const RuleRow& rule) {
-  const std::optional<int64_t> asked = ParseNumber<int64_t>(text);
-  if (!asked || *asked < 0) {
+  const std::optional<int64_t> requested = ParseNumber<int64_t>(text);
+  if (!requested || *requested < 0) {
     return rule.deadline;
   }
-  return std::min(milliseconds(*asked), limits::kMaxDeadline);
+  return std::min(milliseconds(*requested), limits::kMaxDeadline);
 }
 
 Fingerprint FingerprintOf(const RequestMessage& request, const RuleRow& rule) {
--- a/packages/node/src/link_exchange.cc
+++ b/packages/node/src/link_exchange.cc
@@ -11,7 +11,7 @@
 
 // The refusal of a request whose link was lost.
 constexpr std::array<Refusal, static_cast<size_t>(wire::StreamProgress::kCount)>
-    kRefusalOfFate = {
+    kRefusalByProgress = {
         Refusal::kPeerUnreachable,  // kNeverSent
         Refusal::kPeerLost,         // kSent
         Refusal::kPeerLost,         // kAnswering
@@ -85,7 +85,7 @@
 
 // Stops sending the body: an upstream may answer without reading all of it.
 Task<void> LinkExchange::StopBody() {
-  this->stream->over = true;
+  this->stream->closed = true;
   this->stream->writable.Set();
   if (this->request.source != nullptr) {
     this->request.source->Stop();
@@ -192,7 +192,7 @@
     this->outcome.refusal = Refusal::kPeerLost;
     return;
   }
-  this->outcome.refusal = kRefusalOfFate.at(static_cast<size_t>(progress));
+  this->outcome.refusal = kRefusalByProgress.at(static_cast<size_t>(progress));
 }
 
 }  // namespace basilsill
--- a/packages/node/src/link_server.cc
+++ b/packages/node/src/link_server.cc
@@ -100,7 +100,7 @@
     request.source = &source;
   }
   LinkAnswerSink sink(link, stream);
-  stream->on_over = [&request] {
+  stream->on_closed = [&request] {
     request.caller_gone = true;
     if (request.on_caller_gone) {
       const auto notify = request.on_caller_gone;
@@ -108,8 +108,8 @@
     }
   };
   const ServeOutcome outcome = co_await dispatch.Serve(request, target, sink);
-  stream->on_over = nullptr;
-  if (!outcome.answered && !stream->over) {
+  stream->on_closed = nullptr;
+  if (!outcome.answered && !stream->closed) {
     Refuse(*link, *stream, outcome);
   }
   const ShardSummary summary = dispatch.Summarize(target.shard);
--- a/packages/node/src/link_stream.cc
+++ b/packages/node/src/link_stream.cc
@@ -24,13 +24,13 @@
     return;
   }
   const bool ends = EndsStream(event.kind);
-  this->over = this->over || ends;
+  this->closed = this->closed || ends;
   this->events.push_back(std::move(event));
   this->arrived.Set();
   if (ends) {
     this->writable.Set();
-    if (this->on_over) {
-      this->on_over();
+    if (this->on_closed) {
+      this->on_closed();
     }
   }
 }
@@ -51,11 +51,11 @@
 Task<bool> LinkBodyWriter::Write(std::span<const char> piece) {
   while (!piece.empty()) {
     size_t room = this->link->WritableBytes(*this->stream);
-    while (room == 0 && !this->stream->over) {
+    while (room == 0 && !this->stream->closed) {
       co_await this->stream->writable.Wait();
       room = this->link->WritableBytes(*this->stream);
     }
-    if (this->stream->over) {
+    if (this->stream->closed) {
       co_return false;
     }
     const size_t size =
--- a/packages/node/src/link_stream.h
+++ b/packages/node/src/link_stream.h
@@ -36,9 +36,9 @@
   AsyncEvent writable;  ///< The window has opened, or the stream is closed.
   /// Nothing more is sent: either side has ended the stream, or the link was
   /// lost.
-  bool over = false;
+  bool closed = false;
   /// Called for an event that ends the stream before its answer is complete.
-  std::function<void()> on_over;
+  std::function<void()> on_closed;
 };
 using LinkStreamPtr = std::shared_ptr<LinkStream>;
 
--- a/packages/node/src/node.cc
+++ b/packages/node/src/node.cc
@@ -24,22 +24,22 @@
 // Time limit for the traffic threads to answer whether they accept callers. It
 // is shorter than the time that balancers wait for a readiness answer, so that
 // the balancers get one.
-constexpr std::chrono::milliseconds kTakesCallersLimit{400};
+constexpr std::chrono::milliseconds kAcceptsCallersTimeout{400};
 
 // Collects the answers of the traffic threads, on the control thread.
 struct WorkerQuery {
   WorkerQuery(IoContext& context, size_t workers)
-      : missing(workers), timeout(context, kTakesCallersLimit) {}
+      : missing(workers), timeout(context, kAcceptsCallersTimeout) {}
 
-  void OnAnswer(bool takes) {
-    this->all_take = this->all_take && takes;
+  void OnAnswer(bool accepts) {
+    this->all_accept = this->all_accept && accepts;
     if (--this->missing == 0) {
       this->timeout.cancel();
     }
   }
 
   size_t missing;
-  bool all_take = true;
+  bool all_accept = true;
   boost::asio::steady_timer timeout;
 };
 
@@ -273,31 +273,34 @@
   if (before != NodePhase::kReady) {
     co_return before;
   }
-  const bool takes = co_await this->QueryWorkers();
-  this->ReportTakesCallers(takes);
+  const bool accepts = co_await this->QueryWorkers();
+  this->ReportAcceptsCallers(accepts);
   const NodePhase now = this->phase();
-  co_return now == NodePhase::kReady && !takes ? NodePhase::kBusy : now;
+  co_return now == NodePhase::kReady && !accepts ? NodePhase::kBusy : now;
 }
 
 boost::asio::awaitable<bool> Node::QueryWorkers() {
   const auto query =
       std::make_shared<WorkerQuery>(this->context, this->traffic.size());
   for (const auto& worker : this->traffic) {
-    worker->QueryAcceptsCallers([&context = this->context, query](bool takes) {
-      boost::asio::post(context, [query, takes] { query->OnAnswer(takes); });
-    });
+    worker->QueryAcceptsCallers(
+        [&context = this->context, query](bool accepts) {
+          boost::asio::post(context,
+                            [query, accepts] { query->OnAnswer(accepts); });
+        });
   }
   boost::system::error_code answered;
   co_await query->timeout.async_wait(
       boost::asio::redirect_error(boost::asio::use_awaitable, answered));
-  co_return query->missing == 0 && query->all_take;
+  co_return query->missing == 0 && query->all_accept;
 }
 
-void Node::ReportTakesCallers(bool takes) {
-  const bool was_taking = this->metrics.control.callers_not_taken.value() == 0;
-  this->metrics.control.callers_not_taken.Set(takes ? 0 : 1);
-  if (takes != was_taking) {
-    Log(takes ? Event::kCallersTaken : Event::kCallersNotTaken,
+void Node::ReportAcceptsCallers(bool accepts) {
+  const bool was_accepting =
+      this->metrics.control.callers_not_taken.value() == 0;
+  this->metrics.control.callers_not_taken.Set(accepts ? 0 : 1);
+  if (accepts != was_accepting) {
+    Log(accepts ? Event::kCallersTaken : Event::kCallersNotTaken,
         {{"vm", this->settings.vm.name}});
   }
 }
--- a/packages/node/src/node.h
+++ b/packages/node/src/node.h
@@ -69,7 +69,7 @@
   NodePhase phase() const;
   boost::asio::awaitable<NodePhase> QueryPhase();
   boost::asio::awaitable<bool> QueryWorkers();
-  void ReportTakesCallers(bool takes);
+  void ReportAcceptsCallers(bool accepts);
   boost::asio::awaitable<void> MetricsLoop();
   boost::asio::awaitable<void> RunDrain(
       std::function<void(bool is_clean)> on_stopped);
--- a/packages/node/src/upstream_attempt.cc
+++ b/packages/node/src/upstream_attempt.cc
@@ -386,7 +386,8 @@
   const bool keep = reader.message().keep_alive();
   // Without buffering, an answer may be a stream that its caller reads as it
   // arrives.
-  const size_t hold = this->pool.buffers_answers() ? kBufferedAnswerBytes : 0;
+  const size_t buffer_limit =
+      this->pool.buffers_answers() ? kBufferedAnswerBytes : 0;
   std::string body;
   std::vector<char> buffer(limits::kBodyChunkBytes);
   BodyPiece piece;
@@ -396,7 +397,7 @@
       co_return this->Failed(AttemptEnd::kDied);
     }
     body.append(buffer.data(), piece.size);
-  } while (!piece.last && body.size() < hold);
+  } while (!piece.last && body.size() < buffer_limit);
   const bool may_keep = keep && !this->drain_sign;
   if (!piece.last || reader.trailers() != nullptr) {
     const AttemptReport report =
--- a/packages/node/src/worker.cc
+++ b/packages/node/src/worker.cc
@@ -439,7 +439,7 @@
          now - this->accept_failed >= kAcceptRecovery;
 }
 
-void Worker::QueryAcceptsCallers(std::function<void(bool takes)> answer) {
+void Worker::QueryAcceptsCallers(std::function<void(bool accepts)> answer) {
   boost::asio::post(*this->context, [this, answer = std::move(answer)] {
     answer(this->AcceptsCallers(MonotonicClock::now()));
   });
--- a/packages/node/src/worker.h
+++ b/packages/node/src/worker.h
@@ -84,7 +84,7 @@
   /// and part of the room for callers is free. A thread that hangs or spins
   /// never answers.
   /// @param answer Called on the worker's thread.
-  void QueryAcceptsCallers(std::function<void(bool takes)> answer);
+  void QueryAcceptsCallers(std::function<void(bool accepts)> answer);
 
   /// From now on, answers ask callers to use another connection.
   void AnnounceLeave();
