--- a/packages/platform/include/basilsill/platform/failover_client.h
+++ b/packages/platform/include/basilsill/platform/failover_client.h
@@ -48,8 +48,9 @@
   /// timeout, so that a loop of calls does not spin; any other call fails at
   /// once.
   /// @returns the answer, or a failure:
-  ///   kPlatformUnavailable, not `sent`: no endpoint accepted the call, so it
-  ///   had no effect;
+  ///   kPlatformUnavailable, not `sent`: no endpoint could be tried, or the
+  ///   last one did not accept the call; a call that is not repeatable had no
+  ///   effect;
   ///   any kind, `sent`: the last call was interrupted, or its answer did not
   ///   pass `check`; the effect of the call is unknown.
   boost::asio::awaitable<HttpResult> Call(HttpCall call, AnswerCheck check);
--- a/packages/platform/include/basilsill/platform/http_client.h
+++ b/packages/platform/include/basilsill/platform/http_client.h
@@ -32,7 +32,8 @@
   explicit HttpClient(boost::asio::any_io_executor executor);
 
   /// Sends `call` to `endpoint` and waits for the complete answer.
-  /// @returns kNetwork, kSyntax (malformed answer) or kOversizedFrame.
+  /// @returns the answer, or kNetwork, kSyntax (malformed answer) or
+  /// kOversizedFrame.
   boost::asio::awaitable<HttpResult> Call(Endpoint endpoint, HttpCall call);
 
   /// Closes all connections. Calls in flight fail.
--- a/packages/platform/test/log_client_test.cc
+++ b/packages/platform/test/log_client_test.cc
@@ -132,7 +132,8 @@
   CHECK_EQUAL(1U, platform.state().stats.append_calls);
 }
 
-// Failure: the same with a second endpoint. Failover appends the change twice.
+// Failure: the answer is lost as above, and failover sends the append to the
+// second endpoint, so that the change is appended twice.
 TEST(LogClient, Append_AnswerLostWithSecondEndpoint_NotSentThere) {
   PlatformServer second = PlatformServer::Listen(io, kAnyPort).value();
   client = Connect({platform.endpoint(), second.endpoint()});
@@ -144,7 +145,7 @@
 }
 
 // Failure: the log is down and the client reports the append as unresolved.
-// Claims could then not be refused as not run at once.
+// Requests that need a claim could then not be refused at once as not run.
 TEST(LogClient, Append_LogDown_UnavailableWithoutEffect) {
   PlatformFaults faults;
   faults.down = true;
--- a/packages/wire/include/basilsill/wire/message.h
+++ b/packages/wire/include/basilsill/wire/message.h
@@ -86,17 +86,18 @@
   LinkRole role = LinkRole::kData;
   std::string vm;            ///< Name of the sending VM.
   uint64_t incarnation = 0;  ///< Of the sending process.
-  uint16_t worker = 0;       ///< Index of the sending worker; data links.
+  uint16_t worker = 0;       ///< Index of the sending worker; data links only.
   /// Octets that the sender accepts on each stream before it sends Credit.
   uint32_t stream_window = limits::kStreamWindowBytes;
   /// Maximum number of streams that the peer may have open at the same time.
   uint32_t max_streams = limits::kMaxStreamsPerLink;
-  /// Where each worker accepts data links; control links.
+  /// Where each worker accepts data links; control links only.
   std::vector<Endpoint> workers;
-  std::string data_centre;  ///< Control links.
-  Endpoint control;  ///< Where the sender accepts control links; control links.
-  bool leaving = false;   ///< The sender is draining; control links.
-  uint32_t capacity = 0;  ///< VmRow::capacity; control links.
+  std::string data_centre;  ///< Control links only.
+  /// Where the sender accepts control links; control links only.
+  Endpoint control;
+  bool leaving = false;   ///< The sender is draining; control links only.
+  uint32_t capacity = 0;  ///< VmRow::capacity; control links only.
 
   friend bool operator==(const Hello&, const Hello&) = default;
 };
@@ -187,7 +188,7 @@
   friend bool operator==(const Answer&, const Answer&) = default;
 };
 
-/// The dispatcher has no upstream's answer for the request. Closes the stream.
+/// The dispatcher has no answer of an upstream to pass on. Closes the stream.
 struct Refused {
   StreamId stream;
   Refusal refusal = Refusal::kNone;
@@ -237,7 +238,7 @@
   uint64_t vm_list_version = 0;
   std::vector<CrashReport> crashes;  ///< New crashes of upstreams.
   bool answer_wanted = false;        ///< The receiver must answer at once.
-  /// Of upstreams to which the receiver may dispatch in future.
+  /// Rate limits of upstreams to which the receiver may dispatch in future.
   std::vector<RateLimitReport> rate_limits;
 };
 bool operator==(const Heartbeat& left, const Heartbeat& right);
@@ -267,10 +268,11 @@
 /// the source of state interprets it.
 struct StateNews {
   uint8_t topic = 0;
-  uint64_t from = 0;  ///< Offset of the first record.
-  uint64_t next = 0;  ///< Offset after the last record.
+  uint64_t from = 0;  ///< First offset that the message covers.
+  uint64_t next = 0;  ///< Offset after the last one that it covers.
+  /// Records that changed nothing are left out.
   Bytes records;
-  /// `records` is the newest record of each key, for a VM that has no state of
+  /// `records` has the newest record of each key, for a VM that has no state of
   /// the topic.
   bool whole = false;
   /// The state of the topic continues in the next message of this topic.
@@ -302,9 +304,9 @@
 
 /// The sender declines a StateQuestion.
 struct StateDeclined {
-  /// True if the sender has no complete state yet and sends it as soon as it
-  /// has. False if it will not answer: its bandwidth for sending state is used
-  /// up by other VMs, or its records are too old or start too late.
+  /// True if the sender does not have the complete state yet and sends it once
+  /// it does. False if it will not answer: its bandwidth for sending state is
+  /// used up by other VMs, or its records are too old or start too late.
   bool later = false;
 
   friend bool operator==(const StateDeclined&, const StateDeclined&) = default;
--- a/packages/wire/src/stream.h
+++ b/packages/wire/src/stream.h
@@ -16,8 +16,8 @@
 /// Progress of a body in one direction.
 class BodyProgress {
  public:
-  /// Starts the body with the head of the stream, which has its `first` octets.
-  /// @param end Whether the head has the complete body.
+  /// Starts the body. The head of the stream contains the first `first` octets.
+  /// @param end Whether the head contains the complete body.
   void Begin(const BodyFraming& framing, size_t first, bool end) {
     this->known = framing.kind == BodyKind::kKnown;
     this->left = this->known ? framing.length - first : 0;
--- a/packages/wire/test/link_mux_test.cc
+++ b/packages/wire/test/link_mux_test.cc
@@ -225,8 +225,8 @@
         FailureKind::kLimitReached);
 }
 
-// Failure: large answers have much queued on a link, and a small answer waits
-// for more than the one chunk that is being written.
+// Failure: many chunks of large answers are queued on a link, and a small
+// answer waits for more than the one chunk that is being written.
 TEST(LinkMux, Turns_SmallAnswerBesideDownloads_WaitsForOneChunk) {
   const std::vector<StreamId> downloads = this->Download(8);
   for (const StreamId& id : downloads) {
@@ -381,8 +381,8 @@
         FailureKind::kLimitReached);
 }
 
-// Failure: a faulty peer sends requests and never reads, so that the refusals
-// of them fill the memory of this VM.
+// Failure: a faulty peer sends requests and never reads, so that the queued
+// refusals fill the memory of this VM.
 TEST(LinkMux, Flood_PeerThatDoesNotRead_EndsTheLink) {
   this->pair.DeliverAll();
   LinkMux& mux = this->dispatcher.mux;
