--- a/packages/wire/include/basilsill/wire/link_mux.h
+++ b/packages/wire/include/basilsill/wire/link_mux.h
@@ -232,7 +232,7 @@
   Result<void> On(Heartbeat heartbeat);
   Result<void> On(const SnapshotRequest& request);
   Result<void> On(SnapshotChunk chunk);
-  Result<void> On(StateNews news);
+  Result<void> On(StateNews update);
   Result<void> On(StateQuestion question);
   Result<void> On(const StateDeclined& declined);
   Result<void> On(WriteRequest request);
--- a/packages/wire/src/link_mux_receive.cc
+++ b/packages/wire/src/link_mux_receive.cc
@@ -322,8 +322,8 @@
   return this->OnPosted(std::move(chunk), LinkRole::kControl);
 }
 
-Result<void> LinkMux::On(StateNews news) {
-  return this->OnPosted(std::move(news), LinkRole::kControl);
+Result<void> LinkMux::On(StateNews update) {
+  return this->OnPosted(std::move(update), LinkRole::kControl);
 }
 
 Result<void> LinkMux::On(StateQuestion question) {
--- a/packages/wire/src/message_check.cc
+++ b/packages/wire/src/message_check.cc
@@ -216,9 +216,10 @@
                 "/position", "beyond the end of the snapshot");
 }
 
-void Check(Checker& check, const StateNews& news) {
-  check.Require(news.from <= news.next, "/next", "must not be less than from");
-  check.Require(news.records.size() <= limits::kMaxUpdateBytes, "/records",
+void Check(Checker& check, const StateNews& update) {
+  check.Require(update.from <= update.next, "/next",
+                "must not be less than from");
+  check.Require(update.records.size() <= limits::kMaxUpdateBytes, "/records",
                 "too long");
 }
 
--- a/packages/wire/src/message_reader.cc
+++ b/packages/wire/src/message_reader.cc
@@ -238,21 +238,21 @@
 }
 
 StateNews ReadStateNews(schema::StateNews::Reader reader) {
-  StateNews news;
-  news.topic = reader.getTopic();
-  news.from = reader.getFrom();
-  news.next = reader.getNext();
-  news.whole = reader.getWhole();
-  news.more = reader.getMore();
+  StateNews update;
+  update.topic = reader.getTopic();
+  update.from = reader.getFrom();
+  update.next = reader.getNext();
+  update.whole = reader.getWhole();
+  update.more = reader.getMore();
   const capnp::Data::Reader records = reader.getRecords();
   CheckedSize(records.size(), limits::kMaxUpdateBytes, "/records");
-  news.records.assign(records.asChars().begin(), records.asChars().end());
+  update.records.assign(records.asChars().begin(), records.asChars().end());
   if (reader.hasVouch()) {
     const schema::FreshnessVouch::Reader vouch = reader.getVouch();
-    news.vouch = {vouch.getStamp(), ReadNanos(vouch.getHeld(), "/vouch"),
-                  ReadNanos(vouch.getAge(), "/vouch")};
+    update.vouch = {vouch.getStamp(), ReadNanos(vouch.getHeld(), "/vouch"),
+                    ReadNanos(vouch.getAge(), "/vouch")};
   }
-  return news;
+  return update;
 }
 
 QuotaRequest ReadQuotaRequest(schema::QuotaRequest::Reader reader) {
--- a/packages/wire/src/message_writer.cc
+++ b/packages/wire/src/message_writer.cc
@@ -236,22 +236,22 @@
   builder.setTotal(chunk.total);
 }
 
-void Write(const StateNews& news, schema::PeerMessage::Builder message) {
+void Write(const StateNews& update, schema::PeerMessage::Builder message) {
   auto builder = message.initStateNews();
-  builder.setTopic(news.topic);
-  builder.setFrom(news.from);
-  builder.setNext(news.next);
-  builder.setWhole(news.whole);
-  builder.setMore(news.more);
+  builder.setTopic(update.topic);
+  builder.setFrom(update.from);
+  builder.setNext(update.next);
+  builder.setWhole(update.whole);
+  builder.setMore(update.more);
   auto records =
-      builder.initRecords(static_cast<unsigned>(news.records.size()));
-  std::copy(news.records.begin(), news.records.end(),
+      builder.initRecords(static_cast<unsigned>(update.records.size()));
+  std::copy(update.records.begin(), update.records.end(),
             records.asChars().begin());
-  if (news.vouch) {
+  if (update.vouch) {
     auto vouch = builder.initVouch();
-    vouch.setStamp(news.vouch->stamp);
-    vouch.setHeld(NanosOf(news.vouch->held));
-    vouch.setAge(NanosOf(news.vouch->age));
+    vouch.setStamp(update.vouch->stamp);
+    vouch.setHeld(NanosOf(update.vouch->held));
+    vouch.setAge(NanosOf(update.vouch->age));
   }
 }
 
--- a/soak/rig.cc
+++ b/soak/rig.cc
@@ -235,7 +235,7 @@
         DisturbanceKind::kStore, std::nullopt);
     this->ApplyStoreFault(step.fault);
     co_await Sleep(step.duration);
-    this->store.SetMode(StoreMode::kWell);
+    this->store.SetMode(StoreMode::kAvailable);
     this->fleet.SetStoreLinks(LinkState::kNormal);
     this->observations.EndDisturbance(row);
     this->has_store_fault = false;
