--- a/packages/decision/include/basilsill/decision/entry.h
+++ b/packages/decision/include/basilsill/decision/entry.h
@@ -26,7 +26,7 @@
   TrafficClass traffic_class = TrafficClass::kOrdinary;
   TimePoint deadline = kNever;
   bool idempotent = false;
-  bool replayable = false;  ///< The shell still has the whole body.
+  bool replayable = false;  ///< The host still has the whole body.
   Fingerprint fingerprint = 0;
   uint8_t max_attempts = 0;  ///< As in DispatchRequest.
 };
--- a/packages/decision/include/basilsill/decision/quarantine.h
+++ b/packages/decision/include/basilsill/decision/quarantine.h
@@ -13,10 +13,11 @@
 /// crash reports with the requests that were in flight when an upstream
 /// crashed; each VM applies the same rule to decide which requests to refuse.
 ///
-/// The rule: a request is refused for a while after two distinct upstreams
-/// crashed while they ran it, if it was the only suspect of one of the crashes,
-/// or if no other request is a suspect of all of them. A request that has been
-/// answered since a crash is no longer a suspect of that crash.
+/// The rule: a request is refused for a while if at least two distinct
+/// upstreams crashed while they ran it and, in addition, it was the only
+/// suspect of one of these crashes or no other request is a suspect of all of
+/// them. A request that has been answered since a crash is no longer a suspect
+/// of that crash.
 
 namespace basilsill {
 
--- a/packages/decision/include/basilsill/decision/quota.h
+++ b/packages/decision/include/basilsill/decision/quota.h
@@ -16,7 +16,7 @@
 /// | quota.h             | messages between VMs, shared types              |
 /// | quota_borrower.h    | an entry thread takes credits for its requests  |
 /// | quota_lender.h      | one VM of a data centre lends its share         |
-/// | quota_lease.h       | which VM that is, by a lease in the store       |
+/// | quota_lease.h       | chooses that VM by a lease in the store         |
 /// | quota_coordinator.h | all of these on one VM; chooses the lender      |
 ///
 /// Each data centre has an equal share of every quota. One VM of the data
--- a/packages/decision/include/basilsill/decision/quota_coordinator.h
+++ b/packages/decision/include/basilsill/decision/quota_coordinator.h
@@ -12,7 +12,7 @@
 
 /// Coordinates quotas on one VM's control thread: forwards the requests of this
 /// VM's workers to the VM that lends the share of its data centre, and lends if
-/// this VM is that lender. Pure: the shell sends the messages and calls the
+/// this VM is that lender. Pure: the host sends the messages and calls the
 /// store.
 
 namespace basilsill {
--- a/packages/decision/include/basilsill/decision/quota_lease.h
+++ b/packages/decision/include/basilsill/decision/quota_lease.h
@@ -14,7 +14,7 @@
 /// second fails. A holder relies on its lease for one term, counted from when
 /// it began the write. Another VM takes the share over once it has seen the
 /// same record for that long. Both measure only durations, so clocks need not
-/// agree. Pure: the shell makes the calls.
+/// agree. Pure: the host makes the calls.
 
 namespace basilsill {
 
@@ -37,13 +37,13 @@
 class QuotaLease {
  public:
   /// Duration of a lease. A VM's suspension counts as elapsed time, since the
-  /// shell measures by LeaseClock.
+  /// host measures by LeaseClock.
   static constexpr std::chrono::milliseconds kTerm{3500};
 
   QuotaLease(std::string vm, uint64_t process);
 
   /// A lender is needed. The first candidate takes a free share at once, the
-  /// others only when requests for a lender go on.
+  /// others only if the need has lasted for a while.
   void OnNeeded(LeaseTime now, bool is_first);
 
   /// Releases the lease as soon as the call in flight has ended.
--- a/packages/decision/src/claim_append.cc
+++ b/packages/decision/src/claim_append.cc
@@ -49,8 +49,9 @@
 
 std::optional<ClaimTableImpl::AppendTarget> ClaimTableImpl::ChooseAppend(
     TimePoint now) {
-  // Appends are also round-robin over teams: the next team after that of the
-  // last append, and of its streams the one whose first record is due earliest.
+  // Appends, too, are round-robin over teams: chooses the next team after that
+  // of the last append, and of the team's streams the one whose first record is
+  // due earliest.
   const bool half_full = this->budget.IsAtLeastHalfFull(now);
   std::optional<AppendTarget> best;
   TimePoint best_due;
--- a/packages/decision/src/claim_append_queue.h
+++ b/packages/decision/src/claim_append_queue.h
@@ -23,7 +23,7 @@
 struct QueuedClaimRecord {
   ClaimHandle claim;
   ClaimEndHandle end;
-  TimePoint due;        ///< From then on it justifies an append of its own.
+  TimePoint due;        ///< Appended from then on, even if the budget is low.
   bool urgent = false;  ///< A caller waits for it.
 };
 
--- a/packages/decision/src/cold_quota.cc
+++ b/packages/decision/src/cold_quota.cc
@@ -14,12 +14,12 @@
 // time.
 constexpr uint32_t kMaxDispatchers = ShardRow::kOwners;
 
-// An upstream is probed when at most this many requests may still be sent, so
+// An upstream is queried when at most this many requests may still be sent, so
 // that its answer arrives before the first request has to wait for it.
 constexpr uint32_t kProbeThreshold = 1;
 
-// An upstream that has not answered a probe by now is busy, unreachable or
-// gone, and may be probed again.
+// An upstream that has not answered a load query after this time is busy,
+// unreachable or gone, and may be queried again.
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(20);
 
 }  // namespace
--- a/packages/decision/src/cold_quota.h
+++ b/packages/decision/src/cold_quota.h
@@ -21,7 +21,7 @@
 /// has reported since then that it is warm. Each such report allows one more
 /// share. The total bound holds as long as no more VMs dispatch for an upstream
 /// than there are shares. An upstream that gets less than the share is never
-/// probed.
+/// queried.
 
 namespace basilsill {
 
@@ -39,25 +39,25 @@
   /// before.
   void BeginDispatch(TimePoint now);
 
-  /// Treats the upstream as cold until then, if it can't report that itself.
+  /// Treats the upstream as cold until `until`, if it can't report that itself.
   void AssumeCold(TimePoint until) { this->assumed_cold_until = until; }
 
   /// The upstream has reported how long it stays cold; 0 if it is warm.
   void OnColdTimeReported(TimePoint now, Duration cold_for);
 
-  /// A probe was sent to the upstream.
+  /// A load query was sent to the upstream.
   void OnAsk(TimePoint now) { this->probed_at = now; }
 
   /// A request is sent to the upstream.
   void OnStart(TimePoint now);
 
-  /// @param reports_cold Upstreams of the service report in answers to probes
-  /// whether they are cold. Such an upstream is treated as cold until it has
-  /// reported that it is warm.
+  /// @param reports_cold Upstreams of the service report in answers to load
+  /// queries whether they are cold. Such an upstream is treated as cold until
+  /// it has reported that it is warm.
   bool MayStart(TimePoint now, bool reports_cold) const;
 
-  /// @returns true if a probe is useful now: the upstream may get more requests
-  /// if it reports that it is warm.
+  /// @returns true if a load query is useful now: the upstream may get more
+  /// requests if it reports that it is warm.
   bool IsWorthAsking(TimePoint now) const;
 
  private:
--- a/packages/decision/src/direct_path.cc
+++ b/packages/decision/src/direct_path.cc
@@ -59,9 +59,9 @@
 }
 
 // Any number of VMs may use the direct path at the same time, and none of them
-// can probe. So if the service bounds requests to cold upstreams, an upstream
-// known to be cold gets nothing, and any other gets only kColdShare. An
-// upstream that advertises a rate limit gets nothing either: no part of the
+// sends load queries. So if the service bounds requests to cold upstreams, an
+// upstream known to be cold gets nothing, and any other gets only kColdShare.
+// An upstream that advertises a rate limit gets nothing either: no part of the
 // limit is safe if every VM uses it.
 bool DirectPath::IsEligible(TimePoint now,
                             const ServiceRow& service,
--- a/packages/decision/src/dispatch_tables.h
+++ b/packages/decision/src/dispatch_tables.h
@@ -58,8 +58,8 @@
   RequestState state = RequestState::kWaiting;
   TrafficClass queue = TrafficClass::kOrdinary;  ///< Queueing class.
   uint8_t starts = 0;
-  uint8_t sends = 0;  ///< Of those, the ones that may have reached an upstream.
-  // Bit fields, as there are thousands of rows; these share one octet.
+  uint8_t sends = 0;  ///< Starts that may have reached an upstream.
+  // Bit fields, as there are thousands of rows; these share one byte.
   bool maybe_ran : 1 = false;  ///< If so, no refusal may promise `not-run`.
   bool answer_started : 1 = false;
   bool held_for_rate : 1 = false;   ///< Counted in DispatchCounters.
@@ -207,7 +207,8 @@
   uint32_t active_place = kNoRow;
   uint32_t last_lane = kNoRow;
   TrafficClass last_class = TrafficClass::kCount;
-  TimePoint mixed_until{};  ///< Several teams or classes until then.
+  /// The shard counts as used by several teams or classes until then.
+  TimePoint mixed_until{};
   TimePoint load_at{};
   TimePoint next_scan{};
   TimePoint last_scan{};
--- a/packages/decision/src/dispatcher.cc
+++ b/packages/decision/src/dispatcher.cc
@@ -264,7 +264,8 @@
 }
 
 // Takes one repeat from this shard's share of the fleet-wide limit for the
-// service. @returns false if the share is used up.
+// service.
+// @returns false if the share is used up.
 bool DispatcherCore::TakeRepeat(TimePoint now, ShardState& shard, double keep) {
   if (!this->options.repeats) {
     return true;
--- a/packages/decision/src/dispatcher_admit.cc
+++ b/packages/decision/src/dispatcher_admit.cc
@@ -158,9 +158,10 @@
 }
 
 // Refuses a queued request in favour of a new one, so that one team can't lock
-// out others, nor a team's less urgent requests its urgent ones. With a full
-// queue this is the newest request of the longest lane, with a full team queue
-// the team's newest request of a less urgent ring.
+// out others, nor a team's less urgent requests its urgent ones. If the shard's
+// queue is full, it refuses the newest request of the longest lane. If the
+// team's queue is full, it refuses the team's newest request of a less urgent
+// ring.
 // @returns true if there is room now.
 bool DispatcherCore::MakeRoom(TimePoint now,
                               ShardState& shard,
--- a/packages/decision/src/dispatcher_outcome.cc
+++ b/packages/decision/src/dispatcher_outcome.cc
@@ -30,7 +30,8 @@
 constexpr Duration kTricklePause = std::chrono::milliseconds(100);
 constexpr Duration kMaxTricklePause = std::chrono::seconds(2);
 
-// An answer is good if the logarithm of its duration over the median is lower.
+// An answer is good if the logarithm of its duration divided by the median is
+// below this.
 constexpr double kGoodLogRatio = 0.7;
 constexpr double kErrorWeight = 1.0 / 32;  // Of one request in the error share.
 
--- a/packages/decision/src/dispatcher_speed.cc
+++ b/packages/decision/src/dispatcher_speed.cc
@@ -173,7 +173,7 @@
 // while the others are idle. Symptom: service times rise long before the
 // service runs out of slots. So before a request is sent to a crowded upstream,
 // idle ones are queried, which takes a round trip, and the request goes to one
-// of them if that reports to be fast.
+// that reports that it is fast.
 bool DispatcherCore::HoldForIdle(TimePoint now,
                                  ShardState& shard,
                                  uint32_t row,
@@ -219,7 +219,7 @@
 }
 
 // Queries upstreams that have free slots but get no request because they may be
-// cold. One that reports to be warm gets the waiting request.
+// cold. One that reports that it is warm gets the waiting request.
 void DispatcherCore::QueryWarmthOfFree(TimePoint now, ShardState& shard) {
   uint32_t queries = 0;
   const auto count = static_cast<uint32_t>(shard.cold_quotas.size());
@@ -264,8 +264,8 @@
         place < shard.cold_quotas.size()) {
       shard.cold_quotas[place].OnColdTimeReported(now, *report.cold_for);
     }
-    // A health check without a rate limit does not mean that there is none:
-    // answers to requests may still have it.
+    // If the answer to a load query advertises no rate limit, there may still
+    // be one: answers to requests may advertise it.
     if (report.rate_limit.presence == RateLimitPresence::kNamed &&
         !report.foreign) {
       this->RecordRateLimit(now, now, shard, place, report.rate_limit);
--- a/packages/decision/src/dispatcher_start.cc
+++ b/packages/decision/src/dispatcher_start.cc
@@ -25,12 +25,12 @@
 // Requests are long if they take this many times as long as interactive ones.
 constexpr int kLongFactor = 3;
 
-// Requests are sent ahead if at least one in this many slots has a request
-// queued for it.
+// Requests are sent ahead if the number of queued requests is at least that of
+// open slots divided by this.
 constexpr uint32_t kAheadDivisor = 4;
 
-// Long requests leave so many slots free that the interactive load uses this
-// share of them.
+// Long requests leave enough slots to the others that the interactive load
+// occupies at most this share of these slots.
 constexpr double kInteractiveUse = 0.65;
 
 // Time constant of the moving average of the interactive load.
--- a/packages/decision/src/dispatcher_tick.cc
+++ b/packages/decision/src/dispatcher_tick.cc
@@ -57,7 +57,7 @@
 // network partition, and restarts under the same id. The dispatcher waits for
 // its attempts until they time out, although the platform's view shows that the
 // process is gone. Symptom: requests end at their timeout after a restart of
-// the upstream. So these attempts end as at any crash: requests that may run
+// the upstream. So these attempts end as after a crash: requests that may run
 // again are retried at once, others are refused at once. This happens one tick
 // after the view, so that an answer that has already arrived is still read.
 void DispatcherCore::EndSuperseded(TimePoint now, uint32_t shard_row) {
--- a/packages/decision/src/fair_queue.h
+++ b/packages/decision/src/fair_queue.h
@@ -27,8 +27,8 @@
   /// the lane that has been idle longest.
   uint32_t Open(uint32_t shard, TeamHandle team, uint32_t weight);
 
-  /// Count the requests of the lane, waiting and running. A lane without
-  /// requests may be reused.
+  /// Count the requests of the lane, waiting and running: `Enter` adds one,
+  /// `Leave` removes one. A lane without requests may be reused.
   void Enter(uint32_t lane);
   void Leave(uint32_t lane);
 
--- a/packages/decision/src/latency_stats.cc
+++ b/packages/decision/src/latency_stats.cc
@@ -11,7 +11,7 @@
 constexpr uint32_t kHalveAt = 1024;     // Samples at which counts are halved.
 constexpr uint32_t kRecomputeEach = 8;  // Samples between updates of quantiles.
 constexpr int kMeanWeight = 32;       // Window of the moving mean, in samples.
-constexpr int kOutlier = 4;           // Samples are clipped at this many p95.
+constexpr int kOutlier = 4;           // Samples are clipped at p95 times this.
 constexpr double kNormalP95 = 1.645;  // 95th percentile, standard normal.
 constexpr double kMinShare = 1e-6;
 constexpr double kMinSpread = 0.25;
@@ -42,7 +42,8 @@
   for (size_t i = bucket + 1; i < kBuckets; ++i) {
     longer += this->counts[i];
   }
-  // Counts half of the bucket of `age`, and one sample that is yet to come.
+  // Counts half of the bucket of `age`, and adds one longer and one shorter
+  // sample, so that the share is never 0 or 1.
   const double own = this->counts[bucket] / 2.0;
   const double seen = (longer + own + 1) / (this->total + 2.0);
   if (longer + own > 0) {
--- a/packages/decision/src/quota_coordinator.cc
+++ b/packages/decision/src/quota_coordinator.cc
@@ -54,8 +54,8 @@
     return;
   }
   this->SetCandidates(view);
-  // Takes the lease ahead of the first request, so that this need not wait for
-  // it.
+  // Takes the lease ahead of the first request, so that the request need not
+  // wait for it.
   const bool has_quotas =
       std::any_of(view.teams.begin(), view.teams.end(), &HasQuota);
   if (has_quotas && this->IsFirstCandidate()) {
@@ -127,7 +127,8 @@
   this->OnAnswer(now, unsent.to.vm, answer);
 }
 
-// A VM may open a link before this VM has it in its view. It can't be answered.
+// A VM may open a link before this VM has it in its view. Such a VM can't be
+// answered.
 void QuotaCoordinator::OnRequest(LeaseTime now,
                                  VmHandle from,
                                  const QuotaRequest& request) {
--- a/packages/decision/src/rate_limit_quota.cc
+++ b/packages/decision/src/rate_limit_quota.cc
@@ -13,8 +13,8 @@
 // At least one request in ten seconds is allowed, whatever the limit.
 constexpr double kMinPerSecond = 0.1;
 
-// Unused rate that may be caught up on, in seconds. It keeps a high limit
-// usable although the queue is only scanned at intervals.
+// Time for which unused tokens accumulate. It lets a high limit be used fully
+// although the queue is only scanned at intervals.
 constexpr std::chrono::duration<double> kBurst{0.1};
 
 constexpr Duration kStaleAfter = std::chrono::seconds(2);
--- a/packages/decision/src/rate_limit_quota.h
+++ b/packages/decision/src/rate_limit_quota.h
@@ -33,7 +33,7 @@
   /// @returns the time until the next request may be sent.
   Duration UntilNext(TimePoint now, double share) const;
 
-  /// A request or a probe is sent to the upstream.
+  /// A request or a load query is sent to the upstream.
   void OnStart(TimePoint now, double share);
 
   /// @returns true if nothing was sent to the upstream for so long that the
--- a/packages/decision/src/shard_rate.cc
+++ b/packages/decision/src/shard_rate.cc
@@ -14,7 +14,8 @@
 // the first owner stay below 1.5 times the limit.
 constexpr double kSuccessorShare = 0.2;
 
-// Messages to an upstream for each request: the request and about one probe.
+// Messages to an upstream for each request: the request and about one load
+// query.
 constexpr double kSendsPerRequest = 2;
 
 // @returns the mean time for which a request holds a slot, from the first ring
--- a/packages/decision/src/shard_rate.h
+++ b/packages/decision/src/shard_rate.h
@@ -23,8 +23,8 @@
 bool HasRateQuota(TimePoint now, const ShardState& shard, uint32_t place);
 
 /// @returns true if the upstream advertises a limit that lets it do less for
-/// this VM than its slots could. Load probes would take the place of requests
-/// then.
+/// this VM than its slots could. Load queries would then take the place of
+/// requests.
 bool IsRateScarce(TimePoint now, const ShardState& shard, uint32_t place);
 
 /// @returns the number of the upstream's slots that its rate limit allows to be
@@ -43,7 +43,7 @@
 /// requests.
 Duration WaitWithinRate(TimePoint now, const ShardState& shard, uint32_t ahead);
 
-/// Counts a request or probe against the upstream's rate limit, if it
+/// Counts a request or a load query against the upstream's rate limit, if it
 /// advertises one.
 void CountRate(TimePoint now, ShardState& shard, uint32_t place);
 
--- a/packages/decision/src/shard_table.cc
+++ b/packages/decision/src/shard_table.cc
@@ -106,7 +106,7 @@
   }
 }
 
-// Records since when the VMs are unchanged. As the owners of a shard depend on
+// Records when the VMs changed last. As the owners of a shard depend on
 // the VMs alone, they are unchanged for as long, even for a shard created
 // later.
 void ShardTable::NoteVms(TimePoint now, const RoutingView& next) {
--- a/packages/decision/src/upstream_choice.cc
+++ b/packages/decision/src/upstream_choice.cc
@@ -90,9 +90,9 @@
   return is_out ? kNotFree : kSlowNow;
 }
 
-// @returns true if the upstream is to be spared because its rate limit leaves
-// it little to do. It still gets a request if nothing was sent there for long,
-// so that the end of its limit is noticed.
+// @returns true if the upstream is to be avoided because its rate limit lets it
+// do less than its slots could. It still gets a request if nothing was sent
+// there for long, so that the end of its limit is detected.
 bool SparesRate(TimePoint now, const ShardState& shard, uint32_t place) {
   const RateLimitQuota* quota = FindRateLimit(shard, place);
   return quota != nullptr && IsRateScarce(now, shard, place) &&
--- a/packages/decision/src/upstream_choice.h
+++ b/packages/decision/src/upstream_choice.h
@@ -30,8 +30,8 @@
 /// grade.
 uint16_t OpenSlots(TimePoint now, const UpstreamSlots& upstream);
 
-/// Updates the number of open slots, those of upstreams with full share, and
-/// whether rate limits bound the shard.
+/// Updates the shard's number of open slots, which counts only upstreams with
+/// full share, and whether rate limits bound the shard.
 void RecountSlots(TimePoint now, ShardState& shard);
 
 /// Resets the state of an upstream that is back after it was leaving or
--- a/packages/decision/src/upstream_health.h
+++ b/packages/decision/src/upstream_health.h
@@ -17,7 +17,7 @@
 enum class UpstreamGrade : uint8_t {
   kFull,     ///< As good as its siblings.
   kSlow,     ///< Last choice; one request at a time unless many wait.
-  kFailing,  ///< Gets a trickle, so that its recovery is noticed.
+  kFailing,  ///< Gets few requests, so that its recovery is detected.
   kCount
 };
 
