--- a/packages/base/include/basilsill/base/limits.h
+++ b/packages/base/include/basilsill/base/limits.h
@@ -96,7 +96,7 @@
 inline constexpr size_t kLinkControlBytes = 4 * 1024 * 1024;
 
 // Requests that must not be executed twice.
-inline constexpr size_t kMaxKeptAnswerBytes = 4 * 1024;
+inline constexpr size_t kMaxStoredResponseBytes = 4 * 1024;
 inline constexpr milliseconds kClaimWindow = std::chrono::hours(24);
 inline constexpr size_t kClaimPartitions = 64;
 
--- a/packages/decision/include/basilsill/decision/quota_coordinator.h
+++ b/packages/decision/include/basilsill/decision/quota_coordinator.h
@@ -33,7 +33,7 @@
   void ApplyView(LeaseTime now, const RoutingView& view);
 
   /// A worker of this VM requests credits.
-  void Ask(LeaseTime now, uint16_t worker, QuotaRequest request);
+  void OnWorkerRequest(LeaseTime now, uint16_t worker, QuotaRequest request);
 
   // Messages from other VMs.
   void OnRequest(LeaseTime now, VmHandle from, const QuotaRequest& request);
--- a/packages/decision/src/claim_decision.cc
+++ b/packages/decision/src/claim_decision.cc
@@ -252,12 +252,12 @@
 }
 
 void ClaimTableImpl::Fetch(const ClaimStream& stream, uint64_t offset) {
-  const bool asked = std::any_of(
+  const bool is_requested = std::any_of(
       this->read_calls.begin(), this->read_calls.end(), [&](const auto& entry) {
         const ReadCall& call = entry.second;
         return call.fetch && call.stream == stream && call.offset == offset;
       });
-  if (asked) {
+  if (is_requested) {
     return;
   }
   ClaimAction action;
--- a/packages/decision/src/claims.cc
+++ b/packages/decision/src/claims.cc
@@ -175,7 +175,7 @@
     return false;
   }
   UnrecordedEnd unrecorded{end, IdOf(end.key), StreamOf(end.key), notify};
-  if (StoredSizeOf(end.answer) > limits::kMaxKeptAnswerBytes) {
+  if (StoredSizeOf(end.answer) > limits::kMaxStoredResponseBytes) {
     unrecorded.end.answer = StoredResponse{end.answer.status, false, {}, {}};
   }
   StreamWork& work = this->Open(now, unrecorded.stream);
--- a/packages/decision/src/cold_quota.cc
+++ b/packages/decision/src/cold_quota.cc
@@ -16,19 +16,20 @@
 
 // An upstream is queried when at most this many requests may still be sent, so
 // that its answer arrives before the first request has to wait for it.
-constexpr uint32_t kProbeThreshold = 1;
+constexpr uint32_t kQueryThreshold = 1;
 
 // An upstream that has not answered a load query after this time is busy,
 // unreachable or gone, and may be queried again.
-constexpr Duration kProbeTimeout = std::chrono::milliseconds(20);
+constexpr Duration kQueryTimeout = std::chrono::milliseconds(20);
 
 }  // namespace
 
-uint32_t ColdShareOf(const ColdStartLimits& terms) {
-  if (terms.requests_per_second == 0) {
+uint32_t ColdShareOf(const ColdStartLimits& cold_limits) {
+  if (cold_limits.requests_per_second == 0) {
     return 0;
   }
-  return std::max<uint32_t>(1, terms.requests_per_second / kMaxDispatchers);
+  return std::max<uint32_t>(1,
+                            cold_limits.requests_per_second / kMaxDispatchers);
 }
 
 void ColdQuota::BeginDispatch(TimePoint now) {
@@ -72,10 +73,10 @@
   return this->CountLeft(now) > 0;
 }
 
-bool ColdQuota::IsWorthAsking(TimePoint now) const {
+bool ColdQuota::IsLoadQueryUseful(TimePoint now) const {
   return this->share > 0 && now >= this->reported_cold_until &&
-         now - this->probed_at >= kProbeTimeout &&
-         this->CountLeft(now) <= kProbeThreshold;
+         now - this->queried_at >= kQueryTimeout &&
+         this->CountLeft(now) <= kQueryThreshold;
 }
 
 }  // namespace basilsill
--- a/packages/decision/src/cold_quota.h
+++ b/packages/decision/src/cold_quota.h
@@ -27,7 +27,7 @@
 
 /// @returns the part of a service's bound for cold upstreams that one VM may
 /// use, in requests per second: at least 1, or 0 if the service has no bound.
-uint32_t ColdShareOf(const ColdStartLimits& terms);
+uint32_t ColdShareOf(const ColdStartLimits& cold_limits);
 
 class ColdQuota {
  public:
@@ -46,7 +46,7 @@
   void OnColdTimeReported(TimePoint now, Duration cold_for);
 
   /// A load query was sent to the upstream.
-  void OnAsk(TimePoint now) { this->probed_at = now; }
+  void OnLoadQuery(TimePoint now) { this->queried_at = now; }
 
   /// A request is sent to the upstream.
   void OnStart(TimePoint now);
@@ -58,7 +58,7 @@
 
   /// @returns true if a load query is useful now: the upstream may get more
   /// requests if it reports that it is warm.
-  bool IsWorthAsking(TimePoint now) const;
+  bool IsLoadQueryUseful(TimePoint now) const;
 
  private:
   uint32_t CountLeft(TimePoint now) const;
@@ -69,7 +69,7 @@
   std::vector<TimePoint> starts;
   TimePoint assumed_cold_until{};
   TimePoint reported_cold_until{};
-  TimePoint probed_at{};
+  TimePoint queried_at{};
 };
 
 }  // namespace basilsill
--- a/packages/decision/src/dispatcher.cc
+++ b/packages/decision/src/dispatcher.cc
@@ -218,7 +218,7 @@
   } else if (request.state == RequestState::kIsolated) {
     this->RemoveSuspect(shard, row);
   }
-  this->timers.Remove(row, this->TimerPlaces());
+  this->timers.Remove(row, this->TimerPositions());
   this->queue.Leave(request.lane);
   this->requests.Destroy(this->requests.HandleAt(row));
 }
@@ -232,9 +232,9 @@
     due = std::min(due, PromotionOf(request));
   }
   if (due == kNever) {
-    this->timers.Remove(row, this->TimerPlaces());
+    this->timers.Remove(row, this->TimerPositions());
   } else {
-    this->timers.Set(row, due, this->TimerPlaces());
+    this->timers.Set(row, due, this->TimerPositions());
   }
 }
 
@@ -266,7 +266,9 @@
 // Takes one repeat from this shard's share of the fleet-wide limit for the
 // service.
 // @returns false if the share is used up.
-bool DispatcherCore::TakeRepeat(TimePoint now, ShardState& shard, double keep) {
+bool DispatcherCore::TakeRepeat(TimePoint now,
+                                ShardState& shard,
+                                double reserved) {
   if (!this->options.repeats) {
     return true;
   }
@@ -276,7 +278,7 @@
   RepeatBudgetOptions part = is_settled ? parts.dispatchers : parts.unsettled;
   part.slack /= std::max<uint32_t>(1, shard.siblings);
   part.slack /= is_settled ? 1 : CountVms(*this->shards.view());
-  return shard.repeats->Take(now, part, keep);
+  return shard.repeats->Take(now, part, reserved);
 }
 
 void DispatcherCore::Activate(uint32_t row) {
--- a/packages/decision/src/dispatcher_core.h
+++ b/packages/decision/src/dispatcher_core.h
@@ -93,7 +93,7 @@
   void EndRequest(uint32_t request);
   void FlushWaiting(ShardState& shard, const Verdict& verdict);
   void SetTimer(uint32_t request);
-  auto TimerPlaces() {
+  auto TimerPositions() {
     return
         [this](uint32_t row) -> uint32_t& { return this->Request(row).timer; };
   }
@@ -105,7 +105,7 @@
                    const UpstreamSlots& upstream,
                    Fingerprint fingerprint = 0);
   void Activate(uint32_t shard);
-  bool TakeRepeat(TimePoint now, ShardState& shard, double keep = 0);
+  bool TakeRepeat(TimePoint now, ShardState& shard, double reserved = 0);
 
   // dispatcher_start.cc
   void Pump(TimePoint now, uint32_t shard);
@@ -200,15 +200,16 @@
 
   // dispatcher_rate_limit.cc
   void RecordRateLimit(TimePoint now,
-                       TimePoint asked_at,
+                       TimePoint request_sent_at,
                        ShardState& shard,
                        uint32_t place,
-                       const AdvertisedRateLimit& told);
+                       const AdvertisedRateLimit& advertised);
   void RemoveRateLimit(TimePoint now, ShardState& shard, uint32_t place);
   void ApplyReceivedLimits(TimePoint now, ShardState& shard);
   uint32_t PlaceOfReported(const RateLimitReport& report) const;
-  void AddUpdatesForOwners(const RateLimitReport& report,
-                           std::vector<RateLimitUpdate>& news) const;
+  void AddUpdatesForOwners(
+      const RateLimitReport& report,
+      std::vector<RateLimitUpdate>& outgoing_updates) const;
   RateLimitReport ReportOf(const ShardState& shard, uint32_t place) const;
   void HoldForRate(TimePoint now, ShardState& shard, uint32_t request);
   void RefuseBeyondRate(TimePoint now, ShardState& shard);
--- a/packages/decision/src/dispatcher_end.cc
+++ b/packages/decision/src/dispatcher_end.cc
@@ -299,7 +299,7 @@
   const RingKind ring = RingOf(request.queue);
   Duration& slot_time = shard.rings[static_cast<size_t>(ring)].slot_time;
   const Duration took = now - attempt.start;
-  this->queue.Learn(request, took);
+  this->queue.RecordSlotTime(request, took);
   slot_time +=
       slot_time == Duration(0) ? took : (took - slot_time) / kSlotTimeWeight;
   for (AttemptHandle& running : request.running) {
--- a/packages/decision/src/dispatcher_outcome.cc
+++ b/packages/decision/src/dispatcher_outcome.cc
@@ -262,11 +262,11 @@
       suspects[count++] = fingerprint;
     }
   }
-  const Fingerprint condemned = this->options.quarantine->OnCrash(
+  const Fingerprint quarantined = this->options.quarantine->OnCrash(
       now, upstream.key, std::span(suspects.data(), count));
-  if (condemned != 0) {
+  if (quarantined != 0) {
     this->RecordEvent(UpstreamEventKind::kQuarantined,
-                      this->shards.at(shard_row), upstream, condemned);
+                      this->shards.at(shard_row), upstream, quarantined);
   }
 }
 
--- a/packages/decision/src/dispatcher_rate_limit.cc
+++ b/packages/decision/src/dispatcher_rate_limit.cc
@@ -41,11 +41,11 @@
 }  // namespace
 
 void DispatcherCore::RecordRateLimit(TimePoint now,
-                                     TimePoint asked_at,
+                                     TimePoint request_sent_at,
                                      ShardState& shard,
                                      uint32_t place,
-                                     const AdvertisedRateLimit& told) {
-  const bool is_named = told.presence == RateLimitPresence::kNamed;
+                                     const AdvertisedRateLimit& advertised) {
+  const bool is_named = advertised.presence == RateLimitPresence::kNamed;
   if (!this->options.features.rate_limits) {
     return;
   }
@@ -53,7 +53,8 @@
     return;
   }
   RateLimitedUpstream& limited = LimitOf(shard, place);
-  const RateLimitChange change = limited.quota.Update(now, asked_at, told);
+  const RateLimitChange change =
+      limited.quota.Update(now, request_sent_at, advertised);
   limited.named_since_update |= is_named;
   const UpstreamSlots& upstream = shard.upstreams[place];
   if (change == RateLimitChange::kNamed) {
@@ -176,14 +177,14 @@
 
 void DispatcherCore::AddUpdatesForOwners(
     const RateLimitReport& report,
-    std::vector<RateLimitUpdate>& news) const {
+    std::vector<RateLimitUpdate>& outgoing_updates) const {
   const ShardTable::InView found = this->shards.Locate(report.shard);
   if (found.shard == nullptr) {
     return;
   }
   for (const VmHandle owner : found.shard->owners) {
     if (owner != this->shards.view()->self) {
-      news.push_back({owner, report});
+      outgoing_updates.push_back({owner, report});
     }
   }
 }
--- a/packages/decision/src/dispatcher_speed.cc
+++ b/packages/decision/src/dispatcher_speed.cc
@@ -156,7 +156,7 @@
   shard.speeds[place].OnQuery(now);
   CountRate(now, shard, place);
   if (place < shard.cold_quotas.size()) {
-    shard.cold_quotas[place].OnAsk(now);
+    shard.cold_quotas[place].OnLoadQuery(now);
   }
   DispatchAction action;
   action.kind = DispatchActionKind::kQueryLoad;
@@ -210,7 +210,7 @@
 bool DispatcherCore::QueryWarmth(TimePoint now,
                                  ShardState& shard,
                                  uint32_t place) {
-  if (!shard.reports_cold || !shard.cold_quotas[place].IsWorthAsking(now) ||
+  if (!shard.reports_cold || !shard.cold_quotas[place].IsLoadQueryUseful(now) ||
       !MayQueryLoad(now, shard, place)) {
     return false;
   }
--- a/packages/decision/src/dispatcher_start.cc
+++ b/packages/decision/src/dispatcher_start.cc
@@ -385,8 +385,9 @@
       shard.rings[static_cast<size_t>(RingKind::kInteractive)];
   const double load = shard.running[kUrgentClass] +
                       shard.running[kOrdinaryClass] + waiting.queued;
-  const double kept = std::exp(-(now - shard.load_at) / kLoadTime);
-  shard.interactive_load = load + (shard.interactive_load - load) * kept;
+  const double decay_factor = std::exp(-(now - shard.load_at) / kLoadTime);
+  shard.interactive_load =
+      load + (shard.interactive_load - load) * decay_factor;
   shard.load_at = now;
 }
 
--- a/packages/decision/src/dispatcher_tick.cc
+++ b/packages/decision/src/dispatcher_tick.cc
@@ -14,7 +14,7 @@
 
 // Tokens of the hedge budget that are reserved for requests on upstreams that
 // are marked as slow.
-constexpr double kTokensKeptForSlow = 1;
+constexpr double kTokensReservedForSlow = 1;
 
 // A background request is queued as an ordinary one of its team after half of
 // the time to its deadline.
@@ -153,7 +153,7 @@
                              ? PickUpstream(now, shard, choice)
                              : kNoRow;
   if (other == kNoRow || other == place || this->AttemptsLeft(request) == 0 ||
-      !lane.hedge_budget.Take(rescue ? 0 : kTokensKeptForSlow) ||
+      !lane.hedge_budget.Take(rescue ? 0 : kTokensReservedForSlow) ||
       !this->TakeRepeat(now, shard)) {
     this->SetTimer(row);
     return;
@@ -180,12 +180,12 @@
   ShardState& shard = this->shards.at(row);
   const Duration slot_time =
       shard.rings[static_cast<size_t>(RingKind::kInteractive)].slot_time;
-  const double kept = ShareKeptAfter(now - shard.last_scan);
+  const double decay_factor = EvidenceDecayFactor(now - shard.last_scan);
   shard.last_scan = now;
   shard.next_scan = now + std::clamp(slot_time / 2, kMinScan, kMaxScan);
   RecountSlots(now, shard);
   for (uint32_t i = 0; i < shard.upstreams.size(); ++i) {
-    shard.upstreams[i].health.Fade(kept);
+    shard.upstreams[i].health.Decay(decay_factor);
     this->UpdateGrade(now, shard, i);
   }
   if (shard.queued + shard.suspects_queued > 0) {
--- a/packages/decision/src/fair_queue.cc
+++ b/packages/decision/src/fair_queue.cc
@@ -181,7 +181,7 @@
   }
 }
 
-void FairQueue::Learn(const RequestRow& request, Duration took) {
+void FairQueue::RecordSlotTime(const RequestRow& request, Duration took) {
   LaneRow& lane = this->lanes[request.lane];
   Duration& slot_time =
       lane.shares[static_cast<size_t>(RingOf(request.queue))].slot_time;
--- a/packages/decision/src/fair_queue.h
+++ b/packages/decision/src/fair_queue.h
@@ -49,7 +49,7 @@
   /// `took`. Later requests are charged the mean. A single long request is not
   /// charged in full when it ends, because other lanes could use the other
   /// slots while it ran.
-  void Learn(const RequestRow& request, Duration took);
+  void RecordSlotTime(const RequestRow& request, Duration took);
 
   /// @returns the newest request of the lane with the most waiting requests in
   /// `shard`, or kNoRow if no lane has more than `least`.
--- a/packages/decision/src/quarantine.cc
+++ b/packages/decision/src/quarantine.cc
@@ -19,7 +19,8 @@
 /// State of a request that was in flight at a crash.
 struct Suspect {
   TimePoint last_crash{};
-  TimePoint quarantined_for{};  ///< Latest crash that led to a quarantine.
+  TimePoint
+      last_quarantined_crash{};  ///< Latest crash that led to a quarantine.
   TimePoint refused_until{};
   uint32_t quarantine_count = 0;
 };
@@ -170,12 +171,12 @@
     return;
   }
   Suspect& suspect = found->second;
-  if (suspect.quarantined_for == suspect.last_crash ||
+  if (suspect.last_quarantined_crash == suspect.last_crash ||
       !this->MeetsRule(fingerprint)) {
     return;
   }
   const uint32_t doublings = std::min(suspect.quarantine_count, kMaxDoublings);
-  suspect.quarantined_for = suspect.last_crash;
+  suspect.last_quarantined_crash = suspect.last_crash;
   suspect.refused_until =
       suspect.last_crash + this->options.quarantine * (1 << doublings);
   ++suspect.quarantine_count;
--- a/packages/decision/src/quota_coordinator.cc
+++ b/packages/decision/src/quota_coordinator.cc
@@ -88,9 +88,9 @@
   return !this->candidates.empty() && this->candidates.front() == this->self;
 }
 
-void QuotaCoordinator::Ask(LeaseTime now,
-                           uint16_t worker,
-                           QuotaRequest request) {
+void QuotaCoordinator::OnWorkerRequest(LeaseTime now,
+                                       uint16_t worker,
+                                       QuotaRequest request) {
   LastRequest& last = this->last_requests[worker];
   if (!last.answered) {
     this->lender_choice.PassOver(last.vm);
--- a/packages/decision/src/service_rows.cc
+++ b/packages/decision/src/service_rows.cc
@@ -62,10 +62,10 @@
                         RoutingView& view) {
   const Plans plans = this->MakePlans(configuration, view);
   ++this->round;
-  this->omitted = 0;
+  this->excluded = 0;
   this->ReleaseRemoved(plans);
   for (const auto& [name, plan] : plans) {
-    this->omitted += CountUnplaced(plan);
+    this->excluded += CountUnplaced(plan);
     const ServiceHandle handle = this->names.Take(name);
     CachedService& cached = this->cached_services[std::string(name)];
     if (plan.is_changed) {
@@ -129,7 +129,7 @@
     if (plan == plans.end()) {
       this->ReleaseUnmarked(cached);
     } else if (plan->second.is_changed) {
-      this->MarkKept(plan->second, cached);
+      this->MarkRetained(plan->second, cached);
       this->ReleaseUnmarked(cached);
     }
   }
@@ -140,7 +140,7 @@
       [&plans](std::string_view name) { return plans.contains(name); });
 }
 
-void ServiceRows::MarkKept(const Plan& plan, const CachedService& cached) {
+void ServiceRows::MarkRetained(const Plan& plan, const CachedService& cached) {
   for (const PlacedSet& set : plan.sets) {
     for (size_t i = 0; i < set.spec->instances.size(); ++i) {
       const auto known = cached.upstreams.find(KeyOfInstance(*set.spec, i));
--- a/packages/decision/src/service_rows.h
+++ b/packages/decision/src/service_rows.h
@@ -30,7 +30,7 @@
 
   /// @returns the number of instances that the last view leaves out, because it
   /// has no row for their data centre.
-  size_t excluded_instances() const { return this->omitted; }
+  size_t excluded_instances() const { return this->excluded; }
 
   /// @returns the handle of service `name`, invalid if it has none.
   ServiceHandle Find(std::string_view name) const {
@@ -65,7 +65,7 @@
   Plans MakePlans(const ConfigurationState& configuration,
                   const RoutingView& view) const;
   void ReleaseRemoved(const Plans& plans);
-  void MarkKept(const Plan& plan, const CachedService& cached);
+  void MarkRetained(const Plan& plan, const CachedService& cached);
   void ReleaseUnmarked(CachedService& cached);
   std::shared_ptr<const ServiceRow> MakeRow(const Plan& plan,
                                             const RoutingView& view,
@@ -76,7 +76,7 @@
   HandleTable<uint64_t, UpstreamTag> upstreams{limits::kMaxUpstreams};
   std::map<std::string, CachedService, std::less<>> cached_services;
   uint64_t round = 0;
-  size_t omitted = 0;
+  size_t excluded = 0;
 };
 
 }  // namespace basilsill
--- a/packages/decision/src/shard_load_estimates.cc
+++ b/packages/decision/src/shard_load_estimates.cc
@@ -19,7 +19,7 @@
 constexpr Duration kForgetAfter = std::chrono::seconds(60);
 constexpr Duration kSweepPeriod = std::chrono::seconds(10);
 
-double ShareKept(Duration age, Duration time_constant) {
+double DecayFactor(Duration age, Duration time_constant) {
   return std::exp(-std::chrono::duration<double>(age) /
                   std::chrono::duration<double>(time_constant));
 }
@@ -38,10 +38,11 @@
 
 void ShardLoadEstimates::OnSummary(TimePoint now, const ShardSummary& summary) {
   Estimate& estimate = this->estimates[summary.shard];
-  const double kept = ShareKept(now - estimate.at, kAverageTime);
-  estimate.usual_wait = Between(summary.wait, estimate.usual_wait, kept);
+  const double decay_factor = DecayFactor(now - estimate.at, kAverageTime);
+  estimate.usual_wait =
+      Between(summary.wait, estimate.usual_wait, decay_factor);
   estimate.usual_bulk_wait =
-      Between(summary.bulk_wait, estimate.usual_bulk_wait, kept);
+      Between(summary.bulk_wait, estimate.usual_bulk_wait, decay_factor);
   estimate.summary = summary;
   estimate.at = now;
   estimate.known = true;
@@ -74,13 +75,13 @@
   const Duration age = now - estimate.at;
   const Duration usual = Between(
       Duration(0), bulk ? estimate.usual_bulk_wait : estimate.usual_wait,
-      ShareKept(age, kAverageTime));
+      DecayFactor(age, kAverageTime));
   const Duration reported = bulk ? summary.bulk_wait : summary.wait;
   const double free = std::max(0, summary.slots - summary.busy);
   const double since = std::max(0.0, SentBy(now, estimate) * peers - free);
   const Duration queued = Between(Duration(0), summary.service_time,
                                   since / std::max<int>(1, summary.slots));
-  return Between(usual, reported, ShareKept(age, DecayTimeOf(summary))) +
+  return Between(usual, reported, DecayFactor(age, DecayTimeOf(summary))) +
          queued;
 }
 
@@ -99,7 +100,7 @@
 
 double ShardLoadEstimates::SentBy(TimePoint now, const Estimate& estimate) {
   return estimate.sent *
-         ShareKept(now - estimate.sent_at, DecayTimeOf(estimate.summary));
+         DecayFactor(now - estimate.sent_at, DecayTimeOf(estimate.summary));
 }
 
 void ShardLoadEstimates::Tick(TimePoint now) {
--- a/packages/decision/src/upstream_health.cc
+++ b/packages/decision/src/upstream_health.cc
@@ -24,7 +24,7 @@
 constexpr double kFailingShare = 0.5;
 constexpr double kMinErrorRate = 0.02;
 constexpr double kMaxErrorRate = 0.3;
-constexpr std::chrono::duration<double> kFadeTime{10};
+constexpr std::chrono::duration<double> kEvidenceDecayTime{10};
 
 }  // namespace
 
@@ -70,8 +70,8 @@
   return std::clamp(std::log(if_slow / share_longer), 0.0, kMaxAgeEvidence);
 }
 
-double ShareKeptAfter(Duration elapsed) {
-  return std::exp(-elapsed / kFadeTime);
+double EvidenceDecayFactor(Duration elapsed) {
+  return std::exp(-elapsed / kEvidenceDecayTime);
 }
 
 double SlowFactor() {
--- a/packages/decision/src/upstream_health.h
+++ b/packages/decision/src/upstream_health.h
@@ -46,9 +46,9 @@
 
   /// Lets old evidence decay.
   /// @param kept Share that remains, from `ShareKeptAfter`.
-  void Fade(double kept) {
-    this->slow *= kept;
-    this->failing *= kept;
+  void Decay(double decay_factor) {
+    this->slow *= decay_factor;
+    this->failing *= decay_factor;
   }
   void Reset() { *this = UpstreamHealth(); }
 
@@ -76,7 +76,7 @@
 double EvidenceOfAge(double share_longer, double share_longer_if_slow);
 
 /// @returns the share of the evidence that remains after `elapsed`.
-double ShareKeptAfter(Duration elapsed);
+double EvidenceDecayFactor(Duration elapsed);
 
 /// @returns how many times slower than its siblings a straggler is assumed to
 /// be.
--- a/packages/decision/test/claims_test.cc
+++ b/packages/decision/test/claims_test.cc
@@ -284,7 +284,7 @@
 TEST(Claims, Retry_AnswerTooLongToStore_GetsStatusOnly) {
   const std::string key = this->FreshKey();
   const StoredResponse answer{
-      200, true, {}, std::string(limits::kMaxKeptAnswerBytes + 1, 'x')};
+      200, true, {}, std::string(limits::kMaxStoredResponseBytes + 1, 'x')};
   this->End(0, key, this->RequestClaim(0, key), ClaimOutcome::kDone, answer);
   const ClaimAction* verdict = this->VerdictOn(1, this->RequestClaim(1, key));
   CHECK(verdict->kind == ClaimActionKind::kReplay);
--- a/packages/decision/test/cold_quota_test.cc
+++ b/packages/decision/test/cold_quota_test.cc
@@ -75,7 +75,7 @@
 TEST(ColdQuota, Start_ReportedWarm_OneMoreSharePerReport) {
   this->quota.SetShare(5);
   this->SendAll();
-  CHECK(this->quota.IsWorthAsking(this->now));
+  CHECK(this->quota.IsLoadQueryUseful(this->now));
   this->quota.OnColdTimeReported(this->now, 0ms);
   CHECK_EQUAL(5, this->SendAll());
 }
@@ -88,8 +88,8 @@
   this->SendAll();
   this->quota.OnColdTimeReported(this->now, 3s);
   CHECK_EQUAL(0, this->SendAll());
-  CHECK_FALSE(this->quota.IsWorthAsking(this->now + 2s));
-  CHECK(this->quota.IsWorthAsking(this->now + 3s) ||
+  CHECK_FALSE(this->quota.IsLoadQueryUseful(this->now + 2s));
+  CHECK(this->quota.IsLoadQueryUseful(this->now + 3s) ||
         this->quota.MayStart(this->now + 3s, true));
 }
 
@@ -112,7 +112,7 @@
   this->quota.SetShare(5);
   this->quota.BeginDispatch(this->now);
   CHECK_EQUAL(0, this->SendAll());
-  CHECK(this->quota.IsWorthAsking(this->now));
+  CHECK(this->quota.IsLoadQueryUseful(this->now));
   CHECK_EQUAL(100, this->SendAll(false));
   this->quota.BeginDispatch(this->now);
   this->now += 1300ms;
@@ -124,7 +124,7 @@
   for (int i = 0; i < 20; ++i) {
     this->now += 400ms;
     this->quota.OnStart(this->now);
-    CHECK_FALSE(this->quota.IsWorthAsking(this->now));
+    CHECK_FALSE(this->quota.IsLoadQueryUseful(this->now));
   }
 }
 
--- a/packages/decision/test/quota_simulation.cc
+++ b/packages/decision/test/quota_simulation.cc
@@ -168,7 +168,7 @@
     vm.waiting.erase(found);
   }
   if (std::optional<QuotaRequest> request = vm.borrower->NextRequest(now)) {
-    vm.coordinator->Ask(now, 0, *std::move(request));
+    vm.coordinator->OnWorkerRequest(now, 0, *std::move(request));
   }
   this->CallStore(index, vm.coordinator->NextLeaseCall(now));
   for (std::vector<OutgoingQuotaMessage> messages_to_send =
--- a/packages/node/include/basilsill/node/settings.h
+++ b/packages/node/include/basilsill/node/settings.h
@@ -96,7 +96,7 @@
   std::chrono::milliseconds window = limits::kClaimWindow;
   /// How long claims are batched before one append.
   std::chrono::milliseconds batch{5};
-  uint64_t kept_answer_bytes = limits::kMaxKeptAnswerBytes;
+  uint64_t kept_answer_bytes = limits::kMaxStoredResponseBytes;
 };
 
 struct PolicySettings {
--- a/packages/node/src/once_exchange.h
+++ b/packages/node/src/once_exchange.h
@@ -20,7 +20,7 @@
   Executor executor;
   uint64_t origin = 0;       ///< Identifies this process, see MakeClaimOrigin.
   std::string key_header{};  ///< Name of the header with the idempotency key.
-  size_t kept_answer_bytes = limits::kMaxKeptAnswerBytes;
+  size_t kept_answer_bytes = limits::kMaxStoredResponseBytes;
 };
 
 /// Serves the request without regard to its key.
--- a/packages/node/src/quota_host.cc
+++ b/packages/node/src/quota_host.cc
@@ -49,7 +49,7 @@
 
 void QuotaHost::RequestCredits(uint16_t worker, QuotaRequest request) {
   const LeaseTime now = LeaseClock::now();
-  this->coordinator.Ask(now, worker, std::move(request));
+  this->coordinator.OnWorkerRequest(now, worker, std::move(request));
   this->Pump(now);
 }
 
