--- a/packages/decision/include/basilsill/decision/claims.h
+++ b/packages/decision/include/basilsill/decision/claims.h
@@ -70,7 +70,7 @@
                          const StoredResponse&) = default;
 };
 
-/// @returns the bytes of `answer` that count against kMaxKeptAnswerBytes.
+/// @returns the bytes of `answer` that count against kMaxStoredResponseBytes.
 size_t StoredSizeOf(const StoredResponse& answer);
 
 struct ClaimRequest {
--- a/packages/decision/src/upstream_health.h
+++ b/packages/decision/src/upstream_health.h
@@ -45,7 +45,7 @@
   void Set(UpstreamGrade grade) { this->current = grade; }
 
   /// Lets old evidence decay.
-  /// @param kept Share that remains, from `ShareKeptAfter`.
+  /// @param decay_factor Share that remains, from `EvidenceDecayFactor`.
   void Decay(double decay_factor) {
     this->slow *= decay_factor;
     this->failing *= decay_factor;
