--- a/packages/decision/test/claim_simulation.cc
+++ b/packages/decision/test/claim_simulation.cc
@@ -35,7 +35,7 @@
   bool is_final = false;
 };
 
-/// A key as its callers see it.
+/// A request key and what has happened to its requests so far.
 struct CallerKey {
   std::string text;
   int runs = 0;
--- a/packages/decision/test/claim_vm.cc
+++ b/packages/decision/test/claim_vm.cc
@@ -14,7 +14,8 @@
 constexpr size_t kSteps = 1 << 20;
 constexpr Duration kSlowAppend = seconds(2);
 
-/// Half a second into a time bucket, so that keys fall into two buckets.
+/// Start of the wall clock, half a second into a time bucket. Keys are created
+/// shortly before and after the start of the bucket, so they fall into two.
 constexpr WallTime kWallEpoch{std::chrono::hours(480'000) + milliseconds(500)};
 
 }  // namespace
--- a/packages/decision/test/claims_test.cc
+++ b/packages/decision/test/claims_test.cc
@@ -57,9 +57,9 @@
   CHECK(RefusalOf("") == Refusal::kKeyMissing);
   CHECK(RefusalOf("\"\"") == Refusal::kKeyMissing);
   const std::string malformed[] = {
-      "018bcfe5-6800-4abc-8def-0123456789ab",  // Version 4.
-      "018bcfe5-6800-7abc-7def-0123456789ab",  // Variant.
-      "018bcfe5-6800-7abc-8def-0123456789a",   // Short.
+      "018bcfe5-6800-4abc-8def-0123456789ab",  // Version 4, not 7.
+      "018bcfe5-6800-7abc-7def-0123456789ab",  // Wrong variant.
+      "018bcfe5-6800-7abc-8def-0123456789a",   // Too short.
       "1700000000000-",
       "1700000000000",
       "170000000000-van-7",
--- a/packages/decision/test/configuration_freshness_test.cc
+++ b/packages/decision/test/configuration_freshness_test.cc
@@ -45,7 +45,7 @@
   const auto vouch = this->sender.VouchFor(other_clock + 1s, kReceiver);
   CHECK(vouch.has_value());
   this->receiver.OnVouch(this->start + 5s, *vouch);
-  // Held for 700 ms, one second old.
+  // The sender held the stamp for 700 ms, and its read is one second old.
   CHECK(this->receiver.as_of() == this->start - 300ms);
 }
 
--- a/packages/decision/test/data_centre_drains_test.cc
+++ b/packages/decision/test/data_centre_drains_test.cc
@@ -42,7 +42,8 @@
 }
 
 // Failure: after the drain has ended, another VM sends the older record that
-// had started it. If it were applied, the data centre would stay without work.
+// had started it. If it were applied, the data centre would be drained again
+// and get no work.
 TEST(DataCentreDrains, Record_OlderThanEndOfDrain_ChangesNothing) {
   this->drains.OnRecord(4, "lyulin", true);
   this->drains.OnRecord(5, "lyulin", false);
@@ -102,7 +103,8 @@
   CHECK_EQUAL(version, this->drains.version());
 }
 
-// Names come from keys of another writer, whose number is unbounded.
+// The names come from keys that another writer sets, so their number is
+// unbounded.
 TEST(DataCentreDrains, Record_MoreNamesThanCapacity_KeepsDrainedOnes) {
   this->drains.OnRecord(1, "lyulin", true);
   for (uint64_t i = 0; i < 10 * basilsill::limits::kMaxDataCentres; ++i) {
--- a/packages/decision/test/decision_fixture.h
+++ b/packages/decision/test/decision_fixture.h
@@ -263,7 +263,8 @@
   std::vector<DispatchAction> running;
   std::vector<DispatchAction> refused;
   std::vector<DispatchAction> cancelled;
-  std::vector<UpstreamHandle> asked;  ///< Load queries without an answer.
+  /// Upstreams with an unanswered load query.
+  std::vector<UpstreamHandle> asked;
   std::vector<UpstreamEvent> events;
 };
 
--- a/packages/decision/test/dispatch_drain_test.cc
+++ b/packages/decision/test/dispatch_drain_test.cc
@@ -113,7 +113,7 @@
 }
 
 // Failure: upstreams that became cold while they were drained get their full
-// share at once afterwards. Each starts with one request at a time.
+// share at once afterwards. Each must start with one request at a time.
 TEST(DispatchDrain, View_Undrained_StartsSlowly) {
   this->harness.WarmUp(1);
   this->Drain(true);
--- a/packages/decision/test/dispatch_failures_test.cc
+++ b/packages/decision/test/dispatch_failures_test.cc
@@ -245,7 +245,8 @@
 
 TEST(DispatchFailures, FailFast_WasSlowBefore_IsMarkedFailing) {
   // Failure: an instance that is marked as slow starts to answer errors
-  // immediately. Without good answers it stays marked as slow for ever.
+  // immediately. If only successful answers cleared the mark, it would stay
+  // marked as slow forever.
   this->harness.WarmUp(200);
   const UpstreamHandle bad{1, 0};
   this->ServeBusy(500ms, bad, 60ms);
--- a/packages/decision/test/dispatch_history_test.cc
+++ b/packages/decision/test/dispatch_history_test.cc
@@ -1,6 +1,6 @@
 // Random event histories of the dispatcher with fixed seeds. In any order of
-// events, each request has exactly one outcome, and the promises of refusals
-// hold.
+// events, each request has exactly one outcome, and what its refusal promises
+// about it is true.
 
 #include <map>
 
--- a/packages/decision/test/dispatch_speed_test.cc
+++ b/packages/decision/test/dispatch_speed_test.cc
@@ -112,8 +112,8 @@
   CHECK_EQUAL(asked, this->harness.asked.size());
 }
 
-// Failure: all upstreams are slow for long, and requests wait for a fast one
-// until they miss their deadlines, although a slow one could have met them.
+// Failure: all upstreams are slow for a long time, and requests wait for a fast
+// one until they miss their deadlines, although a slow one could have met them.
 TEST(DispatchSpeed, Offer_AllSlow_StartsOnSlowOneEventually) {
   const uint64_t cookie = this->harness.Offer();
   for (Duration waited{0}; waited < 400ms; waited += 5ms) {
@@ -163,7 +163,7 @@
 }
 
 // Failure: upstreams are unreachable and answer no load query, and the request
-// is held for ever.
+// is held forever.
 TEST(DispatchSpeed, Offer_QueriesUnanswered_StartsAnyway) {
   const uint64_t cookie = this->harness.Offer();
   this->harness.Advance(400ms);
--- a/packages/decision/test/dispatch_test.cc
+++ b/packages/decision/test/dispatch_test.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Late binding alone: no request is sent beyond the slots.
+// Without send-ahead, no upstream gets more requests than it has slots.
 DispatcherOptions WithoutSendAhead() {
   DispatcherOptions options;
   options.features.send_ahead = false;
--- a/packages/decision/test/rate_limit_simulation.cc
+++ b/packages/decision/test/rate_limit_simulation.cc
@@ -10,10 +10,10 @@
 
 constexpr Duration kStep = 1ms;
 constexpr Duration kWindow = 4s;
-// Windows are checked from this time after a limit was first advertised.
+// Windows are checked once a limit has been advertised for this long.
 constexpr Duration kCheckedAfter = 3s;
-// A VM counts against the limit from this time after it has passed on an answer
-// that advertises one.
+// The requests of a VM count against the limit once this time has passed since
+// the VM first passed on an answer that advertises a limit.
 constexpr Duration kNoticeDelay = 500ms;
 constexpr Duration kUpdateInterval = 250ms;
 constexpr double kExcess = 1.5;
@@ -226,7 +226,8 @@
   }
 }
 
-// Answers to health checks never advertise a limit: nothing may depend on that.
+// Answers to probes never advertise a limit: the bound must hold even if only
+// answers to requests show it.
 void RateLimitSimulation::AnswerProbes(uint32_t, Vm& vm) {
   while (!vm.probes.empty() && vm.probes.front().due <= this->now) {
     const UpstreamHandle upstream = vm.probes.front().upstream;
--- a/packages/decision/test/rate_limit_simulation.h
+++ b/packages/decision/test/rate_limit_simulation.h
@@ -86,8 +86,8 @@
   };
   struct Upstream {
     std::optional<double> limit;
-    /// The limit before its last decrease, and when that was; VMs have a moment
-    /// to notice it.
+    /// The limit before its last decrease, and the time of that decrease. The
+    /// old limit stays allowed for a moment, since VMs notice the change late.
     double limit_before = 0;
     TimePoint decreased_at{};
     TimePoint first_advertised_at = kNever;
--- a/packages/decision/test/rate_limit_test.cc
+++ b/packages/decision/test/rate_limit_test.cc
@@ -440,8 +440,8 @@
   CHECK(this->CountRefused(Refusal::kUpstreamRateLimit) > 5);
 }
 
-// Failure: the upstreams without a limit pause for a moment, and requests are
-// refused because of the rate limit of the one that has one.
+// Failure: the upstreams without a rate limit are paused for a moment, and
+// requests are refused because of the limit of the only upstream that has one.
 TEST(RateLimitDispatch, Siblings_PauseForAMoment_RequestsWait) {
   this->AdvertiseLimit(0);
   this->OfferMany(2);
--- a/packages/decision/test/repeat_budget_test.cc
+++ b/packages/decision/test/repeat_budget_test.cc
@@ -50,8 +50,8 @@
   CHECK_EQUAL(5, this->TakeAll());
 }
 
-// Failure: all upstreams of a service fail for long, every request could be
-// repeated, and some window of ten seconds, wherever it begins, has more
+// Failure: all upstreams of a service fail for a long time, every request could
+// be repeated, and some window of ten seconds, wherever it begins, has more
 // repeats than the limit.
 TEST(RepeatBudget, Take_AllFailForLong_LimitHoldsInEveryWindow) {
   std::vector<TimePoint> requests;
--- a/packages/decision/test/start_fleet_test.cc
+++ b/packages/decision/test/start_fleet_test.cc
@@ -128,7 +128,7 @@
     }
   }
 
-  /// Starts or restarts process `i`, with another entry than before.
+  /// Starts or restarts process `i` with a new entry.
   void Start(size_t i) {
     Node& node = this->nodes[i];
     node = Node{};
@@ -193,7 +193,7 @@
     return this->nodes[i].alive && this->nodes[i].begun;
   }
 
-  // A VM knows some of the listed VMs.
+  // Each VM knows at most two of the listed VMs.
   void Begin(size_t i) {
     Node& node = this->nodes[i];
     node.begun = true;
--- a/packages/decision/test/topic_follower_test.cc
+++ b/packages/decision/test/topic_follower_test.cc
@@ -1,5 +1,5 @@
-// Tests of following a topic: listing, reading on, and one VM that reads for
-// the fleet.
+// Tests of following a topic: listing it, reading further records, and one VM
+// that reads for the fleet.
 
 #include "basilsill/decision/topic_follower.h"
 
@@ -170,8 +170,8 @@
 
 namespace {
 
-/// Simulated VMs that follow one topic and receive each other's updates at
-/// once.
+/// Simulated VMs that follow one topic and receive each other's updates
+/// immediately.
 class Readers {
  public:
   explicit Readers(size_t count) {
--- a/packages/decision/test/topic_records_test.cc
+++ b/packages/decision/test/topic_records_test.cc
@@ -38,8 +38,8 @@
 }
 
 // Failure: the store drops its history, including the record that removed a
-// key. A starting VM that received the last record of the key would serve by
-// it.
+// key. A starting VM that received the last record of the key would apply it,
+// although the key no longer exists.
 TEST(TopicRecords, Listing_WithoutKey_ErasesIt) {
   this->records.Keep(Record("a", 5));
   this->records.Keep(Record("b", 6));
--- a/packages/decision/test/upstream_registry_test.cc
+++ b/packages/decision/test/upstream_registry_test.cc
@@ -182,8 +182,8 @@
   CHECK_FALSE(this->registry.rows().find("a")->second.cold);
 }
 
-// Each change is reported once, so that the log shows when an upstream was
-// leaving, doubted or gone.
+// On-call staff look up in the log why an upstream got no work. Each change of
+// its state is reported once: listed, leaving, removal deferred, gone.
 TEST(UpstreamRegistry, Changes_AfterFirstListing_ReportedOnce) {
   this->registry.BeginListing();
   this->Write(Entry("a"));
