--- a/packages/decision/test/claim_simulation.cc
+++ b/packages/decision/test/claim_simulation.cc
@@ -314,8 +314,9 @@
 }
 
 Digest ClaimSimulation::BodyOf(const Submission& submission) const {
-  const bool alike = this->context.mutation == Mutation::kIgnoreBodies;
-  const std::string_view parts[] = {submission.body == 0 || alike ? "a" : "b"};
+  const bool ignores_bodies = this->context.mutation == Mutation::kIgnoreBodies;
+  const std::string_view parts[] = {
+      submission.body == 0 || ignores_bodies ? "a" : "b"};
   return DigestOf(parts);
 }
 
--- a/packages/decision/test/claim_vm.cc
+++ b/packages/decision/test/claim_vm.cc
@@ -197,12 +197,13 @@
       return;
     }
     this->Post([=, this] {
-      const bool doubt = outcome == AppendOutcome::kUnresolved &&
-                         this->context.mutation != Mutation::kRejectLostAnswers;
+      const bool is_unresolved =
+          outcome == AppendOutcome::kUnresolved &&
+          this->context.mutation != Mutation::kRejectLostAnswers;
       const bool appended = outcome == AppendOutcome::kAppended;
       this->table->OnAppend(
           this->context.time.now(), action.call,
-          doubt || appended ? outcome : AppendOutcome::kRejected);
+          is_unresolved || appended ? outcome : AppendOutcome::kRejected);
       for (size_t i = 0; appended && i < records.size(); ++i) {
         this->on_appended(*DecodeClaimRecord(records[i]));
       }
--- a/packages/decision/test/cold_quota_test.cc
+++ b/packages/decision/test/cold_quota_test.cc
@@ -108,7 +108,7 @@
 
 // Failure: a restarted dispatcher does not know how much it sent before the
 // restart, and sends its whole share again within the same second.
-TEST(ColdQuota, Start_JustBegunToDispatch_ProbedFirst) {
+TEST(ColdQuota, Start_NewDispatcher_ProbedFirst) {
   this->quota.SetShare(5);
   this->quota.BeginDispatch(this->now);
   CHECK_EQUAL(0, this->SendAll());
@@ -194,9 +194,9 @@
   void InjectRandomEvent() {
     if (this->random(400) == 0) {
       const uint32_t first = this->random(kVms);
-      const bool are_two = this->random(2) == 0;
+      const bool has_second = this->random(2) == 0;
       for (uint32_t i = 0; i < kVms; ++i) {
-        const bool is_second = are_two && i == (first + 1) % kVms;
+        const bool is_second = has_second && i == (first + 1) % kVms;
         this->vms[i]->dispatches = i == first || is_second;
       }
     }
@@ -274,7 +274,7 @@
   }
 
   void SendProbes(Vm& vm) {
-    for (size_t i = 0; i < vm.harness.asked.size(); ++i) {
+    for (size_t i = 0; i < vm.harness.queried.size(); ++i) {
       LoadQueryReport report;
       if (this->random(10) > 0) {
         const Duration left = this->cold_until - this->now;
@@ -284,7 +284,7 @@
       }
       vm.probes.push_back({this->now + 1ms, report});
     }
-    vm.harness.asked.clear();
+    vm.harness.queried.clear();
   }
 
   void AnswerProbes(Vm& vm) {
--- a/packages/decision/test/configuration_bench.cc
+++ b/packages/decision/test/configuration_bench.cc
@@ -24,8 +24,8 @@
   size_t vms;
 };
 
-constexpr Size kToday{4, 31, 3, 14};
-constexpr Size kBig{350, 14000, 12, 1000};
+constexpr Size kCurrentSize{4, 31, 3, 14};
+constexpr Size kTargetSize{350, 14000, 12, 1000};
 
 // An installation with one rule per service, and one upstream set per service
 // and data centre.
@@ -175,16 +175,16 @@
   }
 }
 
-BENCHMARK_CAPTURE(FoldOneChange, today, kToday);
-BENCHMARK_CAPTURE(FoldOneChange, big, kBig);
-BENCHMARK_CAPTURE(ViewAfterOneChange, today, kToday);
-BENCHMARK_CAPTURE(ViewAfterOneChange, big, kBig);
-BENCHMARK_CAPTURE(ViewAfterVmLeft, today, kToday);
-BENCHMARK_CAPTURE(ViewAfterVmLeft, big, kBig);
-BENCHMARK_CAPTURE(WriteWholeCheckpoint, today, kToday);
-BENCHMARK_CAPTURE(WriteWholeCheckpoint, big, kBig);
-BENCHMARK_CAPTURE(ReadWholeCheckpoint, today, kToday);
-BENCHMARK_CAPTURE(ReadWholeCheckpoint, big, kBig);
+BENCHMARK_CAPTURE(FoldOneChange, today, kCurrentSize);
+BENCHMARK_CAPTURE(FoldOneChange, big, kTargetSize);
+BENCHMARK_CAPTURE(ViewAfterOneChange, today, kCurrentSize);
+BENCHMARK_CAPTURE(ViewAfterOneChange, big, kTargetSize);
+BENCHMARK_CAPTURE(ViewAfterVmLeft, today, kCurrentSize);
+BENCHMARK_CAPTURE(ViewAfterVmLeft, big, kTargetSize);
+BENCHMARK_CAPTURE(WriteWholeCheckpoint, today, kCurrentSize);
+BENCHMARK_CAPTURE(WriteWholeCheckpoint, big, kTargetSize);
+BENCHMARK_CAPTURE(ReadWholeCheckpoint, today, kCurrentSize);
+BENCHMARK_CAPTURE(ReadWholeCheckpoint, big, kTargetSize);
 
 }  // namespace
 }  // namespace basilsill::test
--- a/packages/decision/test/decision_fixture.h
+++ b/packages/decision/test/decision_fixture.h
@@ -151,10 +151,10 @@
     std::erase_if(this->running, [attempt](const DispatchAction& action) {
       return action.attempt == attempt;
     });
-    const bool goes_on =
+    const bool request_continues =
         this->dispatcher->OnAttemptEnd(this->now, attempt, report);
     this->Collect();
-    return goes_on;
+    return request_continues;
   }
 
   void Advance(Duration duration) {
@@ -167,7 +167,7 @@
 
   /// Answers the load query to `upstream`; it reports `slowness`.
   void AnswerLoadQuery(UpstreamHandle upstream, double slowness) {
-    std::erase(this->asked, upstream);
+    std::erase(this->queried, upstream);
     LoadQueryReport report;
     report.answered = true;
     report.load.known = true;
@@ -240,7 +240,7 @@
       } else if (action.kind == DispatchActionKind::kRefuse) {
         this->refused.push_back(action);
       } else if (action.kind == DispatchActionKind::kQueryLoad) {
-        this->asked.push_back(action.upstream);
+        this->queried.push_back(action.upstream);
       } else {
         this->cancelled.push_back(action);
         std::erase_if(this->running, [&action](const DispatchAction& run) {
@@ -264,7 +264,7 @@
   std::vector<DispatchAction> refused;
   std::vector<DispatchAction> cancelled;
   /// Upstreams with an unanswered load query.
-  std::vector<UpstreamHandle> asked;
+  std::vector<UpstreamHandle> queried;
   std::vector<UpstreamEvent> events;
 };
 
--- a/packages/decision/test/dispatch_drain_test.cc
+++ b/packages/decision/test/dispatch_drain_test.cc
@@ -138,7 +138,7 @@
   cold.Apply();
   cold.Offer();
   CHECK_EQUAL(0, cold.running.size());
-  CHECK_EQUAL(1, cold.asked.size());
+  CHECK_EQUAL(1, cold.queried.size());
   basilsill::LoadQueryReport report;
   report.answered = true;
   report.load = {true, true, 0, 0, 8, 1};
--- a/packages/decision/test/dispatch_failures_test.cc
+++ b/packages/decision/test/dispatch_failures_test.cc
@@ -384,7 +384,7 @@
   CHECK_EQUAL(1, this->harness.dispatcher->counters().hedges_won);
 }
 
-TEST(DispatchFailures, Hedge_OneOfTwoDies_TheOtherGoesOn) {
+TEST(DispatchFailures, Hedge_OneOfTwoDies_OtherContinues) {
   this->harness.WarmUp(200);
   const uint64_t cookie = this->harness.Offer(this->Hedged());
   this->harness.Advance(50ms);
--- a/packages/decision/test/dispatch_fairness_test.cc
+++ b/packages/decision/test/dispatch_fairness_test.cc
@@ -129,11 +129,11 @@
   for (int i = 0; i < 4; ++i) {
     this->Offer({0, 0});
   }
-  int turns = 0;
+  int served_before = 0;
   while (this->Next() != background_request) {
     this->Offer({0, 0});
-    ++turns;
-    CHECK(turns < 60);
+    ++served_before;
+    CHECK(served_before < 60);
   }
   CHECK(this->harness.RefusalFor(background_request) == Refusal::kNone);
 }
@@ -180,11 +180,11 @@
   this->harness.Apply();
   this->Offer({0, 0});
   const uint64_t bulk_request = this->Offer({0, 0}, TrafficClass::kBulk);
-  int turns = 0;
+  int served_before = 0;
   while (this->Next() != bulk_request) {
     this->Offer({0, 0}, TrafficClass::kUrgent);
-    ++turns;
-    CHECK(turns < 40);
+    ++served_before;
+    CHECK(served_before < 40);
   }
 }
 
--- a/packages/decision/test/dispatch_overload_test.cc
+++ b/packages/decision/test/dispatch_overload_test.cc
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr Duration kWork = 160ms;
+constexpr Duration kRequestDuration = 160ms;
 constexpr ShortMillis kLatencyTarget{400};
 constexpr Duration kDeadline = 1200ms;
 
@@ -35,7 +35,7 @@
 TEST_GROUP(DispatchOverload) {
   DispatchHarness harness{Options()};
   std::vector<TimePoint> offered_at;
-  size_t in_target = 0;
+  size_t within_target = 0;
   size_t late = 0;
 
   void setup() override {
@@ -60,13 +60,13 @@
     for (const auto& run : running) {
       TimePoint& started = this->started_at.at(run.cookie - 1);
       started = std::min(started, this->harness.now);
-      if (this->harness.now - started < kWork) {
+      if (this->harness.now - started < kRequestDuration) {
         continue;
       }
       this->harness.End(run.cookie, AttemptEnd::kAnswered);
       const Duration took =
           this->harness.now - this->offered_at.at(run.cookie - 1);
-      ++(took <= kLatencyTarget ? this->in_target : this->late);
+      ++(took <= kLatencyTarget ? this->within_target : this->late);
     }
   }
 
@@ -90,15 +90,15 @@
 // allows, and nearly every answer misses the target.
 TEST(DispatchOverload, Queue_WithoutLatencyTarget_NearlyAllLate) {
   this->Run(100, 5s, false);
-  CHECK(this->in_target * 3 < this->late);
+  CHECK(this->within_target * 3 < this->late);
 }
 
 // With the same load, requests that can still meet their target go first, so
 // that most of the upstreams' work is useful.
 TEST(DispatchOverload, Queue_WithLatencyTarget_MostAnswersInTime) {
   this->Run(100, 5s, true);
-  CHECK(this->in_target > 4 * this->late);
-  CHECK(this->in_target > 200);
+  CHECK(this->within_target > 4 * this->late);
+  CHECK(this->within_target > 200);
 }
 
 // Requests that were moved back are served after the overload, not dropped.
@@ -110,6 +110,6 @@
   }
   CHECK(this->late > 0);
   CHECK_EQUAL(this->offered_at.size(),
-              this->in_target + this->late + this->harness.refused.size());
+              this->within_target + this->late + this->harness.refused.size());
   CHECK(this->harness.refused.size() - refused <= this->late);
 }
--- a/packages/decision/test/dispatch_speed_test.cc
+++ b/packages/decision/test/dispatch_speed_test.cc
@@ -45,8 +45,8 @@
 
   /// Answers all load queries: `slow` reports `slowness`, the others kUsual.
   void AnswerLoadQueries(UpstreamHandle slow, double slowness) {
-    const std::vector<UpstreamHandle> asked = this->harness.asked;
-    for (const UpstreamHandle upstream : asked) {
+    const std::vector<UpstreamHandle> queried = this->harness.queried;
+    for (const UpstreamHandle upstream : queried) {
       this->harness.AnswerLoadQuery(upstream,
                                     upstream == slow ? slowness : kUsual);
     }
@@ -87,14 +87,14 @@
 
 TEST(DispatchSpeed, Offer_SpeedUnknown_QueriesSomeAndWaits) {
   this->harness.Offer();
-  CHECK_EQUAL(3, this->harness.asked.size());
+  CHECK_EQUAL(3, this->harness.queried.size());
   CHECK_EQUAL(0, this->harness.running.size());
 }
 
 TEST(DispatchSpeed, Offer_OneReportsFast_StartsThereAtOnce) {
   const uint64_t cookie = this->harness.Offer();
-  const UpstreamHandle slow = this->harness.asked.at(0);
-  const UpstreamHandle fast = this->harness.asked.at(1);
+  const UpstreamHandle slow = this->harness.queried.at(0);
+  const UpstreamHandle fast = this->harness.queried.at(1);
   this->harness.AnswerLoadQuery(slow, kSlow);
   CHECK_EQUAL(0, this->harness.running.size());
   this->harness.AnswerLoadQuery(fast, kUsual);
@@ -103,13 +103,13 @@
 
 TEST(DispatchSpeed, Offer_RecentReport_SendsNoQuery) {
   this->harness.Offer();
-  const UpstreamHandle fast = this->harness.asked.at(0);
+  const UpstreamHandle fast = this->harness.queried.at(0);
   this->harness.AnswerLoadQuery(fast, kUsual);
-  const size_t asked = this->harness.asked.size();
+  const size_t queried = this->harness.queried.size();
   this->harness.Advance(5ms);
   const uint64_t second = this->harness.Offer();
   CHECK(this->harness.RunOf(second).upstream == fast);
-  CHECK_EQUAL(asked, this->harness.asked.size());
+  CHECK_EQUAL(queried, this->harness.queried.size());
 }
 
 // Failure: all upstreams are slow for a long time, and requests wait for a fast
@@ -117,8 +117,8 @@
 TEST(DispatchSpeed, Offer_AllSlow_StartsOnSlowOneEventually) {
   const uint64_t cookie = this->harness.Offer();
   for (Duration waited{0}; waited < 400ms; waited += 5ms) {
-    const std::vector<UpstreamHandle> asked = this->harness.asked;
-    for (const UpstreamHandle upstream : asked) {
+    const std::vector<UpstreamHandle> queried = this->harness.queried;
+    for (const UpstreamHandle upstream : queried) {
       this->harness.AnswerLoadQuery(upstream, kSlow);
     }
     this->harness.Advance(5ms);
@@ -153,8 +153,8 @@
   this->WarmUp();
   const uint64_t cookie = this->harness.Offer();
   for (Duration waited{0}; waited < 400ms; waited += 5ms) {
-    const std::vector<UpstreamHandle> asked = this->harness.asked;
-    for (const UpstreamHandle upstream : asked) {
+    const std::vector<UpstreamHandle> queried = this->harness.queried;
+    for (const UpstreamHandle upstream : queried) {
       this->harness.AnswerLoadQuery(upstream, kFarTooSlow);
     }
     this->harness.Advance(5ms);
@@ -177,30 +177,30 @@
   LoadQueryReport report;
   report.answered = true;
   this->harness.dispatcher->OnLoadQueryEnd(this->harness.now,
-                                           this->harness.asked.at(0), report);
+                                           this->harness.queried.at(0), report);
   this->harness.Collect();
   CHECK(IsValid(this->harness.RunOf(first).attempt));
-  const size_t asked = this->harness.asked.size();
+  const size_t queried = this->harness.queried.size();
   const uint64_t second = this->harness.Offer();
   CHECK(IsValid(this->harness.RunOf(second).attempt));
-  CHECK_EQUAL(asked, this->harness.asked.size());
+  CHECK_EQUAL(queried, this->harness.queried.size());
 }
 
 // The address now belongs to an instance of another service. It would refuse
 // the request, so the upstream counts as leaving.
 TEST(DispatchSpeed, OnLoadQueryEnd_AnotherUpstreamAnswers_GetsNoWork) {
   this->harness.Offer();
-  const UpstreamHandle gone = this->harness.asked.at(0);
+  const UpstreamHandle replaced = this->harness.queried.at(0);
   LoadQueryReport report;
   report.answered = true;
   report.foreign = true;
-  this->harness.dispatcher->OnLoadQueryEnd(this->harness.now, gone, report);
+  this->harness.dispatcher->OnLoadQueryEnd(this->harness.now, replaced, report);
   this->harness.Collect();
   for (int i = 0; i < 8; ++i) {
     this->harness.Offer();
   }
   this->harness.Advance(500ms);
-  CHECK_EQUAL(0, this->harness.RunningOn(gone));
+  CHECK_EQUAL(0, this->harness.RunningOn(replaced));
   CHECK_FALSE(this->harness.running.empty());
 }
 
@@ -211,7 +211,7 @@
 class NoisyShard {
  public:
   static constexpr Duration kSlowPeriod = 150ms;
-  static constexpr Duration kWork = 160ms;
+  static constexpr Duration kRequestDuration = 160ms;
   static constexpr Duration kLatencyTarget = 400ms;
 
   explicit NoisyShard(bool use_queries) : harness(OptionsOf(use_queries)) {
@@ -228,11 +228,11 @@
     const Duration gap(static_cast<int64_t>(1e9 / per_second));
     const TimePoint end = this->harness.now + length;
     TimePoint next = this->harness.now;
-    TimePoint redraw = this->harness.now;
+    TimePoint next_redraw = this->harness.now;
     while (this->harness.now < end) {
-      if (this->harness.now >= redraw) {
-        this->Redraw();
-        redraw += kSlowPeriod;
+      if (this->harness.now >= next_redraw) {
+        this->RedrawSlowness();
+        next_redraw += kSlowPeriod;
       }
       if (this->harness.now >= next) {
         this->harness.Offer();
@@ -241,7 +241,7 @@
       }
       this->Step();
     }
-    return static_cast<double>(this->in_target) /
+    return static_cast<double>(this->within_target) /
            static_cast<double>(this->answered);
   }
 
@@ -255,7 +255,7 @@
     return options;
   }
 
-  void Redraw() {
+  void RedrawSlowness() {
     for (double& one : this->slowness) {
       one = this->random(4) == 0 ? kSlow : kUsual;
     }
@@ -263,7 +263,7 @@
 
   void Step() {
     this->harness.Advance(1ms);
-    const std::vector<UpstreamHandle> queries = this->harness.asked;
+    const std::vector<UpstreamHandle> queries = this->harness.queried;
     for (const UpstreamHandle upstream : queries) {
       ++this->answered_queries;
       this->harness.AnswerLoadQuery(upstream, this->slowness[upstream.index]);
@@ -275,8 +275,9 @@
       }
       if (this->ends[cookie] == basilsill::kNever) {
         const double slow = this->slowness[run.upstream.index];
-        this->ends[cookie] = this->harness.now +
-                             std::chrono::duration_cast<Duration>(kWork * slow);
+        this->ends[cookie] =
+            this->harness.now +
+            std::chrono::duration_cast<Duration>(kRequestDuration * slow);
       }
     }
     const auto running = this->harness.running;
@@ -286,7 +287,7 @@
         ++this->answered;
         const Duration took =
             this->harness.now - this->offered_at.at(run.cookie - 1);
-        this->in_target += took <= kLatencyTarget ? 1 : 0;
+        this->within_target += took <= kLatencyTarget ? 1 : 0;
       }
     }
   }
@@ -297,7 +298,7 @@
   std::vector<TimePoint> offered_at;
   std::vector<TimePoint> ends;
   size_t answered = 0;
-  size_t in_target = 0;
+  size_t within_target = 0;
   size_t answered_queries = 0;
 };
 
@@ -328,23 +329,23 @@
   DispatchHarness many;
   ApplyManySlots(many);
   many.Offer();
-  const std::vector<UpstreamHandle> asked = many.asked;
-  many.asked.clear();
-  many.AnswerLoadQuery(asked.front(), kUsual);
+  const std::vector<UpstreamHandle> queried = many.queried;
+  many.queried.clear();
+  many.AnswerLoadQuery(queried.front(), kUsual);
   for (int i = 0; i < 2; ++i) {
     many.Offer();
   }
-  CHECK_EQUAL(3, many.RunningOn(asked.front()));
+  CHECK_EQUAL(3, many.RunningOn(queried.front()));
   many.Advance(21ms);
-  many.AnswerLoadQuery(asked.front(), kUsual);
-  many.asked.clear();
+  many.AnswerLoadQuery(queried.front(), kUsual);
+  many.queried.clear();
   many.Offer();
-  CHECK_EQUAL(3, many.RunningOn(asked.front()));
-  CHECK(!many.asked.empty());
-  const UpstreamHandle idle = many.asked.front();
+  CHECK_EQUAL(3, many.RunningOn(queried.front()));
+  CHECK(!many.queried.empty());
+  const UpstreamHandle idle = many.queried.front();
   many.AnswerLoadQuery(idle, kUsual);
   CHECK(many.RunningOn(idle) > 0);
-  CHECK_EQUAL(3, many.RunningOn(asked.front()));
+  CHECK_EQUAL(3, many.RunningOn(queried.front()));
 }
 
 // If idle upstreams do not answer, the request is held no longer than the
@@ -353,7 +354,7 @@
   DispatchHarness many;
   ApplyManySlots(many);
   many.Offer();
-  const UpstreamHandle fast = many.asked.front();
+  const UpstreamHandle fast = many.queried.front();
   many.AnswerLoadQuery(fast, kUsual);
   for (int i = 0; i < 3; ++i) {
     many.Offer();
--- a/packages/decision/test/dispatch_test.cc
+++ b/packages/decision/test/dispatch_test.cc
@@ -124,7 +124,7 @@
   CHECK(this->harness.RefusalFor(next) == Refusal::kDeadlinePassedInQueue);
 }
 
-TEST(Dispatch, Tick_DeadlinePassesAfterFirstByte_AnswerGoesOn) {
+TEST(Dispatch, Tick_DeadlinePassesAfterFirstByte_AnswerContinues) {
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
   const uint64_t download = this->harness.Offer();
@@ -139,12 +139,12 @@
 TEST(Dispatch, Cancel_WhileRunning_CancelsAndFreesSlot) {
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
-  const uint64_t gone = this->harness.Offer();
+  const uint64_t cancelled_request = this->harness.Offer();
   const uint64_t next = this->harness.Offer();
   this->harness.dispatcher->Cancel(this->harness.now,
-                                   this->harness.HandleOf(gone));
+                                   this->harness.HandleOf(cancelled_request));
   this->harness.Collect();
-  CHECK_EQUAL(gone, this->harness.cancelled.front().cookie);
+  CHECK_EQUAL(cancelled_request, this->harness.cancelled.front().cookie);
   CHECK(IsValid(this->harness.RunOf(next).attempt));
 }
 
@@ -154,10 +154,10 @@
   // that has the slot by now.
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
-  const uint64_t gone = this->harness.Offer();
-  const auto attempt = this->harness.RunOf(gone).attempt;
+  const uint64_t cancelled_request = this->harness.Offer();
+  const auto attempt = this->harness.RunOf(cancelled_request).attempt;
   this->harness.dispatcher->Cancel(this->harness.now,
-                                   this->harness.HandleOf(gone));
+                                   this->harness.HandleOf(cancelled_request));
   this->harness.Collect();
   const uint64_t next = this->harness.Offer();
   CHECK(this->harness.dispatcher->OnAttemptEnd(
@@ -194,7 +194,7 @@
   CHECK_EQUAL(3, this->harness.Queued());
 }
 
-TEST(Dispatch, ApplyView_LastUpstreamGoes_WaitingOnesAreRefused) {
+TEST(Dispatch, ApplyView_LastUpstreamRemoved_WaitingOnesAreRefused) {
   this->harness.fixture.AddUpstream(0, 1);
   this->harness.Apply();
   this->harness.Offer();
--- a/packages/decision/test/leave_slow_test.cc
+++ b/packages/decision/test/leave_slow_test.cc
@@ -57,9 +57,9 @@
 
   /// Answers all load queries with the values of `slowness` in turn.
   void AnswerLoadQueries(const std::vector<double>& slowness) {
-    const std::vector<UpstreamHandle> asked = this->shard->asked;
-    for (size_t i = 0; i < asked.size(); ++i) {
-      this->shard->AnswerLoadQuery(asked[i], slowness[i % slowness.size()]);
+    const std::vector<UpstreamHandle> queried = this->shard->queried;
+    for (size_t i = 0; i < queried.size(); ++i) {
+      this->shard->AnswerLoadQuery(queried[i], slowness[i % slowness.size()]);
     }
   }
 
@@ -121,7 +121,7 @@
 class FourDataCentres {
  public:
   static constexpr Duration kSlowPeriod = 500ms;
-  static constexpr Duration kWork = 88ms;
+  static constexpr Duration kRequestDuration = 88ms;
   static constexpr Duration kLatencyTarget = 250ms;
   static constexpr Duration kMoveDelay = 3ms;
   static constexpr size_t kCount = 4;
@@ -137,11 +137,11 @@
   double Run(double per_second, Duration length) {
     const Duration gap(static_cast<int64_t>(1e9 / per_second));
     TimePoint next = this->now();
-    TimePoint redraw = this->now();
+    TimePoint next_redraw = this->now();
     for (const TimePoint end = this->now() + length; this->now() < end;) {
-      if (this->now() >= redraw) {
-        this->Redraw();
-        redraw += kSlowPeriod;
+      if (this->now() >= next_redraw) {
+        this->RedrawSlowness();
+        next_redraw += kSlowPeriod;
       }
       if (this->now() >= next) {
         this->Offer(this->random(kCount), this->now(), true);
@@ -149,7 +149,7 @@
       }
       this->Step();
     }
-    return static_cast<double>(this->in_target) /
+    return static_cast<double>(this->within_target) /
            static_cast<double>(this->answered);
   }
 
@@ -164,7 +164,7 @@
 
   TimePoint now() const { return this->shards[0]->now; }
 
-  void Redraw() {
+  void RedrawSlowness() {
     for (double& one : this->slowness) {
       one = this->random(4) == 0 ? kSlow : kUsual;
     }
@@ -184,8 +184,8 @@
     for (size_t place = 0; place < kCount; ++place) {
       DispatchHarness& shard = *this->shards[place];
       shard.Advance(1ms);
-      const std::vector<UpstreamHandle> asked = shard.asked;
-      for (const UpstreamHandle upstream : asked) {
+      const std::vector<UpstreamHandle> queried = shard.queried;
+      for (const UpstreamHandle upstream : queried) {
         shard.AnswerLoadQuery(upstream, this->SlownessOf(place, upstream));
       }
     }
@@ -209,8 +209,8 @@
     }
     if (IsValid(run.attempt) && request.ends == basilsill::kNever) {
       const double slow = this->SlownessOf(request.shard, run.upstream);
-      request.ends =
-          this->now() + std::chrono::duration_cast<Duration>(kWork * slow);
+      request.ends = this->now() + std::chrono::duration_cast<Duration>(
+                                       kRequestDuration * slow);
     }
     if (request.ends > this->now()) {
       this->sent.push_back(request);
@@ -218,7 +218,7 @@
     }
     shard.End(request.cookie, AttemptEnd::kAnswered);
     ++this->answered;
-    this->in_target +=
+    this->within_target +=
         this->now() - request.offered_at <= kLatencyTarget ? 1 : 0;
   }
 
@@ -227,7 +227,7 @@
   std::vector<Sent> sent;
   pcg32 random{11};
   size_t answered = 0;
-  size_t in_target = 0;
+  size_t within_target = 0;
 };
 
 }  // namespace
--- a/packages/decision/test/membership_test.cc
+++ b/packages/decision/test/membership_test.cc
@@ -85,15 +85,15 @@
   }
 
   /// Advances time in ticks; `vm` answers heartbeats if `answers`.
-  void Pass(Duration span, VmHandle vm, bool answers) {
+  void AdvanceWithHeartbeats(Duration span, VmHandle vm, bool answers) {
     const TimePoint end = this->now + span;
     while (this->now < end) {
       this->now += milliseconds(100);
       this->members->ClearActions();
       this->members->Tick(this->now);
-      const bool asked =
+      const bool heartbeat_sent =
           CountActions(*this->members, MembershipActionKind::kHeartbeat) > 0;
-      if (answers && asked) {
+      if (answers && heartbeat_sent) {
         this->members->OnMessageReceived(this->now, vm, 7);
       }
     }
@@ -122,9 +122,9 @@
   this->members->OnVmList(this->now, 6, {});
   CHECK(this->StateOf("a") == VmState::kLive);
   CHECK(RowNamed(*this->members, "b") == nullptr);
-  this->Pass(seconds(120), a, true);
+  this->AdvanceWithHeartbeats(seconds(120), a, true);
   CHECK(this->StateOf("a") == VmState::kLive);
-  this->Pass(seconds(61), a, false);
+  this->AdvanceWithHeartbeats(seconds(61), a, false);
   CHECK(RowNamed(*this->members, "a") == nullptr);
 }
 
@@ -176,15 +176,15 @@
 TEST(Membership, Tick_NeededPeerSilent_SuspectedThenTrustedOnHello) {
   const VmHandle a = this->Connect("a", 7);
   this->Need(a);
-  this->Pass(seconds(10), a, true);
+  this->AdvanceWithHeartbeats(seconds(10), a, true);
   CHECK(this->StateOf("a") == VmState::kLive);
-  this->Pass(milliseconds(3900), a, false);
+  this->AdvanceWithHeartbeats(milliseconds(3900), a, false);
   CHECK(this->StateOf("a") == VmState::kSuspected);
   this->members->SetNeeds(this->now, {});  // It no longer owns any shard.
   size_t drops = 0;
   size_t opens = 0;
   for (int i = 0; i < 100; ++i) {
-    this->Pass(milliseconds(100), a, false);
+    this->AdvanceWithHeartbeats(milliseconds(100), a, false);
     drops += CountActions(*this->members, MembershipActionKind::kDropLink);
     opens += CountActions(*this->members, MembershipActionKind::kOpenLink);
   }
@@ -197,7 +197,7 @@
 TEST(Membership, Tick_PeerNotNeeded_NoHeartbeatAndNoLink) {
   const VmHandle a = this->Connect("a", 7);
   for (int i = 0; i < 50; ++i) {
-    this->Pass(seconds(1), a, false);
+    this->AdvanceWithHeartbeats(seconds(1), a, false);
     CHECK_EQUAL(0, this->members->actions().size());
   }
   CHECK(this->StateOf("a") == VmState::kLive);
@@ -209,16 +209,16 @@
 TEST(Membership, OnLinkLost_FlappingLink_IsDamped) {
   const VmHandle a = this->Connect("a", 7);
   this->Need(a);
-  size_t turns = 0;
+  size_t suspicion_count = 0;
   for (int i = 0; i < 60; ++i) {
-    this->Pass(seconds(2), a, true);
+    this->AdvanceWithHeartbeats(seconds(2), a, true);
     this->members->OnLinkLost(this->now, a, 7);
-    turns += HasEvent(*this->members, Event::kVmSuspected) ? 1 : 0;
+    suspicion_count += HasEvent(*this->members, Event::kVmSuspected) ? 1 : 0;
     this->Connect("a", 7);
   }
-  CHECK(turns < 20);
+  CHECK(suspicion_count < 20);
   CHECK(this->StateOf("a") == VmState::kSuspected);
-  this->Pass(seconds(61), a, true);
+  this->AdvanceWithHeartbeats(seconds(61), a, true);
   CHECK(this->StateOf("a") == VmState::kLive);
 }
 
@@ -243,7 +243,7 @@
   this->Need(a);
   size_t opens = 0;
   for (int i = 0; i < 600; ++i) {
-    this->Pass(milliseconds(100), a, false);
+    this->AdvanceWithHeartbeats(milliseconds(100), a, false);
     if (CountActions(*this->members, MembershipActionKind::kOpenLink) > 0) {
       ++opens;
       this->members->OnOpenFailed(this->now, a);
@@ -255,9 +255,9 @@
 }
 
 TEST(Membership, Tick_PlatformSilent_ListBecomesStaleOnce) {
-  this->Pass(seconds(59), {}, false);
+  this->AdvanceWithHeartbeats(seconds(59), {}, false);
   CHECK_FALSE(this->members->IsListStale());
-  this->Pass(seconds(1), {}, false);
+  this->AdvanceWithHeartbeats(seconds(1), {}, false);
   CHECK(HasEvent(*this->members, Event::kVmListStale));
   this->members->OnVmList(this->now, 5, {});
   CHECK_FALSE(this->members->IsListStale());
@@ -405,11 +405,11 @@
                        size_t to,
                        const MembershipAction& action,
                        bool lost) {
-    Membership& asker = *this->vms[from].members;
+    Membership& sender = *this->vms[from].members;
     if (action.incarnation != this->vms[to].incarnation) {
-      asker.OnLinkLost(this->now, action.vm, action.incarnation);
+      sender.OnLinkLost(this->now, action.vm, action.incarnation);
     } else if (!lost) {
-      asker.OnMessageReceived(this->now, action.vm, action.incarnation);
+      sender.OnMessageReceived(this->now, action.vm, action.incarnation);
     }
   }
 
--- a/packages/decision/test/rate_limit_simulation.cc
+++ b/packages/decision/test/rate_limit_simulation.cc
@@ -219,7 +219,7 @@
 }
 
 void RateLimitSimulation::ReceiveProbes(uint32_t number, Vm& vm) {
-  for (const UpstreamHandle upstream : std::exchange(vm.harness.asked, {})) {
+  for (const UpstreamHandle upstream : std::exchange(vm.harness.queried, {})) {
     this->CountArrival(number, upstream);
     ++this->upstreams.at(upstream.index).probes;
     vm.probes.push_back({this->now + 1ms, upstream});
@@ -255,9 +255,10 @@
 
 void RateLimitSimulation::CheckBound(Upstream& upstream) {
   const double step = std::chrono::duration<double>(kStep).count();
-  const bool just_fell = this->now - upstream.decreased_at < kNoticeDelay;
+  const bool recently_decreased =
+      this->now - upstream.decreased_at < kNoticeDelay;
   const double limit = std::max(upstream.limit.value_or(kNoLimit),
-                                just_fell ? upstream.limit_before : 0);
+                                recently_decreased ? upstream.limit_before : 0);
   const double allowed = limit * step;
   upstream.allowed.push_back(allowed);
   upstream.allowed_sum += allowed;
--- a/packages/decision/test/rate_limit_test.cc
+++ b/packages/decision/test/rate_limit_test.cc
@@ -205,7 +205,7 @@
     this->harness->dispatcher->Cancel(this->harness->now,
                                       this->harness->HandleOf(cookie));
     this->harness->Collect();
-    this->harness->asked.clear();
+    this->harness->queried.clear();
     this->harness->Advance(5s);
   }
 
@@ -331,13 +331,13 @@
   CHECK(this->harness->RunningOn(this->limited) > 0);
   this->harness->EndOn(this->limited, Limited(0));
   this->EndAll();
-  this->harness->asked.clear();
+  this->harness->queried.clear();
   this->harness->Advance(500ms);
   this->OfferMany();
   this->harness->Advance(30ms);
-  CHECK(!this->harness->asked.empty());
-  for (const UpstreamHandle asked : this->harness->asked) {
-    CHECK(asked != this->limited);
+  CHECK(!this->harness->queried.empty());
+  for (const UpstreamHandle queried : this->harness->queried) {
+    CHECK(queried != this->limited);
   }
   this->CheckLimitedGetsNothing();
 }
--- a/packages/decision/test/repeat_history_test.cc
+++ b/packages/decision/test/repeat_history_test.cc
@@ -97,7 +97,7 @@
   const size_t answered_before = simulation.answered();
   simulation.SetFailing(0, true);
   simulation.Run(10s);
-  const size_t asked = simulation.requests() - before;
-  CHECK(simulation.answered() - answered_before >= asked * 95 / 100);
+  const size_t request_count = simulation.requests() - before;
+  CHECK(simulation.answered() - answered_before >= request_count * 95 / 100);
   CHECK(simulation.repeats() > 0);
 }
--- a/packages/decision/test/repeat_simulation.cc
+++ b/packages/decision/test/repeat_simulation.cc
@@ -17,7 +17,7 @@
 constexpr unsigned kHopBits = 8;
 constexpr uint64_t kHopMask = (1U << kHopBits) - 1;
 // Divides the limit's window into halves.
-constexpr int kWindowHalf = 2;
+constexpr int kWindowHalves = 2;
 
 size_t CountWithin(const std::vector<TimePoint>& times,
                    TimePoint after,
@@ -280,8 +280,9 @@
 void RepeatSimulation::Start(uint32_t number, const DispatchAction& action) {
   const AttemptEnd end =
       this->OnArrival(action.cookie >> kHopBits, action.upstream);
-  const Duration time =
-      end == AttemptEnd::kShed ? kShedTime : Duration(this->options.work);
+  const Duration time = end == AttemptEnd::kShed
+                            ? kShedTime
+                            : Duration(this->options.request_duration);
   this->attempts.push_back(
       {this->now + time, action.cookie, number, action.attempt, end});
 }
@@ -371,7 +372,7 @@
   double worst = -this->options.bound.slack;
   for (const TimePoint end : this->repeat_times) {
     size_t counted = 0;
-    for (const Duration back : {Duration(0), window / kWindowHalf, window}) {
+    for (const Duration back : {Duration(0), window / kWindowHalves, window}) {
       counted = std::max(counted, CountWithin(this->request_times,
                                               end - back - window, end - back));
     }
--- a/packages/decision/test/repeat_simulation.h
+++ b/packages/decision/test/repeat_simulation.h
@@ -25,7 +25,7 @@
   uint32_t upstreams = 6;
   uint16_t slots = 2;
   double requests_per_second = 70;
-  std::chrono::milliseconds work{60};
+  std::chrono::milliseconds request_duration{60};
   uint32_t shed_percent = 0;  ///< Of the requests that reach an upstream.
   RepeatBudgetOptions bound{0.2, 58, std::chrono::seconds(10)};
 };
