--- a/packages/base/include/basilsill/base/time.h
+++ b/packages/base/include/basilsill/base/time.h
@@ -5,8 +5,9 @@
 #include <cstdint>
 
 /// The clocks of the project. Decision code never reads a clock: its caller
-/// passes it a time point. The caller is a test with virtual time or the shell,
-/// which is the code that does input and output.
+/// passes it a time point. The caller is a test with virtual time or the host,
+/// which is the code that does input and output and carries out what the
+/// decision code returns.
 
 namespace basilsill {
 
@@ -20,7 +21,7 @@
   using time_point = std::chrono::time_point<MonotonicClock, Duration>;
   static constexpr bool is_steady = true;  // NOLINT: the standard's name.
 
-  /// @returns the monotonic time now. For shells only.
+  /// @returns the monotonic time now. For hosts only.
   static time_point now() {
     return time_point(std::chrono::steady_clock::now().time_since_epoch());
   }
@@ -36,7 +37,7 @@
   using time_point = std::chrono::time_point<LeaseClock, Duration>;
   static constexpr bool is_steady = true;  // NOLINT: the standard's name.
 
-  /// @returns the time now. For shells only.
+  /// @returns the time now. For hosts only.
   static time_point now();
 };
 using LeaseTime = LeaseClock::time_point;
--- a/packages/decision/include/basilsill/decision/announcement.h
+++ b/packages/decision/include/basilsill/decision/announcement.h
@@ -10,7 +10,7 @@
 
 /// Gets the entry of this VM written to the platform's VM list. A running VM
 /// (the helper) writes the entry on request, many entries in one call; if no
-/// helper does so in time, the VM writes the entry itself. Pure; the shell
+/// helper does so in time, the VM writes the entry itself. Pure; the host
 /// sends the messages and makes the calls.
 ///
 /// Only the VM that an entry names decides its contents. If a helper dies
@@ -46,7 +46,7 @@
   /// The link with `vm` is up.
   void OnLinked(VmHandle vm);
 
-  /// @returns the next step. The shell must carry it out at once.
+  /// @returns the next step. The host must carry it out at once.
   AnnouncementStep Next(TimePoint now);
 
   /// @returns when Next is due if no other method is called before; kNever if
--- a/packages/decision/include/basilsill/decision/topic_follower.h
+++ b/packages/decision/include/basilsill/decision/topic_follower.h
@@ -9,7 +9,7 @@
 
 /// Keeps up with one topic of the platform's record store: it lists the newest
 /// record of each key, then reads the records appended since, and lists again
-/// if the records to be read next have been trimmed. Pure; the shell makes the
+/// if the records to be read next have been trimmed. Pure; the host makes the
 /// calls.
 ///
 /// Many VMs follow the same topics, and one read serves all of them: a VM that
