--- a/bench/ablation.cc
+++ b/bench/ablation.cc
@@ -9,11 +9,11 @@
 namespace basilsill::bench {
 namespace {
 
-/// Relative changes up to this share count as noise.
+/// A relative change of at most this share is noise.
 constexpr double kNoise = 0.03;
 
-/// Absolute changes of the share of requests without an answer up to this count
-/// as noise.
+/// An absolute change of at most this much in the share of requests without an
+/// answer is noise.
 constexpr double kLostNoise = 0.0005;
 
 StrategySpec Make(const std::string& name, const PolicyFeatures& features) {
--- a/bench/model/deployment.h
+++ b/bench/model/deployment.h
@@ -49,10 +49,12 @@
   std::vector<InstanceSpec> instances;
 };
 
-/// Rodopa: 3 data centres, 13 entry VMs, 4 services of 31 instances.
+/// Models the deployment of Rodopa: 3 data centres, 13 entry VMs, 4 services of
+/// 31 instances.
 Deployment MakeSofia();
 
-/// Fjellmagasin: 4 data centres, 14 entry VMs, 4 services of 33 instances.
+/// Models the deployment of Fjellmagasin: 4 data centres, 14 entry VMs, 4
+/// services of 33 instances.
 Deployment MakeVestlandet();
 
 /// `teams` teams with one service of `instances` instances each, in the data
--- a/bench/model/scenarios_fault.cc
+++ b/bench/model/scenarios_fault.cc
@@ -168,9 +168,9 @@
   return scenario;
 }
 
-/// The VM list marks all dispatchers of the readings service as leaving, and 6
-/// s later as live again. Each change reaches the VMs one after the other
-/// within 5 s, so that their views differ.
+/// The VM list marks all dispatchers of the readings service as leaving, and as
+/// live again 6 s later. Each change reaches the VMs one after the other within
+/// 5 s, so that their views differ.
 Scenario MakeDivergentViews(const Deployment& deployment) {
   Scenario scenario = MakeReadings(deployment, 0.7);
   const std::set<size_t> vms = DispatchersOf(deployment);
--- a/bench/model/upstreams.h
+++ b/bench/model/upstreams.h
@@ -48,7 +48,7 @@
 /// Work that a request causes at an instance.
 struct Demand {
   Duration time{};  ///< Service time without slowdown.
-  /// The instance crashes when it starts the request.
+  /// The instance crashes shortly after it starts the request.
   bool crashes_instance = false;
 };
 
--- a/soak/main.cc
+++ b/soak/main.cc
@@ -178,7 +178,8 @@
   const Observations observations = basilsill::soak::RunPlan(plan, options);
   const auto broken =
       basilsill::soak::FindViolations(observations, basilsill::soak::Bounds());
-  // If no request were executed, no promise could be broken.
+  // A run without executed requests fails, as most promises can't be broken
+  // without any.
   const bool served = !observations.runs.empty();
   PrintCounts(plan, observations, broken.size());
   for (const Violation& violation : broken) {
--- a/soak/promises.cc
+++ b/soak/promises.cc
@@ -487,8 +487,8 @@
     }
   }
 
-  // Disturbed periods are skipped: a link that recovers delivers at
-  // once what was sent over several seconds.
+  // Skips disturbed periods: a link that recovers delivers at once what was
+  // sent over several seconds.
   void CheckCold() {
     for (const ColdRow& cold : this->observations.cold_periods) {
       std::vector<TimePoint> recent;
--- a/soak/promises.h
+++ b/soak/promises.h
@@ -14,7 +14,7 @@
 namespace basilsill::soak {
 
 enum class Promise : uint8_t {
-  kOwnAnswer,      ///< A success is the complete response to that request.
+  kOwnAnswer,      ///< A success is the complete response to its request.
   kOnce,           ///< An unsafe request is executed at most once.
   kNotRun,         ///< A request refused as not executed never is.
   kLeaving,        ///< A draining upstream gets no new requests after a bound.
@@ -24,10 +24,10 @@
   kRepeats,        ///< Retries of the fleet stay within their budget.
   kRecovery,       ///< Service recovers after all nodes were killed.
   kCallerGone,     ///< No request starts after its caller disconnected.
-  kTimeout,        ///< A request is answered at its timeout.
+  kTimeout,        ///< A request is answered no later than its timeout.
   kStaysUp,        ///< No node crashes.
   kDrained,        ///< A drained data centre gets no new requests.
-  kCold,           ///< A cold upstream gets a bounded number per second.
+  kCold,           ///< Requests per second to a cold upstream are bounded.
   kRateLimit,      ///< An advertised rate limit is kept approximately.
   kKeyRevoked,     ///< A revoked API key is refused.
   kTeamQuota,      ///< A team gets no more than its quota.
--- a/soak/rig.cc
+++ b/soak/rig.cc
@@ -32,7 +32,7 @@
 constexpr milliseconds kStartTimeout{15000};
 constexpr milliseconds kStartPollInterval{50};
 constexpr milliseconds kLagInterval{20};
-// Time that requests open at the end of the traffic have to be answered.
+// Time after the end of the traffic in which open requests can be answered.
 constexpr milliseconds kFinalAnswersTime{3000};
 // With the factor and slack of the settings, the bound for a cold upstream is
 // sixteen requests in any second.
@@ -143,7 +143,8 @@
     co_await this->fleet.Flood(this->plan.seed, kFloodedFor);
   }
 
-  // Eight hexadecimal digits; versions increase by more than one.
+  // Formats a version as eight hexadecimal digits. Successive versions differ
+  // by more than one.
   static std::string VersionText(uint64_t version) {
     constexpr uint64_t base = 0x10000000;
     constexpr uint64_t step = 3;
