--- a/packages/ctl/include/basilsill/ctl/load.h
+++ b/packages/ctl/include/basilsill/ctl/load.h
@@ -22,19 +22,21 @@
 
 /// Result of one attempt, or of a request after all its attempts.
 enum class LoadVerdict : uint8_t {
-  kRight,    ///< The complete response to this request.
-  kRefused,  ///< A refusal with a reason and a promise, or by the upstream.
-  // No complete response; the caller can see this.
+  kRight,  ///< The complete response to this request.
+  /// A refusal by the upstream, or an error status with a reason and a promise
+  /// that says whether the request may have run.
+  kRefused,
+  // No complete response, which the caller can detect.
   kConnectFailed,
   kClosed,     ///< Connection closed before any byte of a response.
   kCutShort,   ///< Connection closed in the middle of a response.
-  kMalformed,  ///< The received bytes are no HTTP response.
+  kMalformed,  ///< The received bytes are not an HTTP response.
   kTimedOut,
-  // A response that looks complete and is wrong.
+  // A response that looks complete but is wrong.
   kWrongTag,     ///< The response belongs to another request.
   kWrongDigest,  ///< The body differs from the one the upstream sent.
   kWrongBody,    ///< The body belongs to another request.
-  kWrongUpload,  ///< The upstream received another body than was sent.
+  kWrongUpload,  ///< The upstream received another body than the one sent.
   kUnexplained,  ///< An error status that lacks a reason or promise.
   kCount
 };
--- a/packages/ctl/include/basilsill/ctl/upstream.h
+++ b/packages/ctl/include/basilsill/ctl/upstream.h
@@ -119,7 +119,7 @@
 };
 
 /// A set of emulated instances in this process, which run on their own threads.
-/// Public methods may be called from any thread except these.
+/// Public methods may be called from any thread except those of the instances.
 class EmulatedUpstreams {
  public:
   /// Opens every listener and starts the threads.
--- a/packages/ctl/src/command.cc
+++ b/packages/ctl/src/command.cc
@@ -23,7 +23,7 @@
 }
 
 // Splits "--name=value" into two arguments. TCLAP supports only one delimiter
-// between a name and its value, and that is the space here.
+// between a name and its value, and `basilsillctl` sets it to a space.
 CommandArguments SplitValues(const CommandArguments& arguments) {
   CommandArguments split;
   bool is_name_allowed = true;
--- a/packages/ctl/src/load_check.cc
+++ b/packages/ctl/src/load_check.cc
@@ -17,8 +17,8 @@
 constexpr size_t kMaxBodyStartBytes = 4096;
 constexpr std::string_view kUpstreamRefusal = "upstream-refused";
 
-// Returns the retry delay of a refusal. The body gives milliseconds and comes
-// first; the Retry-After header only gives whole seconds.
+// Returns the retry delay of a refusal. The body takes precedence because it
+// gives milliseconds; the Retry-After header only gives whole seconds.
 std::optional<Duration> RetryAfter(const LoadResponseHead& head,
                                    const std::string& body) {
   json::error_code error;
--- a/packages/ctl/src/load_connection.cc
+++ b/packages/ctl/src/load_connection.cc
@@ -243,8 +243,8 @@
 }
 
 // A peek at an idle connection returns end of file if the peer has closed it.
-// Bytes on an idle connection belong to no request, so that such a connection
-// can't be reused and counts as closed, too.
+// Bytes on an idle connection belong to no request. Such a connection can't be
+// reused and therefore also counts as closed.
 bool LoadConnection::IsClosed() {
   if (!this->socket.is_open()) {
     return true;
--- a/packages/ctl/src/load_idle.h
+++ b/packages/ctl/src/load_idle.h
@@ -15,8 +15,8 @@
 
 class LoadIdleConnections {
  public:
-  /// Opens all connections, sends one request over each, and blocks until all
-  /// responses are there or have failed.
+  /// Opens all connections, sends one request over each, and blocks until each
+  /// response has arrived or its connection has failed.
   /// @param options Reads idle_connections, targets (or direct) and mix.
   explicit LoadIdleConnections(const LoadOptions& options);
 
--- a/packages/ctl/src/load_schedule.h
+++ b/packages/ctl/src/load_schedule.h
@@ -21,9 +21,10 @@
   LoadSide side = LoadSide::kThrough;
   size_t kind = 0;  ///< Index in the mix.
   unsigned resends = 0;
-  std::string tag;  ///< The same for all attempts, and so is the body.
-  std::string key;  ///< Idempotency key; empty if it may run twice.
-  /// At least one attempt ended without the promise that it did not run.
+  std::string tag;  ///< The same for all attempts, like the body.
+  std::string key;  ///< Idempotency key; empty if the request may run twice.
+  /// At least one attempt ended without the promise that the request did not
+  /// run.
   bool may_have_run = false;
 };
 
--- a/packages/ctl/src/load_worker.h
+++ b/packages/ctl/src/load_worker.h
@@ -24,7 +24,7 @@
 struct LoadKeyOutcome {
   std::string key;
   LoadVerdict verdict = LoadVerdict::kTimedOut;
-  /// Every attempt ended with the promise that it did not run.
+  /// Every attempt ended with the promise that the request did not run.
   bool promised_not_run = false;
 };
 
--- a/packages/ctl/src/resource_watch.cc
+++ b/packages/ctl/src/resource_watch.cc
@@ -139,8 +139,8 @@
   co_return ExitStatus::kUnavailable;
 }
 
-// Without an offset the watch starts after the newest change that the node that
-// answers has in force.
+// Without an offset, the watch starts after the newest change that is in force
+// on the node that answers.
 asio::awaitable<ExitStatus> Watch(ResourceClient& client,
                                   EndpointSet nodes,
                                   std::optional<uint64_t> from,
--- a/packages/ctl/src/upstream_session.cc
+++ b/packages/ctl/src/upstream_session.cc
@@ -341,7 +341,7 @@
 }
 
 // If the caller closed the connection, the socket is readable but has no bytes.
-// Bytes are a pipelined request, which Run() reads later.
+// If it has bytes, they belong to a pipelined request, which Run() reads later.
 void UpstreamSession::OnReadable() {
   this->watching_for_close = false;
   if (this->phase != Phase::kQueued && this->phase != Phase::kRunning) {
--- a/packages/ctl/src/upstream_state.h
+++ b/packages/ctl/src/upstream_state.h
@@ -44,7 +44,7 @@
   TimePoint finish = kNever;  ///< For kRun.
 };
 
-/// Reported load, which may be stale or wrong by injected faults.
+/// Reported load, which may be stale or wrong because of injected faults.
 struct UpstreamLoad {
   uint32_t running = 0;
   uint32_t queued = 0;
@@ -113,7 +113,7 @@
   UpstreamBehaviour current;
   UpstreamCounts totals;
   HandleTable<Entry, UpstreamJobTag> jobs{kMaxUpstreamJobs};
-  /// In order of arrival; may have handles of cancelled jobs.
+  /// In order of arrival; may contain handles of cancelled jobs.
   std::deque<UpstreamJobHandle> queue;
   std::vector<UpstreamStep> steps;
   std::deque<LoadSample> history;
